--- a/experiment/replay/chooser.go
+++ b/experiment/replay/chooser.go
@@ -74,7 +74,7 @@
 
 func (s siteSent) first(now time.Time) {
 	for _, c := range s {
-		c.First(now)
+		c.FirstEvent(now)
 	}
 }
 
@@ -162,16 +162,16 @@
 
 func plus(a, b pick.Load, sign int) pick.Load {
 	a.Running += sign * b.Running
-	a.Reading += sign * b.Reading
-	for rank, tokens := range b.Unread {
-		a.Unread[rank] += sign * tokens
+	a.PrefillMillis += sign * b.PrefillMillis
+	for rank, tokens := range b.PendingPrefill {
+		a.PendingPrefill[rank] += sign * tokens
 	}
 	return a
 }
 
 // pick has the instance that decides for the request choose, for the one that sends.
 func (s *site) pick(now time.Time, asked *instance, q *request) (*pick.Choice, siteSent) {
-	decider := s.byID[asked.pool.Decider(q.call)]
+	decider := s.byID[asked.pool.Owner(q.call)]
 	choice, _ := decider.pool.Pick(now, q.call)
 	if choice == nil {
 		return nil, nil
@@ -184,7 +184,7 @@
 		choice.Done(now, pick.Neutral)
 		return nil, nil
 	}
-	own.Source, own.Cost, own.Wait, own.Front, own.Tokens = choice.Source, choice.Cost, choice.Wait, choice.Front, choice.Tokens
+	own.Source, own.Cost, own.Wait, own.QueueWait, own.Tokens = choice.Source, choice.Cost, choice.Wait, choice.QueueWait, choice.Tokens
 	return own, siteSent{choice, own}
 }
 
@@ -208,7 +208,7 @@
 	if choice == nil {
 		return decision{sent: noneSent{}}
 	}
-	if place.Overloaded(choice.Front, time.Duration(q.kind.AimMillis)*time.Millisecond) {
+	if place.Overloaded(choice.QueueWait, time.Duration(q.kind.AimMillis)*time.Millisecond) {
 		sent.done(now, pick.Neutral)
 		return decision{sent: noneSent{}}
 	}
@@ -244,7 +244,7 @@
 		sum.Load = plus(sum.Load, l, 1)
 	}
 	for _, i := range s.instances {
-		sum.Read.Add(i.pool.ReadSums(now)[service])
+		sum.Prefill.Add(i.pool.PrefillSums(now)[service])
 	}
 }
 
--- a/experiment/replay/world.go
+++ b/experiment/replay/world.go
@@ -246,7 +246,7 @@
 		ID: q.id, Priority: ranks - min(ranks, q.kind.Rank), PromptTokens: q.prompt, OutputTokens: q.answer, Prefix: q.prefix,
 	})
 	if err != nil {
-		d.sent.done(w.now, pick.Full)
+		d.sent.done(w.now, pick.Rejected)
 		w.refuse(q, false)
 		return
 	}
--- a/node/deciding/named_test.go
+++ b/node/deciding/named_test.go
@@ -26,11 +26,11 @@
 	Convey("a target names a limit in an answer to another instance", t, func() {
 		decider, other := split(start(t, 2))
 		d := other.ask(t, call(1))
-		So(d.Limit, ShouldResemble, pick.NamedLimit{})
-		other.s.Named(d, pick.NamedLimit{Limited: true, PerSecond: 2})
+		So(d.Limit, ShouldResemble, pick.TargetLimit{})
+		other.s.Named(d, pick.TargetLimit{Limited: true, PerSecond: 2})
 		So(decider.knows(1), ShouldEqual, 1)
 		Convey("and names none in a later one", func() {
-			other.s.Named(d, pick.NamedLimit{})
+			other.s.Named(d, pick.TargetLimit{})
 			So(decider.knows(0), ShouldEqual, 0)
 		})
 	})
@@ -45,7 +45,7 @@
 			if c == nil {
 				break
 			}
-			c.Heard(time.Now(), pick.NamedLimit{Limited: true, PerSecond: 0})
+			c.LearnLimit(time.Now(), pick.TargetLimit{Limited: true, PerSecond: 0})
 		}
 		known := len(other.pool.KnownLimits(time.Now(), "s"))
 		So(known, ShouldBeGreaterThan, 0)
@@ -65,7 +65,7 @@
 			if c == nil {
 				break
 			}
-			c.Heard(now, pick.NamedLimit{Limited: true, PerSecond: 0})
+			c.LearnLimit(now, pick.TargetLimit{Limited: true, PerSecond: 0})
 		}
 		_, ok := other.s.Decide(context.Background(), call(1), "id", time.Minute)
 		So(ok, ShouldBeFalse)
--- a/node/deciding/service.go
+++ b/node/deciding/service.go
@@ -58,7 +58,7 @@
 	Wait   float64 `cbor:"5,keyasint,omitempty"`
 	Tokens float64 `cbor:"6,keyasint,omitempty"`
 	// Limit is what the target named last.
-	Limit *pick.NamedLimit `cbor:"7,keyasint,omitempty"`
+	Limit *pick.TargetLimit `cbor:"7,keyasint,omitempty"`
 	// Known are the limits known here, where there is no target: the asker must not send what
 	// was withheld.
 	Known []pick.KnownLimit `cbor:"8,keyasint,omitempty"`
@@ -67,10 +67,10 @@
 // news tells of a ticket: its target names another limit than was known, has begun to answer, or
 // has ended.
 type news struct {
-	Ticket string           `cbor:"1,keyasint"`
-	Ended  bool             `cbor:"2,keyasint,omitempty"`
-	Result pick.Result      `cbor:"3,keyasint,omitempty"`
-	Named  *pick.NamedLimit `cbor:"4,keyasint,omitempty"`
+	Ticket string            `cbor:"1,keyasint"`
+	Ended  bool              `cbor:"2,keyasint,omitempty"`
+	Result pick.Result       `cbor:"3,keyasint,omitempty"`
+	Named  *pick.TargetLimit `cbor:"4,keyasint,omitempty"`
 }
 
 // Service asks deciders, and answers as one.
@@ -118,7 +118,7 @@
 
 // Decide implements exchange.Decider.
 func (s *Service) Decide(ctx context.Context, c pick.Call, id string, left time.Duration) (exchange.Decision, bool) {
-	decider := s.pool.Decider(c)
+	decider := s.pool.Owner(c)
 	if decider == s.self || s.avoided(decider) {
 		return exchange.Decision{}, false
 	}
@@ -153,7 +153,7 @@
 }
 
 // Named implements exchange.Decider.
-func (s *Service) Named(d exchange.Decision, n pick.NamedLimit) {
+func (s *Service) Named(d exchange.Decision, n pick.TargetLimit) {
 	s.tell(d.By, news{Ticket: d.Ticket, Named: &n})
 }
 
@@ -204,7 +204,7 @@
 	s.mu.Lock()
 	s.tickets[q.Ticket] = held{choice: choice, until: now.Add(time.Duration(q.LeftMillis) * time.Millisecond)}
 	s.mu.Unlock()
-	d := decision{Target: choice.ID, Source: choice.Source, Cost: choice.Cost, Front: choice.Front, Wait: choice.Wait, Tokens: choice.Tokens}
+	d := decision{Target: choice.ID, Source: choice.Source, Cost: choice.Cost, Front: choice.QueueWait, Wait: choice.Wait, Tokens: choice.Tokens}
 	if choice.Limit.Limited {
 		d.Limit = &choice.Limit
 	}
@@ -226,10 +226,10 @@
 	switch {
 	case !ok:
 	case n.Named != nil:
-		h.choice.Heard(time.Now(), *n.Named)
+		h.choice.LearnLimit(time.Now(), *n.Named)
 	case n.Ended:
 		h.choice.Done(time.Now(), n.Result)
 	default:
-		h.choice.First(time.Now())
+		h.choice.FirstEvent(time.Now())
 	}
 }
--- a/node/deciding/service_test.go
+++ b/node/deciding/service_test.go
@@ -73,7 +73,7 @@
 
 // split finds the decider and another instance.
 func split(all []*instance) (decider, other *instance) {
-	id := all[0].pool.Decider(call(1))
+	id := all[0].pool.Owner(call(1))
 	for _, i := range all {
 		if i.id == id {
 			decider = i
--- a/node/entry/follow.go
+++ b/node/entry/follow.go
@@ -282,10 +282,10 @@
 	r := feed.Report{WaitMillis: wait.Milliseconds(), Suspects: i.killers.takeNews()}
 	if wait > 0 {
 		for id, l := range i.pool.Loads(time.Now()) {
-			self.Loads = append(self.Loads, feed.Load{Target: id, Running: l.Running, Unread: l.Unread.ByRank(), Reading: l.Reading})
+			self.Loads = append(self.Loads, feed.Load{Target: id, Running: l.Running, Unread: l.PendingPrefill.ByRank(), Reading: l.PrefillMillis})
 		}
 		r.Groups, r.Part = i.wantedGroups()
-		for service, sums := range i.pool.ReadSums(time.Now()) {
+		for service, sums := range i.pool.PrefillSums(time.Now()) {
 			self.Read = append(self.Read, feed.Read{Service: service, Tokens: int64(sums.Tokens), Millis: int64(sums.Millis)})
 		}
 	}
@@ -316,5 +316,5 @@
 	if i.pool.Targets() <= wholeLoads {
 		return nil, false
 	}
-	return i.pool.Duties(), true
+	return i.pool.WatchedGroups(), true
 }
--- a/node/entry/learn.go
+++ b/node/entry/learn.go
@@ -159,8 +159,8 @@
 		}
 		key := exchange.RegionService{Region: s.Region, Service: s.Service}
 		v.Regions[key] = pick.RegionLoad{Targets: s.Targets, Slots: s.Slots, Load: pick.Load{
-			Running: s.Running, Unread: queue(s.Unread), Reading: s.Reading,
-		}, Read: pick.ReadSums{Tokens: float64(s.ReadTokens), Millis: float64(s.ReadMillis)}, Untold: s.Untold}
+			Running: s.Running, PendingPrefill: queue(s.Unread), PrefillMillis: s.Reading,
+		}, Prefill: pick.PrefillSums{Tokens: float64(s.ReadTokens), Millis: float64(s.ReadMillis)}, LoadUnknown: s.Untold}
 	}
 }
 
@@ -196,7 +196,7 @@
 // snapshot is what the pool needs to know.
 func (i *Instance) snapshot(index *routes.Index) pick.Snapshot {
 	k := &i.known
-	s := pick.Snapshot{Evacuated: map[string]bool{}, Loads: k.poolLoads(), Partial: k.partial, Settle: k.settle(), Rules: map[string]pick.ServiceRules{}}
+	s := pick.Snapshot{Evacuated: map[string]bool{}, Loads: k.poolLoads(), PartialLoads: k.partial, PropagationDelay: k.settle(), Rules: map[string]pick.ServiceRules{}}
 	for _, zone := range k.head.Zones() {
 		s.Evacuated[zone] = true
 	}
@@ -206,13 +206,13 @@
 		}
 		s.Targets = append(s.Targets, pick.Target{
 			ID: t.ID, Service: t.Service, Address: t.Address, Zone: t.Zone, Slots: t.Slots, Draining: t.Draining,
-			ColdUntil: t.ColdUntil, ColdTurn: t.ColdTurn, Born: t.Born,
+			ColdUntil: t.ColdUntil, ColdEpoch: t.ColdTurn, StartMillis: t.Born,
 		})
 	}
 	self := i.o.Self
 	// The first view makes it ready.
 	self.Ready, self.Leaving = !i.draining.Load(), i.leaving()
-	s.Unheard = !k.joined
+	s.Joining = !k.joined
 	s.Entries = takers(append([]feed.Entry{self}, k.entries.Entries...), self.Region)
 	for _, service := range index.Table.Services {
 		rules := pick.ServiceRules{
@@ -237,7 +237,7 @@
 func (k *knowledge) poolLoads() map[string]pick.Load {
 	out := make(map[string]pick.Load, len(k.loads))
 	for _, l := range k.loads {
-		out[l.Target] = pick.Load{Running: l.Running, Unread: queue(l.Unread), Reading: l.Reading}
+		out[l.Target] = pick.Load{Running: l.Running, PendingPrefill: queue(l.Unread), PrefillMillis: l.Reading}
 	}
 	return out
 }
--- a/node/entry/learn_test.go
+++ b/node/entry/learn_test.go
@@ -111,9 +111,9 @@
 		regions := i.gateway.View().Regions
 		So(len(regions), ShouldEqual, 2)
 		good := regions[exchange.RegionService{Region: "good", Service: "s"}]
-		So(good.Unread.Ahead(1), ShouldEqual, 5)
-		So(good.Read, ShouldResemble, pick.ReadSums{Tokens: 100, Millis: 3})
-		So(regions[exchange.RegionService{Region: "unknown", Service: "s"}].Untold, ShouldBeTrue)
+		So(good.PendingPrefill.Ahead(1), ShouldEqual, 5)
+		So(good.Prefill, ShouldResemble, pick.PrefillSums{Tokens: 100, Millis: 3})
+		So(regions[exchange.RegionService{Region: "unknown", Service: "s"}].LoadUnknown, ShouldBeTrue)
 		So(i.metrics.SummariesInvalid.Count(), ShouldEqual, 2)
 		So(i.metrics.SummariesUntold.Count(), ShouldEqual, 1)
 	})
--- a/node/entry/tidy.go
+++ b/node/entry/tidy.go
@@ -15,7 +15,7 @@
 func (i *Instance) tidy(ctx context.Context) {
 	before := map[string]bool{}
 	duty.Every(ctx, tidyInterval, func(now time.Time) {
-		i.pool.Sweep(now)
+		i.pool.ExpirePrefixes(now)
 		listed := i.pool.Addresses()
 		for address := range before {
 			if !listed[address] {
--- a/node/feed/board.go
+++ b/node/feed/board.go
@@ -271,7 +271,7 @@
 	}
 	b.divided = map[string]pick.Group{}
 	for service, of := range ids {
-		maps.Copy(b.divided, pick.Division(service, of))
+		maps.Copy(b.divided, pick.AssignGroups(service, of))
 	}
 	return b.divided
 }
--- a/node/feed/loads_test.go
+++ b/node/feed/loads_test.go
@@ -43,7 +43,7 @@
 	for _, id := range s.Entries {
 		p := pick.New(id)
 		p.Update(t0, s)
-		r := feed.Report{Self: feed.Entry{ID: id, Region: me.Region}, Part: true, Groups: p.Duties()}
+		r := feed.Report{Self: feed.Entry{ID: id, Region: me.Region}, Part: true, Groups: p.WatchedGroups()}
 		var u feed.Update
 		b.Fill(t0, r, nil, &u)
 		data, err := cbor.Marshal(u.Loads)
--- a/pipeline/exchange/admit_test.go
+++ b/pipeline/exchange/admit_test.go
@@ -78,8 +78,8 @@
 		})
 		c, _ := p.Pick(time.Now(), pick.Call{Service: "s", PromptTokens: 80000})
 		So(c.Wait, ShouldBeGreaterThan, 1000)
-		So(c.Front, ShouldBeLessThan, 10)
+		So(c.QueueWait, ShouldBeLessThan, 10)
 		second, _ := p.Pick(time.Now(), pick.Call{Service: "s", PromptTokens: 10})
-		So(second.Front, ShouldBeGreaterThan, 1000)
+		So(second.QueueWait, ShouldBeGreaterThan, 1000)
 	})
 }
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -30,7 +30,7 @@
 
 // began notes that the target has begun to answer.
 func (p *destination) began(now time.Time) {
-	p.choice.First(now)
+	p.choice.FirstEvent(now)
 	if p.by != nil {
 		p.by.Began(p.decided)
 	}
@@ -48,7 +48,7 @@
 func (q *request) pickCall() pick.Call {
 	return pick.Call{
 		Service: q.service, Model: q.call.Model, Parts: q.call.Parts, PromptTokens: q.call.PromptTokens,
-		OutputTokens: q.call.OutputTokens, Rank: q.rank(), Tried: q.tried, Lot: xxhash.Sum64String(q.call.ID),
+		OutputTokens: q.call.OutputTokens, Rank: q.rank(), Tried: q.tried, SpreadKey: xxhash.Sum64String(q.call.ID),
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 	// A request that another attempt may have run goes on.
 	fresh := q.verdict == verdict.NotRun && !q.begun
-	if fresh && place.Overloaded(p.choice.Front, q.route.Aim) {
+	if fresh && place.Overloaded(p.choice.QueueWait, q.route.Aim) {
 		p.done(now, pick.Neutral)
 		return nil, CodeOverloaded
 	}
@@ -91,7 +91,7 @@
 		if d, ok := q.g.o.Decider.Decide(q.ctx, c, q.call.ID, q.until.Sub(now)); ok {
 			if choice := q.g.o.Pool.PickAt(now, c, d.Target); choice != nil {
 				q.g.o.Metrics.Decided.Inc(1)
-				choice.Source, choice.Cost, choice.Wait, choice.Front, choice.Tokens = d.Source, d.Cost, d.Wait, d.Front, d.Tokens
+				choice.Source, choice.Cost, choice.Wait, choice.QueueWait, choice.Tokens = d.Source, d.Cost, d.Wait, d.Front, d.Tokens
 				return &destination{choice: choice, decided: d, by: q.g.o.Decider}
 			}
 			q.g.o.Decider.Ended(d, pick.Neutral)
@@ -133,7 +133,7 @@
 		}
 		out = append(out, place.Offer{
 			Region: key.Region, Trip: q.g.trips.To(key.Region), Cost: q.g.o.Pool.RegionCost(key.Region, load, c),
-			Refused: q.g.hasRefused(now, key), Untold: load.Untold,
+			Refused: q.g.hasRefused(now, key), Untold: load.LoadUnknown,
 		})
 	}
 	return out
--- a/pipeline/exchange/rig_test.go
+++ b/pipeline/exchange/rig_test.go
@@ -72,7 +72,7 @@
 func (plain) Reply(status int, h http.Header) exchange.Reply {
 	r := exchange.Reply{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "", Gone: status == 421}
 	if perSecond, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
-		r.Named = pick.NamedLimit{Limited: true, PerSecond: perSecond}
+		r.Named = pick.TargetLimit{Limited: true, PerSecond: perSecond}
 	}
 	return r
 }
--- a/pipeline/exchange/send.go
+++ b/pipeline/exchange/send.go
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithCancelCause(q.ctx)
 	defer cancel(nil)
 	if q.route.Repeatable() {
-		p.choice.Watch(func() { cancel(errUnreachable) })
+		p.choice.OnUnreachable(func() { cancel(errUnreachable) })
 	}
 	a, err := q.g.o.Targets.Do(ctx, p.choice.Address, q.toTarget(p.choice, now))
 	q.g.o.Metrics.SendTime.Update(time.Since(now))
@@ -256,11 +256,11 @@
 	case reply.Gone:
 		q.turnedAway = true
 		discard(a)
-		return false, pick.Gone
+		return false, pick.Replaced
 	case reply.NotRun:
 		q.turnedAway = true
 		discard(a)
-		return false, pick.Full
+		return false, pick.Rejected
 	case !reply.Signed || reply.ID != q.call.ID || a.Header.Get("Content-Encoding") != "":
 		// Bytes that belong to another request or to none.
 		a.Close(false)
@@ -273,8 +273,8 @@
 }
 
 // noteLimit takes in the limit that a target names in an answer of its own.
-func (q *request) noteLimit(p *destination, n pick.NamedLimit) {
-	news := p.choice.Heard(time.Now(), n)
+func (q *request) noteLimit(p *destination, n pick.TargetLimit) {
+	news := p.choice.LearnLimit(time.Now(), n)
 	if p.by != nil && p.decided.Limit != n {
 		p.by.Named(p.decided, n)
 	}
--- a/pipeline/exchange/types.go
+++ b/pipeline/exchange/types.go
@@ -78,7 +78,7 @@
 	// has its address.
 	NotRun, Gone bool
 	// Named is the limit that the target names.
-	Named pick.NamedLimit
+	Named pick.TargetLimit
 }
 
 // Dialect translates between headers and these types. It decides nothing.
@@ -100,7 +100,7 @@
 	Decide(ctx context.Context, c pick.Call, id string, left time.Duration) (Decision, bool)
 	// Named tells of a limit that the target names, or names no more, Began that it has begun to
 	// answer, Ended how the request ended.
-	Named(d Decision, n pick.NamedLimit)
+	Named(d Decision, n pick.TargetLimit)
 	Began(d Decision)
 	Ended(d Decision, r pick.Result)
 }
@@ -144,7 +144,7 @@
 	Source                    string
 	Cost, Wait, Front, Tokens float64
 	// Limit is what the target named last, as far as was known there.
-	Limit pick.NamedLimit
+	Limit pick.TargetLimit
 	// Ticket names the request at the instance By.
 	Ticket, By string
 }
--- a/route/pick/bench_test.go
+++ b/route/pick/bench_test.go
@@ -15,7 +15,7 @@
 			p := pick.New("e")
 			loads := map[string]pick.Load{}
 			for k := range n {
-				loads[fmt.Sprint("t", k)] = pick.Load{Running: 30, Unread: pick.QueueOf(1, 15000), Reading: 2000}
+				loads[fmt.Sprint("t", k)] = pick.Load{Running: 30, PendingPrefill: pick.QueueOf(1, 15000), PrefillMillis: 2000}
 			}
 			rules := map[string]pick.ServiceRules{"s": {Engine: true}}
 			p.Update(t0, pick.Snapshot{Targets: targets(n), Entries: []string{"e"}, Rules: rules, Loads: loads})
@@ -23,7 +23,7 @@
 			for k := 0; b.Loop(); k++ {
 				now = now.Add(time.Millisecond)
 				c, _ := p.Pick(now, call(uint64(k%130)))
-				c.First(now)
+				c.FirstEvent(now)
 				c.Done(now, pick.Good)
 			}
 		})
--- a/route/pick/choice.go
+++ b/route/pick/choice.go
@@ -14,7 +14,7 @@
 	Wait float64
 	// Front is the part of Wait that requests in front take at an engine, whatever the
 	// length of the call's own prompt.
-	Front float64
+	QueueWait float64
 	// Tokens are what is read until the first event, as far as was known.
 	Tokens float64
 	// Cold says that the target was cold, and Entries how many instances were known among which
@@ -22,7 +22,7 @@
 	Cold    bool
 	Entries int
 	// Limit is what the target had named last, as far as was known.
-	Limit NamedLimit
+	Limit TargetLimit
 	// Source is the address of another target that keeps more of the prompt, from
 	// where this one may fetch it; empty for none.
 	Source string
@@ -39,7 +39,7 @@
 }
 
 // First says that the target has begun to answer: the prompt is read.
-func (c *Choice) First(now time.Time) {
+func (c *Choice) FirstEvent(now time.Time) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.learn(now, float64(now.Sub(c.at).Milliseconds()))
@@ -64,7 +64,7 @@
 }
 
 // first takes the prompt out of what is not read yet.
-func (c *Choice) first() { c.uncount(Load{Unread: c.counted.Unread}) }
+func (c *Choice) first() { c.uncount(Load{PendingPrefill: c.counted.PendingPrefill}) }
 
 // uncount takes a part of what the request was counted with out of the target's load.
 func (c *Choice) uncount(part Load) {
@@ -90,9 +90,9 @@
 	// Unreachable: no connection to it could be made.
 	Unreachable
 	// Gone: another target answers at its address.
-	Gone
+	Replaced
 	// Full: it turned the request away.
-	Full
+	Rejected
 )
 
 // Watch has f called, by the goroutine that finds it, when the target turns out to be
@@ -101,7 +101,7 @@
 // What goes wrong without it: a target falls silent with requests under way. Their
 // connections look open for seconds, until the kernel gives them up, while new
 // connections fail at once.
-func (c *Choice) Watch(f func()) {
+func (c *Choice) OnUnreachable(f func()) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.t.watches[c] = f
@@ -125,14 +125,14 @@
 		t.probing = false
 	}
 	switch r {
-	case Good, Failed, Full:
+	case Good, Failed, Rejected:
 		c.pool.answered(now, t)
 	}
 	switch r {
 	case Good:
 		t.failures, t.downUntil = 0, time.Time{}
 		t.failShare *= failKeep
-	case Failed, Full:
+	case Failed, Rejected:
 		t.failures, t.downUntil = 0, time.Time{}
 		t.failShare = t.failShare*failKeep + (1 - failKeep)
 	case Unreachable:
@@ -145,7 +145,7 @@
 	case Lost:
 		t.failShare = t.failShare*failKeep + (1 - failKeep)
 		t.lost(now)
-	case Gone:
+	case Replaced:
 		t.Draining = true
 	case Neutral:
 	}
--- a/route/pick/choice_bench_test.go
+++ b/route/pick/choice_bench_test.go
@@ -18,13 +18,13 @@
 			for k := uint64(0); b.Loop(); k++ {
 				now := t0.Add(time.Duration(k) * 10 * time.Millisecond)
 				c, _ := p.Pick(now, call(k%1000))
-				c.First(now)
+				c.FirstEvent(now)
 				c.Done(now, pick.Good)
 			}
 		})
 		b.Run(fmt.Sprint("ask/", n), func(b *testing.B) {
 			for k := uint64(0); b.Loop(); k++ {
-				p.Decider(call(k % 1000))
+				p.Owner(call(k % 1000))
 				p.KnownLimits(t0, "s")
 			}
 		})
--- a/route/pick/duties_test.go
+++ b/route/pick/duties_test.go
@@ -12,7 +12,7 @@
 
 // region is the pools of the entry instances of a region before the same targets.
 func region(instances, n int, rules pick.ServiceRules) (pools map[string]*pick.Pool, s pick.Snapshot) {
-	s = pick.Snapshot{Targets: targets(n), Rules: map[string]pick.ServiceRules{"s": rules}, Partial: true}
+	s = pick.Snapshot{Targets: targets(n), Rules: map[string]pick.ServiceRules{"s": rules}, PartialLoads: true}
 	for k := range instances {
 		s.Entries = append(s.Entries, fmt.Sprint("e", k))
 	}
@@ -33,7 +33,7 @@
 		pools, s := region(instances, n, pick.ServiceRules{Engine: true})
 		asked := map[pick.Group]int{}
 		for _, p := range pools {
-			for _, g := range p.Duties() {
+			for _, g := range p.WatchedGroups() {
 				asked[g]++
 			}
 		}
@@ -41,7 +41,7 @@
 		for _, x := range s.Targets {
 			ids = append(ids, x.ID)
 		}
-		groupOf := pick.Division("s", ids)
+		groupOf := pick.AssignGroups("s", ids)
 		for id, g := range groupOf {
 			if asked[g] != min(2, instances) {
 				t.Fatalf("the loads of %s in %v are asked for by %d instances", id, g, asked[g])
@@ -49,10 +49,10 @@
 		}
 		for subject := range uint64(5) {
 			c := call(subject)
-			decider := pools[pools["e0"].Decider(c)]
+			decider := pools[pools["e0"].Owner(c)]
 			choice, _ := decider.Pick(t0, c)
 			mine := map[pick.Group]bool{}
-			for _, g := range decider.Duties() {
+			for _, g := range decider.WatchedGroups() {
 				mine[g] = true
 			}
 			if !mine[groupOf[choice.ID]] {
@@ -71,8 +71,8 @@
 	decided, chosen := map[string]int{}, map[string]int{}
 	const calls = 600
 	for k := range uint64(calls) {
-		c := pick.Call{Service: "s", Lot: k * 0x9e3779b97f4a7c15}
-		by := pools["e0"].Decider(c)
+		c := pick.Call{Service: "s", SpreadKey: k * 0x9e3779b97f4a7c15}
+		by := pools["e0"].Owner(c)
 		decided[by]++
 		choice, _ := pools[by].Pick(t0, c)
 		chosen[choice.ID]++
@@ -105,7 +105,7 @@
 			s.Loads = map[string]pick.Load{}
 			for range rapid.IntRange(0, 40).Draw(t, "loads") {
 				id := fmt.Sprint("t", rapid.IntRange(0, 35).Draw(t, "target"))
-				s.Loads[id] = pick.Load{Running: rapid.IntRange(1, 9).Draw(t, "running"), Unread: pick.QueueOf(0, 1000)}
+				s.Loads[id] = pick.Load{Running: rapid.IntRange(1, 9).Draw(t, "running"), PendingPrefill: pick.QueueOf(0, 1000)}
 			}
 			whole.Update(now, s)
 			alone.UpdateLoads(now, s.Loads)
@@ -128,7 +128,7 @@
 	for k, id := range s.Entries {
 		p := pools[id]
 		c := call(uint64(k))
-		c.Lot = uint64(k) * 0x9e3779b97f4a7c15
+		c.SpreadKey = uint64(k) * 0x9e3779b97f4a7c15
 		for {
 			first, _ := p.Pick(t0, c)
 			if len(c.Tried) == 60 {
@@ -147,7 +147,7 @@
 
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{400, 4000, 8000} {
-		s := pick.Snapshot{Targets: targets(n), Rules: engines(), Partial: true, Loads: map[string]pick.Load{}}
+		s := pick.Snapshot{Targets: targets(n), Rules: engines(), PartialLoads: true, Loads: map[string]pick.Load{}}
 		for k := range 300 {
 			s.Entries = append(s.Entries, fmt.Sprint("e", k))
 		}
--- a/route/pick/group.go
+++ b/route/pick/group.go
@@ -49,7 +49,7 @@
 
 // Division tells the group of each target of a service, as all instances that know the same
 // targets divide them.
-func Division(service string, ids []string) map[string]Group {
+func AssignGroups(service string, ids []string) map[string]Group {
 	order := make(map[string]uint64, len(ids))
 	for _, id := range ids {
 		order[id] = orderOf(id)
@@ -94,15 +94,15 @@
 // others are there. The groups of a plain service have deciders, too: with few slots at each
 // target, many instances that choose by loads some hundred milliseconds old meet at the same
 // ones. One decider for all of them would be asked for each request of the region.
-func (p *Pool) Decider(c Call) string {
+func (p *Pool) Owner(c Call) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.owner(c.Service, groupOf(len(p.byService[c.Service]), c.chain(), c.Lot))
+	return p.owner(c.Service, groupOf(len(p.byService[c.Service]), c.chain(), c.SpreadKey))
 }
 
 // Duties are the groups whose loads this instance needs: those it decides for, and those it
 // would decide for next.
-func (p *Pool) Duties() []Group {
+func (p *Pool) WatchedGroups() []Group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.duties == nil {
--- a/route/pick/group_test.go
+++ b/route/pick/group_test.go
@@ -26,7 +26,7 @@
 			p := pick.New(id)
 			shuffled := rapid.Permutation(list).Draw(t, "order")
 			p.Update(t0, pick.Snapshot{Targets: shuffled, Entries: entries, Rules: engines()})
-			got := p.Decider(call(subject))
+			got := p.Owner(call(subject))
 			if want == "" {
 				want = got
 			}
@@ -62,7 +62,7 @@
 	for k := range 2 * slots {
 		asker := pools[entries[k%instances]]
 		plain := pick.Call{Service: "s"}
-		c, _ := pools[asker.Decider(plain)].Pick(t0, plain)
+		c, _ := pools[asker.Owner(plain)].Pick(t0, plain)
 		running[c.ID]++
 	}
 	if running["t0"] != slots || running["t1"] != slots {
@@ -83,7 +83,7 @@
 	if n := len(decider.Loads(t0)) + len(asker.Loads(t0)); n != 1 {
 		t.Fatalf("listed %d times", n)
 	}
-	at.First(t0)
+	at.FirstEvent(t0)
 	at.Done(t0, pick.Good)
 	c.Done(t0, pick.Good)
 	if n := len(decider.Loads(t0)) + len(asker.Loads(t0)); n != 0 {
@@ -127,7 +127,7 @@
 		if c.ID == "t0" {
 			late = 2 * time.Second
 		}
-		c.First(now.Add(late))
+		c.FirstEvent(now.Add(late))
 		c.Done(now.Add(late), pick.Good)
 		if n >= 150 {
 			counts[c.ID]++
--- a/route/pick/incarnation.go
+++ b/route/pick/incarnation.go
@@ -12,11 +12,11 @@
 // must not get.
 func (t *target) startedAgain(listed Target) bool {
 	switch {
-	case t.Born != 0 && listed.Born != 0:
-		return listed.Born > t.Born
+	case t.StartMillis != 0 && listed.StartMillis != 0:
+		return listed.StartMillis > t.StartMillis
 	case listed.Address != t.Address:
 		return true
 	}
-	newlyCold := !listed.ColdUntil.IsZero() && listed.ColdTurn != t.ColdTurn
+	newlyCold := !listed.ColdUntil.IsZero() && listed.ColdEpoch != t.ColdEpoch
 	return t.Draining && !listed.Draining && newlyCold
 }
--- a/route/pick/incarnation_test.go
+++ b/route/pick/incarnation_test.go
@@ -16,7 +16,7 @@
 // Cause: a target was known by its id alone.
 func TestTargetThatStartsAgainUnderItsIDIsAnotherOne(t *testing.T) {
 	list := func(change func(*pick.Target)) pick.Snapshot {
-		one := pick.Target{ID: "t0", Service: "s", Address: "10.0.0.1:1", Zone: "z", Slots: 4, Born: 1000}
+		one := pick.Target{ID: "t0", Service: "s", Address: "10.0.0.1:1", Zone: "z", Slots: 4, StartMillis: 1000}
 		change(&one)
 		return pick.Snapshot{Targets: []pick.Target{one}, Entries: []string{"e"}, Rules: engines()}
 	}
@@ -28,7 +28,7 @@
 		running, _ := p.Pick(t0, call(1))
 		lost, _ := p.Pick(t0, call(1))
 		lost.Done(t0, pick.Lost)
-		So(p.Kept(), ShouldEqual, 0)
+		So(p.PrefixCount(), ShouldEqual, 0)
 		Convey("listed again it stays what it was", func() {
 			p.Update(t0, list(same))
 			none, _ := p.Pick(t0, call(1))
@@ -36,7 +36,7 @@
 			So(p.Loads(t0)["t0"].Running, ShouldEqual, 1)
 		})
 		Convey("of a later start nothing is known", func() {
-			p.Update(t0, list(func(x *pick.Target) { x.Born = 1001 }))
+			p.Update(t0, list(func(x *pick.Target) { x.StartMillis = 1001 }))
 			So(p.Loads(t0), ShouldBeEmpty)
 			got, _ := p.Pick(t0, call(1))
 			So(got, ShouldNotBeNil)
@@ -48,7 +48,7 @@
 			})
 		})
 		Convey("an earlier start is an old list", func() {
-			p.Update(t0, list(func(x *pick.Target) { x.Born = 999 }))
+			p.Update(t0, list(func(x *pick.Target) { x.StartMillis = 999 }))
 			So(p.Loads(t0)["t0"].Running, ShouldEqual, 1)
 		})
 	})
@@ -58,14 +58,14 @@
 			c, _ := p.Pick(t0, call(1))
 			return c != nil
 		}
-		unborn := func(x *pick.Target) { x.Born = 0 }
+		unborn := func(x *pick.Target) { x.StartMillis = 0 }
 		p.Update(t0, list(func(x *pick.Target) { drained(x); unborn(x) }))
 		Convey("is not brought back by an older list", func() {
 			p.Update(t0, list(unborn))
 			So(open(), ShouldBeFalse)
 		})
 		Convey("is back when it is listed as newly cold", func() {
-			p.Update(t0, list(func(x *pick.Target) { unborn(x); x.ColdUntil, x.ColdTurn = t0.Add(3*time.Second), 7 }))
+			p.Update(t0, list(func(x *pick.Target) { unborn(x); x.ColdUntil, x.ColdEpoch = t0.Add(3*time.Second), 7 }))
 			So(open(), ShouldBeTrue)
 		})
 		Convey("is back at another address", func() {
--- a/route/pick/kept.go
+++ b/route/pick/kept.go
@@ -155,7 +155,7 @@
 }
 
 // Sweep forgets prompt parts that were not used lately. Call it now and then.
-func (p *Pool) Sweep(now time.Time) {
+func (p *Pool) ExpirePrefixes(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holders = map[uint64][]*target{}
@@ -171,7 +171,7 @@
 }
 
 // Kept is the number of prompt parts that are remembered, over all targets.
-func (p *Pool) Kept() int {
+func (p *Pool) PrefixCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/route/pick/kept_test.go
+++ b/route/pick/kept_test.go
@@ -19,7 +19,7 @@
 // run has a call run at once and whole where the pool sends it.
 func run(p *pick.Pool, now time.Time, c pick.Call) *pick.Choice {
 	choice, _ := p.Pick(now, c)
-	choice.First(now.Add(100 * time.Millisecond))
+	choice.FirstEvent(now.Add(100 * time.Millisecond))
 	choice.Done(now.Add(200*time.Millisecond), pick.Good)
 	return choice
 }
--- a/route/pick/leavegroup_test.go
+++ b/route/pick/leavegroup_test.go
@@ -26,7 +26,7 @@
 		for id, x := range p.targets {
 			s.Loads[id] = Load{Running: 20}
 			if x.group == own {
-				s.Loads[id] = Load{Running: 40, Unread: QueueOf(0, unread)}
+				s.Loads[id] = Load{Running: 40, PendingPrefill: QueueOf(0, unread)}
 			}
 		}
 		p.Update(at, s)
--- a/route/pick/load.go
+++ b/route/pick/load.go
@@ -42,18 +42,18 @@
 // add counts more in.
 func (l *Load) add(more Load) {
 	l.Running += more.Running
-	l.Reading += more.Reading
-	for rank, tokens := range more.Unread {
-		l.Unread[rank] += tokens
+	l.PrefillMillis += more.PrefillMillis
+	for rank, tokens := range more.PendingPrefill {
+		l.PendingPrefill[rank] += tokens
 	}
 }
 
 // subtract takes a part out.
 func (l *Load) subtract(part Load) {
 	l.Running -= part.Running
-	l.Reading -= part.Reading
-	for rank, tokens := range part.Unread {
-		l.Unread[rank] -= tokens
+	l.PrefillMillis -= part.PrefillMillis
+	for rank, tokens := range part.PendingPrefill {
+		l.PendingPrefill[rank] -= tokens
 	}
 }
 
--- a/route/pick/named.go
+++ b/route/pick/named.go
@@ -14,38 +14,38 @@
 // carries what the asker knows: a decider that begins does not begin at nothing.
 
 // NamedLimit is the limit that a target names in an answer. The zero value names none.
-type NamedLimit struct {
+type TargetLimit struct {
 	Limited   bool    `cbor:"1,keyasint,omitempty"`
 	PerSecond float64 `cbor:"2,keyasint,omitempty"`
 }
 
 // Valid reports whether a limit can be meant. What cannot be is taken for none.
-func (n NamedLimit) Valid() bool {
+func (n TargetLimit) Valid() bool {
 	return n.Limited && n.PerSecond >= 0 && !math.IsInf(n.PerSecond, 0)
 }
 
 // heard is what a target named last, and when its answer came.
 type heard struct {
-	NamedLimit
+	TargetLimit
 	at time.Time
 }
 
 // Heard takes in what the target's answer names, and reports whether that is news.
-func (c *Choice) Heard(now time.Time, n NamedLimit) bool {
+func (c *Choice) LearnLimit(now time.Time, n TargetLimit) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return c.t.hears(now, n)
 }
 
 // hears takes in what the target has named at a time, if nothing newer is known.
-func (t *target) hears(at time.Time, n NamedLimit) (news bool) {
+func (t *target) hears(at time.Time, n TargetLimit) (news bool) {
 	if at.Before(t.named.at) {
 		return false
 	}
 	if !n.Valid() {
-		n = NamedLimit{}
+		n = TargetLimit{}
 	}
-	news = n != t.named.NamedLimit
+	news = n != t.named.TargetLimit
 	t.named = heard{n, at}
 	return news
 }
@@ -77,8 +77,8 @@
 
 // KnownLimit is a limit that an instance knows of.
 type KnownLimit struct {
-	Target string     `cbor:"1,keyasint"`
-	Named  NamedLimit `cbor:"2,keyasint"`
+	Target string      `cbor:"1,keyasint"`
+	Limit  TargetLimit `cbor:"2,keyasint"`
 	// AgeMillis is how long ago the target named it.
 	AgeMillis int64 `cbor:"3,keyasint,omitempty"`
 }
@@ -90,7 +90,7 @@
 	var out []KnownLimit
 	for _, t := range p.byService[service] {
 		if t.named.Limited && len(out) < mostKnown {
-			out = append(out, KnownLimit{Target: t.ID, Named: t.named.NamedLimit, AgeMillis: now.Sub(t.named.at).Milliseconds()})
+			out = append(out, KnownLimit{Target: t.ID, Limit: t.named.TargetLimit, AgeMillis: now.Sub(t.named.at).Milliseconds()})
 		}
 	}
 	return out
@@ -102,7 +102,7 @@
 	defer p.mu.Unlock()
 	for _, k := range known {
 		if t := p.targets[k.Target]; t != nil && k.AgeMillis >= 0 && k.AgeMillis <= oldestKnown.Milliseconds() {
-			t.hears(now.Add(-time.Duration(k.AgeMillis)*time.Millisecond), k.Named)
+			t.hears(now.Add(-time.Duration(k.AgeMillis)*time.Millisecond), k.Limit)
 		}
 	}
 }
--- a/route/pick/named_test.go
+++ b/route/pick/named_test.go
@@ -29,7 +29,7 @@
 	pools   []*pick.Pool
 	targets []pick.Target
 	// limit is what the target in need names now; namedAt when it first did.
-	limit   pick.NamedLimit
+	limit   pick.TargetLimit
 	namedAt time.Time
 	// toldAt is when each instance first got an answer with a limit.
 	toldAt  []time.Time
@@ -81,7 +81,7 @@
 func (w *needWorld) ask(k int, answers, tells bool) {
 	c := call(uint64(rapid.IntRange(1, 5).Draw(w.t, "subject")))
 	asker, decider := w.pools[k], w.pools[k]
-	if d := w.index(asker.Decider(c)); answers {
+	if d := w.index(asker.Owner(c)); answers {
 		decider = w.pools[d]
 	}
 	var decided, own *pick.Choice
@@ -101,20 +101,20 @@
 	if own.ID == inNeedID {
 		w.sent = append(w.sent, sentAt{w.now, k})
 	}
-	limit := pick.NamedLimit{}
+	limit := pick.TargetLimit{}
 	if own.ID == inNeedID {
 		limit = w.limit
 	}
 	at := w.now.Add(needStep * time.Duration(rapid.IntRange(1, 20).Draw(w.t, "answer")))
 	w.pending = append(w.pending, answer{at, func() {
-		own.Heard(w.now, limit)
+		own.LearnLimit(w.now, limit)
 		if limit.Limited && w.toldAt[k].IsZero() {
 			w.toldAt[k] = w.now
 		}
 		own.Done(w.now, pick.Good)
 		if decided != nil {
 			if tells && decided.Limit != limit {
-				decided.Heard(w.now, limit)
+				decided.LearnLimit(w.now, limit)
 			}
 			decided.Done(w.now, pick.Good)
 		}
@@ -159,7 +159,7 @@
 			w.ask(rapid.IntRange(0, n-1).Draw(t, "at"), true, true)
 			w.step()
 		}
-		w.limit = pick.NamedLimit{Limited: true, PerSecond: rapid.SampledFrom([]float64{0, 0.3, 1, 1.9, 12}).Draw(t, "limit")}
+		w.limit = pick.TargetLimit{Limited: true, PerSecond: rapid.SampledFrom([]float64{0, 0.3, 1, 1.9, 12}).Draw(t, "limit")}
 		w.namedAt = w.now
 		ids := w.ids
 		for k := range 900 {
@@ -185,7 +185,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "instances")
 		w := newNeedWorld(t, n, 1)
-		w.limit = pick.NamedLimit{Limited: true, PerSecond: rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "limit")}
+		w.limit = pick.TargetLimit{Limited: true, PerSecond: rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "limit")}
 		w.namedAt = w.now
 		ask := func(steps int) {
 			for range steps {
@@ -194,7 +194,7 @@
 			}
 		}
 		ask(400)
-		w.limit = pick.NamedLimit{}
+		w.limit = pick.TargetLimit{}
 		ask(300)
 		w.sent = nil
 		ask(200)
@@ -210,12 +210,12 @@
 		p := pick.New("e")
 		p.Update(t0, pick.Snapshot{Targets: targets(1), Entries: []string{"e"}, Rules: engines()})
 		c, _ := p.Pick(t0, call(1))
-		if c.Heard(t0, pick.NamedLimit{Limited: true, PerSecond: perSecond}) {
+		if c.LearnLimit(t0, pick.TargetLimit{Limited: true, PerSecond: perSecond}) {
 			t.Errorf("%v is news", perSecond)
 		}
 		p.LearnLimits(t0, []pick.KnownLimit{
-			{Target: "t0", Named: pick.NamedLimit{Limited: true}, AgeMillis: -5}, {Target: "t0", Named: pick.NamedLimit{Limited: true}, AgeMillis: math.MaxInt64},
-			{Target: "none", Named: pick.NamedLimit{Limited: true}},
+			{Target: "t0", Limit: pick.TargetLimit{Limited: true}, AgeMillis: -5}, {Target: "t0", Limit: pick.TargetLimit{Limited: true}, AgeMillis: math.MaxInt64},
+			{Target: "none", Limit: pick.TargetLimit{Limited: true}},
 		})
 		if again, _ := p.Pick(t0, call(1)); again == nil {
 			t.Errorf("%v shuts the target out", perSecond)
@@ -229,13 +229,13 @@
 	p.Update(t0, pick.Snapshot{Targets: targets(1), Entries: []string{"e"}, Rules: engines()})
 	c, _ := p.Pick(t0, call(1))
 	now := t0.Add(time.Minute)
-	c.Heard(now, pick.NamedLimit{Limited: true, PerSecond: 2})
-	c.Heard(now.Add(time.Second), pick.NamedLimit{})
-	p.LearnLimits(now.Add(2*time.Second), []pick.KnownLimit{{Target: "t0", Named: pick.NamedLimit{Limited: true, PerSecond: 2}, AgeMillis: 1500}})
+	c.LearnLimit(now, pick.TargetLimit{Limited: true, PerSecond: 2})
+	c.LearnLimit(now.Add(time.Second), pick.TargetLimit{})
+	p.LearnLimits(now.Add(2*time.Second), []pick.KnownLimit{{Target: "t0", Limit: pick.TargetLimit{Limited: true, PerSecond: 2}, AgeMillis: 1500}})
 	if got := p.KnownLimits(now, "s"); len(got) != 0 {
 		t.Fatalf("known: %v", got)
 	}
-	p.LearnLimits(now.Add(2*time.Second), []pick.KnownLimit{{Target: "t0", Named: pick.NamedLimit{Limited: true, PerSecond: 2}, AgeMillis: 500}})
+	p.LearnLimits(now.Add(2*time.Second), []pick.KnownLimit{{Target: "t0", Limit: pick.TargetLimit{Limited: true, PerSecond: 2}, AgeMillis: 500}})
 	if got := p.KnownLimits(now.Add(2*time.Second), "s"); len(got) != 1 || got[0].AgeMillis != 500 {
 		t.Fatalf("known: %v", got)
 	}
--- a/route/pick/pace.go
+++ b/route/pick/pace.go
@@ -16,17 +16,17 @@
 	tokens, millis float64
 	// recent are those of the choices made here, as other regions are told of them; they
 	// fade over readingSpan, as of recentAt.
-	recent   ReadSums
+	recent   PrefillSums
 	recentAt time.Time
 }
 
 // ReadSums are the tokens that engines have read until first events of the last seconds,
 // and the milliseconds that this took. Added up over the instances of a region they tell
 // how fast its engines read now.
-type ReadSums struct{ Tokens, Millis float64 }
+type PrefillSums struct{ Tokens, Millis float64 }
 
 // Add counts those of another instance in. What cannot be is left out.
-func (s *ReadSums) Add(o ReadSums) {
+func (s *PrefillSums) Add(o PrefillSums) {
 	if !(o.Tokens >= 0) || !(o.Millis >= 0) || math.IsInf(o.Tokens+o.Millis, 0) {
 		return
 	}
@@ -35,7 +35,7 @@
 
 // perKilo is the time for 1,000 tokens in milliseconds: that of the start where nothing
 // is known.
-func (s ReadSums) perKilo() float64 {
+func (s PrefillSums) perKilo() float64 {
 	known := newPace()
 	known.tokens, known.millis = known.tokens+s.Tokens, known.millis+s.Millis
 	return known.perKilo()
@@ -89,24 +89,24 @@
 		return
 	}
 	p.recent = p.lately(now)
-	p.recent.Add(ReadSums{Tokens: tokens, Millis: min(millis, oddTimes*p.until(tokens))})
+	p.recent.Add(PrefillSums{Tokens: tokens, Millis: min(millis, oddTimes*p.until(tokens))})
 	p.recentAt = now
 }
 
 // lately are the sums as they have faded until now.
-func (p *pace) lately(now time.Time) ReadSums {
+func (p *pace) lately(now time.Time) PrefillSums {
 	if p.recentAt.IsZero() {
-		return ReadSums{}
+		return PrefillSums{}
 	}
 	left := math.Exp(-float64(max(0, now.Sub(p.recentAt))) / float64(readingSpan))
-	return ReadSums{Tokens: left * p.recent.Tokens, Millis: left * p.recent.Millis}
+	return PrefillSums{Tokens: left * p.recent.Tokens, Millis: left * p.recent.Millis}
 }
 
 // ReadSums are those of the choices made by this instance, by service.
-func (p *Pool) ReadSums(now time.Time) map[string]ReadSums {
+func (p *Pool) PrefillSums(now time.Time) map[string]PrefillSums {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := map[string]ReadSums{}
+	out := map[string]PrefillSums{}
 	for service, known := range p.paces {
 		if sums := known.lately(now); sums.Tokens >= 1 {
 			out[service] = sums
--- a/route/pick/pool.go
+++ b/route/pick/pool.go
@@ -153,10 +153,10 @@
 // Why a choice was not made.
 const (
 	// ReasonNone: the service has no target in the region.
-	ReasonNone = "no_target"
+	ReasonNoTarget = "no_target"
 	// ReasonLeft: all targets are draining, evacuated, out of reach, or cold or in need and not
 	// due yet.
-	ReasonLeft = "none_available"
+	ReasonNoneAvailable = "none_available"
 )
 
 // Pick chooses a target and counts the request in. Without a choice the reason says
@@ -166,27 +166,27 @@
 	defer p.mu.Unlock()
 	list := p.byService[c.Service]
 	if len(list) == 0 {
-		return nil, ReasonNone
+		return nil, ReasonNoTarget
 	}
 	w := p.weigh(now, c)
-	group := p.group(c.Service, w.chain, c.Lot)
+	group := p.group(c.Service, w.chain, c.SpreadKey)
 	w.home = p.home(group, w.chain)
 	best, e := p.best(group, w)
 	if best == nil || e.hurry(best) > leaveGroup {
-		best, e = p.best(p.inTurn(list, c.Lot), w)
+		best, e = p.best(p.inTurn(list, c.SpreadKey), w)
 	}
 	if best == nil {
-		return nil, ReasonLeft
+		return nil, ReasonNoneAvailable
 	}
 	ch := p.take(w, best, &e)
-	best.readMore(now, w.pace.until(float64(ch.counted.Unread.Ahead(c.Rank))))
+	best.readMore(now, w.pace.until(float64(ch.counted.PendingPrefill.Ahead(c.Rank))))
 	return ch, ""
 }
 
 // inTurn lists the targets from any one on where the loads of most are not known here: those
 // all look idle, and the first of them would be chosen by all.
 func (p *Pool) inTurn(list []*target, lot uint64) []*target {
-	if !p.snapshot.Partial {
+	if !p.snapshot.PartialLoads {
 		return list
 	}
 	at := int(lot % uint64(len(list)))
@@ -210,7 +210,7 @@
 
 // take counts the request in.
 func (p *Pool) take(w *weighing, t *target, e *estimate) *Choice {
-	ch := &Choice{ID: t.ID, Address: t.Address, Cost: e.cost(t), Limit: t.named.NamedLimit, pool: p, t: t, at: w.now, chain: w.chain}
+	ch := &Choice{ID: t.ID, Address: t.Address, Cost: e.cost(t), Limit: t.named.TargetLimit, pool: p, t: t, at: w.now, chain: w.chain}
 	if t.failures > 0 {
 		t.probing, ch.probe = true, true
 	}
@@ -220,10 +220,10 @@
 	}
 	ch.Wait, ch.Tokens = e.wait, e.tokens
 	if w.rules.Engine {
-		ch.Front = max(0, e.wait-t.slowness*w.pace.until(float64(e.unread)))
+		ch.QueueWait = max(0, e.wait-t.slowness*w.pace.until(float64(e.unread)))
 	}
 	ch.Source = w.source(t)
-	ch.counted = Load{Running: 1, Unread: QueueOf(w.call.Rank, e.unread)}
+	ch.counted = Load{Running: 1, PendingPrefill: QueueOf(w.call.Rank, e.unread)}
 	t.own.add(ch.counted)
 	p.keep(w.now, t, w.chain)
 	return ch
@@ -266,7 +266,7 @@
 		told := t.own
 		told.subtract(t.advised)
 		if told.Running > 0 {
-			told.Reading = int(t.ownReading(now))
+			told.PrefillMillis = int(t.ownReading(now))
 			out[id] = told
 		}
 	}
@@ -274,7 +274,7 @@
 }
 
 // Counts of targets by what they may get. A limited one may be any of the others, too.
-type Counts struct{ Targets, Out, Cold, Limited, Draining int }
+type Counts struct{ Targets, BackingOff, Cold, Limited, Draining int }
 
 // Count counts the targets of the region.
 func (p *Pool) Count(now time.Time) Counts {
@@ -289,7 +289,7 @@
 		case p.leaving(t):
 			c.Draining++
 		case now.Before(t.downUntil):
-			c.Out++
+			c.BackingOff++
 		case p.cold(now, t):
 			c.Cold++
 		}
--- a/route/pick/pool_test.go
+++ b/route/pick/pool_test.go
@@ -87,7 +87,7 @@
 	p := pick.New("e")
 	s := pick.Snapshot{Targets: targets(1), Entries: []string{"e"}, Rules: engines(), Evacuated: map[string]bool{"z": true}}
 	p.Update(t0, s)
-	if c, why := p.Pick(t0, call(1)); c != nil || why != pick.ReasonLeft {
+	if c, why := p.Pick(t0, call(1)); c != nil || why != pick.ReasonNoneAvailable {
 		t.Fatalf("an evacuated zone gets a request: %v", why)
 	}
 	s.Evacuated = nil
@@ -120,7 +120,7 @@
 	c.Done(t0, pick.Unreachable)
 	back := t0.Add(2 * time.Second)
 	probe, _ := p.Pick(back, call(1))
-	probe.First(back)
+	probe.FirstEvent(back)
 	probe.Done(back, pick.Good)
 	sent := func(from time.Time) int {
 		got := 0
@@ -202,7 +202,7 @@
 		c.Done(t0, pick.Lost)
 		none, why := p.Pick(t0.Add(10*time.Millisecond), call(1))
 		So(none, ShouldBeNil)
-		So(why, ShouldEqual, pick.ReasonLeft)
+		So(why, ShouldEqual, pick.ReasonNoneAvailable)
 
 		later := t0.Add(400 * time.Millisecond)
 		probe, _ := p.Pick(later, call(1))
@@ -244,7 +244,7 @@
 			if c.ID != home[subject] {
 				t.Fatalf("subject %d goes to %s and to %s", subject, home[subject], c.ID)
 			}
-			c.First(t0)
+			c.FirstEvent(t0)
 			c.Done(t0, pick.Good)
 		}
 	}
@@ -283,7 +283,7 @@
 	c, _ := p.Pick(t0, call(1))
 	first := c.ID
 	c.Done(t0, pick.Good)
-	s.Loads = map[string]pick.Load{first: {Running: 3, Unread: pick.QueueOf(0, 60000)}}
+	s.Loads = map[string]pick.Load{first: {Running: 3, PendingPrefill: pick.QueueOf(0, 60000)}}
 	p.Update(t0, s)
 	if c, _ := p.Pick(t0, call(1)); c.ID == first {
 		t.Fatal("sent where 60000 tokens wait")
@@ -302,7 +302,7 @@
 			switch c, _ := p.Pick(now, call(rapid.Uint64Range(0, 5).Draw(t, "subject"))); {
 			case c == nil:
 			case rapid.Bool().Draw(t, "first"):
-				c.First(now)
+				c.FirstEvent(now)
 				open = append(open, c)
 			default:
 				open = append(open, c)
@@ -333,11 +333,11 @@
 		t.Fatal("tried again")
 	}
 	c.Tried = []string{"t0", "t1"}
-	if got, why := p.Pick(t0, c); got != nil || why != pick.ReasonLeft {
+	if got, why := p.Pick(t0, c); got != nil || why != pick.ReasonNoneAvailable {
 		t.Fatal(why)
 	}
 	c.Service = "none"
-	if got, why := p.Pick(t0, c); got != nil || why != pick.ReasonNone {
+	if got, why := p.Pick(t0, c); got != nil || why != pick.ReasonNoTarget {
 		t.Fatal(why)
 	}
 }
@@ -391,7 +391,7 @@
 		s := pick.Snapshot{Targets: targets(5), Entries: []string{"e1", "e2"}, Rules: engines()}
 		one.Update(t0, s)
 		home, _ := one.Pick(t0, call(1))
-		s.Loads = map[string]pick.Load{home.ID: {Unread: pick.QueueOf(0, 90000)}}
+		s.Loads = map[string]pick.Load{home.ID: {PendingPrefill: pick.QueueOf(0, 90000)}}
 		other.Update(t0, s)
 		c, _ := other.Pick(t0, call(1))
 		So(c.ID, ShouldNotEqual, home.ID)
@@ -424,7 +424,7 @@
 			long = pick.Call{Service: "s", PromptTokens: 300, OutputTokens: 900, Parts: []pick.Part{{ID: n, Tokens: 300}}}
 		}
 		c, _ := p.Pick(now, long)
-		c.First(now.Add(50 * time.Millisecond))
+		c.FirstEvent(now.Add(50 * time.Millisecond))
 		if n%5 == 0 {
 			prompts[c.ID]++
 			c.Done(now.Add(400*time.Millisecond), pick.Good)
@@ -454,11 +454,11 @@
 		c, _ := p.Pick(t0, call(n))
 		c.Done(t0, pick.Good)
 	}
-	if n := p.Kept(); n < 200 {
+	if n := p.PrefixCount(); n < 200 {
 		t.Fatalf("%d parts kept", n)
 	}
-	p.Sweep(t0.Add(time.Minute))
-	if n := p.Kept(); n != 0 {
+	p.ExpirePrefixes(t0.Add(time.Minute))
+	if n := p.PrefixCount(); n != 0 {
 		t.Fatalf("%d parts kept after a minute", n)
 	}
 }
--- a/route/pick/region.go
+++ b/route/pick/region.go
@@ -10,9 +10,9 @@
 	// Load is summed over the targets.
 	Load
 	// Read tells how fast the engines there read lately.
-	Read ReadSums
+	Prefill PrefillSums
 	// Untold says that Load and Read are not known.
-	Untold bool
+	LoadUnknown bool
 }
 
 // RegionCost estimates what a call costs at a region's targets, in milliseconds, as
@@ -35,8 +35,8 @@
 	if !p.snapshot.Rules[c.Service].Engine {
 		return cost + slotCost*float64(load.Running)/float64(max(1, load.Slots))
 	}
-	tokens := float64(load.Unread.Ahead(c.Rank))/targets + c.unreadIn(region)
-	return cost + load.Read.perKilo()*tokens/1000 + runningCost*running
+	tokens := float64(load.PendingPrefill.Ahead(c.Rank))/targets + c.unreadIn(region)
+	return cost + load.Prefill.perKilo()*tokens/1000 + runningCost*running
 }
 
 // unreadIn is what is read of the prompt in another region, in tokens, as far as all
--- a/route/pick/region_test.go
+++ b/route/pick/region_test.go
@@ -20,13 +20,13 @@
 		Rules: map[string]ServiceRules{"s": {Engine: true}},
 	})
 	call := Call{Service: "s", PromptTokens: 9000, Parts: []Part{{ID: 1, Tokens: 6000}, {ID: 2, Tokens: 3000}}}
-	idle := RegionLoad{Targets: 10, Slots: 320, Read: ReadSums{Tokens: 1e6, Millis: 25e3}}
+	idle := RegionLoad{Targets: 10, Slots: 320, Prefill: PrefillSums{Tokens: 1e6, Millis: 25e3}}
 	before := p.RegionCost("q", idle, call)
 	for n := range 300 {
 		call.Parts = []Part{{ID: uint64(n), Tokens: 6000}, {ID: uint64(1000 + n), Tokens: 3000}}
 		ch, _ := p.Pick(now, call)
 		now = now.Add(2500 * time.Millisecond)
-		ch.First(now)
+		ch.FirstEvent(now)
 		ch.Done(now, Good)
 	}
 	call.Parts = []Part{{ID: 1, Tokens: 6000}, {ID: 2, Tokens: 3000}}
@@ -37,7 +37,7 @@
 	if before > 1.1*9*25 {
 		t.Errorf("%v ms at an idle region", before)
 	}
-	if told := p.ReadSums(now)["s"]; told.perKilo() < 60 {
+	if told := p.PrefillSums(now)["s"]; told.perKilo() < 60 {
 		t.Errorf("others are told of %v ms for 1,000 tokens", told.perKilo())
 	}
 }
@@ -66,12 +66,12 @@
 // Events: an instance of another version tells sums that cannot be.
 // Cause: they were added up with the others.
 func TestSumsThatCannotBeAreLeftOut(t *testing.T) {
-	var s ReadSums
-	s.Add(ReadSums{Tokens: 1000, Millis: 30})
-	for _, odd := range []ReadSums{{-1, 5}, {5, -1}, {math.NaN(), 1}, {1, math.Inf(1)}} {
+	var s PrefillSums
+	s.Add(PrefillSums{Tokens: 1000, Millis: 30})
+	for _, odd := range []PrefillSums{{-1, 5}, {5, -1}, {math.NaN(), 1}, {1, math.Inf(1)}} {
 		s.Add(odd)
 	}
-	if (s != ReadSums{Tokens: 1000, Millis: 30}) {
+	if (s != PrefillSums{Tokens: 1000, Millis: 30}) {
 		t.Errorf("sums %v", s)
 	}
 }
--- a/route/pick/score.go
+++ b/route/pick/score.go
@@ -59,10 +59,10 @@
 		return e
 	}
 	e.unread = w.unreadAt(t)
-	e.tokens = float64(e.load.Unread.Ahead(w.call.Rank)) + w.own(t, e.unread)
+	e.tokens = float64(e.load.PendingPrefill.Ahead(w.call.Rank)) + w.own(t, e.unread)
 	// Engines slow down with the requests that they run.
 	e.wait = e.wait + t.slowness*w.pace.until(e.tokens) + runningCost*running
-	e.social = disturbance(&w.call, w.pace.until(float64(e.unread)), running, t.ownReading(w.now)+float64(t.others.Reading))
+	e.social = disturbance(&w.call, w.pace.until(float64(e.unread)), running, t.ownReading(w.now)+float64(t.others.PrefillMillis))
 	e.social += w.stall(t, &e)
 	return e
 }
--- a/route/pick/stall.go
+++ b/route/pick/stall.go
@@ -25,7 +25,7 @@
 	if aim <= 0 {
 		return 0
 	}
-	inRow := t.slowness * w.pace.until(float64(e.load.Unread.Ahead(Ranks-1)+e.unread))
+	inRow := t.slowness * w.pace.until(float64(e.load.PendingPrefill.Ahead(Ranks-1)+e.unread))
 	late := (inRow/aim - stallFrom) / (1 - stallFrom)
 	return stallCost * float64(e.load.Running) * min(1, max(0, late))
 }
--- a/route/pick/stall_test.go
+++ b/route/pick/stall_test.go
@@ -31,8 +31,8 @@
 // with it, and only the share of the time was counted that reading takes.
 func TestReadingInARowIsSharedOut(t *testing.T) {
 	p := busy(
-		pick.Load{Running: 30, Unread: pick.QueueOf(2, 12000)},
-		pick.Load{Running: 30, Unread: pick.QueueOf(0, 4000)},
+		pick.Load{Running: 30, PendingPrefill: pick.QueueOf(2, 12000)},
+		pick.Load{Running: 30, PendingPrefill: pick.QueueOf(0, 4000)},
 	)
 	c, _ := p.Pick(t0, pick.Call{Service: "s", PromptTokens: 6000, OutputTokens: 50, Parts: []pick.Part{{ID: 1, Tokens: 6000}}})
 	if c.ID != "t1" {
@@ -47,7 +47,7 @@
 func TestVeryLongPromptGoesWhereFewAnswersRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		few := rapid.IntRange(0, 5).Draw(t, "few")
-		p := busy(pick.Load{Running: 30}, pick.Load{Running: few, Unread: pick.QueueOf(0, rapid.IntRange(0, 50000).Draw(t, "unread"))})
+		p := busy(pick.Load{Running: 30}, pick.Load{Running: few, PendingPrefill: pick.QueueOf(0, rapid.IntRange(0, 50000).Draw(t, "unread"))})
 		c, _ := p.Pick(t0, pick.Call{Service: "s", PromptTokens: 40000, OutputTokens: 400, Parts: []pick.Part{{ID: 1, Tokens: 40000}}})
 		if c.ID != "t1" {
 			t.Fatalf("sent to %s", c.ID)
--- a/route/pick/tenure.go
+++ b/route/pick/tenure.go
@@ -24,7 +24,7 @@
 )
 
 // settle is how long news of an entry instance may take to the others of its region.
-func (p *Pool) settle() time.Duration { return max(leastSettle, p.snapshot.Settle) }
+func (p *Pool) settle() time.Duration { return max(leastSettle, p.snapshot.PropagationDelay) }
 
 // pastEntries are entry instances as they were known until a time.
 type pastEntries struct {
@@ -34,14 +34,14 @@
 
 // noteEntries keeps what was known until now, for as long as it counts.
 func (p *Pool) noteEntries(now time.Time, s *Snapshot) {
-	settle := max(p.settle(), s.Settle)
+	settle := max(p.settle(), s.PropagationDelay)
 	p.past = slices.DeleteFunc(p.past, func(e pastEntries) bool { return now.Sub(e.until) >= settle })
 	if p.begunAt.IsZero() {
 		p.begunAt = now
 	}
 	p.heardAt = now
 	switch {
-	case s.Unheard:
+	case s.Joining:
 		// As if somebody else had been there.
 		p.past = append(p.past, pastEntries{until: now})
 	case p.snapshot.Entries != nil && !slices.Equal(p.snapshot.Entries, s.Entries):
@@ -51,7 +51,7 @@
 
 // settled reports whether this instance decides for a group, and has for as long as news take.
 func (p *Pool) settled(now time.Time, service string, group int) bool {
-	if p.owner(service, group) != p.self || p.snapshot.Unheard {
+	if p.owner(service, group) != p.self || p.snapshot.Joining {
 		return false
 	}
 	if now.Sub(p.begunAt) < youngFor && now.Sub(p.heardAt) >= p.settle() {
--- a/route/pick/tenure_test.go
+++ b/route/pick/tenure_test.go
@@ -59,7 +59,7 @@
 						known = append(known, ids[other])
 					}
 				}
-				p.Update(now, pick.Snapshot{Targets: list, Entries: known, Unheard: now.Before(joinedAt[k]), Settle: settle, Rules: engines()})
+				p.Update(now, pick.Snapshot{Targets: list, Entries: known, Joining: now.Before(joinedAt[k]), PropagationDelay: settle, Rules: engines()})
 				if c, _ := p.Pick(now, call(5)); c != nil {
 					sent = append(sent, now)
 					c.Done(now, pick.Good)
--- a/route/pick/types.go
+++ b/route/pick/types.go
@@ -15,7 +15,7 @@
 	// ID names the target. It may start again under its id, and knows nothing of before.
 	ID, Service, Address, Zone string
 	// Born is when it started, in Unix milliseconds; 0 if unknown.
-	Born int64
+	StartMillis int64
 	// Slots is how many requests it runs at once; 0 if unknown.
 	Slots int
 	// Draining targets get nothing new.
@@ -23,7 +23,7 @@
 	// ColdUntil is when it has warmed up; zero if it is warm.
 	ColdUntil time.Time
 	// ColdTurn tells one cold time of a target from the next.
-	ColdTurn uint8
+	ColdEpoch uint8
 }
 
 // Part is one part of a prompt, from its beginning on.
@@ -50,7 +50,7 @@
 	// Tried targets are not chosen again.
 	Tried []string
 	// Lot spreads calls without shared parts over the groups of targets.
-	Lot uint64
+	SpreadKey uint64 `cbor:"Lot"`
 }
 
 // Load is what others have under way at a target.
@@ -58,10 +58,10 @@
 	// Running counts requests.
 	Running int
 	// Unread are the prompt tokens of those not yet answered.
-	Unread Queue
+	PendingPrefill Queue
 	// Reading is the time in milliseconds that reading prompts takes there, as it was given
 	// out lately: it fades over readingSpan.
-	Reading int
+	PrefillMillis int
 }
 
 // ServiceRules are what a service says of its targets.
@@ -88,16 +88,16 @@
 	Evacuated map[string]bool
 	// Loads are what the other entry instances of the region have under way; Partial says
 	// that they are those of the Duties only.
-	Loads   map[string]Load
-	Partial bool
+	Loads        map[string]Load
+	PartialLoads bool
 	// Entries are the ids of the region's entry instances that take requests, this
 	// one included, in order. They share out the groups of targets.
 	Entries []string
 	// Settle is how long news of an entry instance may take to the others of the region: a
 	// report to a core instance, its news to the other ones, and the answer to the next report.
-	Settle time.Duration
+	PropagationDelay time.Duration
 	// Unheard says that this instance has started and not been told the others yet.
-	Unheard bool
+	Joining bool
 	// Rules by service.
 	Rules map[string]ServiceRules
 }
