--- a/route/pick/bench_test.go
+++ b/route/pick/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// BenchmarkPick is one choice with its end, among engines that are busy.
+// BenchmarkPick measures one choice with its end, among busy engines.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 90} {
 		b.Run(fmt.Sprint(n, "_engines"), func(b *testing.B) {
--- a/route/pick/choice.go
+++ b/route/pick/choice.go
@@ -2,119 +2,120 @@
 
 import "time"
 
-// Choice is a target that was chosen, with the request counted in. Exactly one of
-// its ends must be called: Done.
+// Choice is a chosen target, with the request counted in its load. The caller must call Done
+// exactly once.
 type Choice struct {
 	ID, Address string
-	// Cost is the estimate in milliseconds until the first event.
+	// Cost is the estimate until the first event, in milliseconds, with what failures and other
+	// requests cost.
 	Cost float64
-	// Wait is Cost without what failures and others cost, for a comparison with other
-	// regions: their failures are not known, and a request of which each answer fails would
-	// drive all others away.
+	// Wait is Cost without failures and the cost to other requests, in milliseconds. It is used to
+	// compare regions: the failures of other regions are unknown, and if own failures counted, a
+	// request that fails everywhere would drive all others to other regions.
 	Wait float64
-	// Front is the part of Wait that requests in front take at an engine, whatever the
+	// QueueWait is the part of Wait that an engine spends on queued requests, independent of the
 	// length of the call's own prompt.
 	QueueWait float64
-	// Tokens are what is read until the first event, as far as was known.
+	// Tokens is the estimated prefill until the first event, in tokens.
 	Tokens float64
-	// Cold says that the target was cold, and Entries how many instances were known among which
-	// one decides for it.
+	// Cold says that the target was cold. Entries is the number of entry instances known, among
+	// which one owns the target's group.
 	Cold    bool
 	Entries int
-	// Limit is what the target had named last, as far as was known.
+	// Limit is the last limit known of the target.
 	Limit TargetLimit
-	// Source is the address of another target that keeps more of the prompt, from
-	// where this one may fetch it; empty for none.
+	// Source is the address of another target from which this one may fetch a longer cached prefix
+	// of the prompt; empty for none.
 	Source string
 
 	pool *Pool
 	t    *target
-	// advised says that another instance decided and counts it.
-	advised bool
+	// byOwner says that another instance, the group owner, chose the target and counts the request.
+	byOwner bool
 	at      time.Time
-	chain   []link
-	// counted is what the request still adds to the target's load.
+	chain   []prefix
+	// counted is the request's remaining share of the target's load.
 	counted Load
 	probe   bool
 }
 
-// First says that the target has begun to answer: the prompt is read.
+// FirstEvent records the first event of the answer: the prefill is complete.
 func (c *Choice) FirstEvent(now time.Time) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.learn(now, float64(now.Sub(c.at).Milliseconds()))
-	c.first()
-	c.t.hasRead(c.chain)
+	c.endPrefill()
+	c.t.markPrefilled(c.chain)
 }
 
-// learn compares the time until the first event with what was expected.
+// learn updates the target's slowness and the service's prefill time from the measured time until
+// the first event, in milliseconds.
 func (c *Choice) learn(now time.Time, millis float64) {
 	if !c.pool.snapshot.Rules[c.t.Service].Engine || c.counted.Running == 0 {
 		return
 	}
-	pace := c.pool.pace(c.t.Service)
-	if expected := pace.until(c.Tokens); expected >= leastLearned {
-		ratio := min(mostSlowness, max(leastSlowness, millis/expected))
-		c.t.slowness += learning * (ratio - c.t.slowness)
+	prefill := c.pool.prefillTime(c.t.Service)
+	if expected := prefill.firstEventMillis(c.Tokens); expected >= minLearnMillis {
+		ratio := min(maxSlowness, max(minSlowness, millis/expected))
+		c.t.slowness += slownessGain * (ratio - c.t.slowness)
 	}
-	pace.learn(c.Tokens, millis)
-	if !c.advised {
-		pace.tell(now, c.Tokens, millis)
+	prefill.learn(c.Tokens, millis)
+	if !c.byOwner {
+		prefill.report(now, c.Tokens, millis)
 	}
 }
 
-// first takes the prompt out of what is not read yet.
-func (c *Choice) first() { c.uncount(Load{PendingPrefill: c.counted.PendingPrefill}) }
+// endPrefill removes the prompt from the pending prefill.
+func (c *Choice) endPrefill() { c.uncount(Load{PendingPrefill: c.counted.PendingPrefill}) }
 
-// uncount takes a part of what the request was counted with out of the target's load.
+// uncount removes a part of the request's load from the target's load.
 func (c *Choice) uncount(part Load) {
 	c.counted.subtract(part)
 	c.t.own.subtract(part)
-	if c.advised {
-		c.t.advised.subtract(part)
+	if c.byOwner {
+		c.t.byOwner.subtract(part)
 	}
 }
 
-// Result is how a request at a target ended, as far as it tells of the target.
+// Result is how a request at a target ended, from the target's point of view.
 type Result uint8
 
 const (
 	// Good: it answered as it should.
 	Good Result = iota
-	// Neutral: the end tells nothing of the target, as when the caller left.
+	// Neutral: the end says nothing about the target, for example when the caller disconnected.
 	Neutral
 	// Failed: it answered with a failure.
 	Failed
 	// Lost: it could not be reached, or broke off.
 	Lost
-	// Unreachable: no connection to it could be made.
+	// Unreachable: no connection could be established.
 	Unreachable
-	// Gone: another target answers at its address.
+	// Replaced: another target answers at its address.
 	Replaced
-	// Full: it turned the request away.
+	// Rejected: it rejected the request.
 	Rejected
 )
 
-// Watch has f called, by the goroutine that finds it, when the target turns out to be
-// out of reach before Done.
+// OnUnreachable registers f to be called when another request finds the target unreachable before
+// Done. f runs in the goroutine that finds it, without the pool's lock.
 //
-// What goes wrong without it: a target falls silent with requests under way. Their
-// connections look open for seconds, until the kernel gives them up, while new
-// connections fail at once.
+// Without it, requests in flight at a target that fell silent go on waiting: their connections look
+// open for seconds, until the kernel gives them up, while new connections fail at once.
 func (c *Choice) OnUnreachable(f func()) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.t.watches[c] = f
 }
 
-// Done takes the request out again.
+// Done removes the request from the target's load and records its result.
 func (c *Choice) Done(now time.Time, r Result) {
 	for _, watch := range c.done(now, r) {
 		watch()
 	}
 }
 
-// done returns the watches that are to be called.
+// done is Done under the lock. It returns the callbacks to run after unlocking.
 func (c *Choice) done(now time.Time, r Result) (watches []func()) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -130,11 +131,11 @@
 	}
 	switch r {
 	case Good:
-		t.failures, t.downUntil = 0, time.Time{}
-		t.failShare *= failKeep
+		t.failures, t.backoffUntil = 0, time.Time{}
+		t.failShare *= failShareDecay
 	case Failed, Rejected:
-		t.failures, t.downUntil = 0, time.Time{}
-		t.failShare = t.failShare*failKeep + (1 - failKeep)
+		t.failures, t.backoffUntil = 0, time.Time{}
+		t.failShare = t.failShare*failShareDecay + (1 - failShareDecay)
 	case Unreachable:
 		t.unreached = true
 		for _, watch := range t.watches {
@@ -143,8 +144,8 @@
 		clear(t.watches)
 		fallthrough
 	case Lost:
-		t.failShare = t.failShare*failKeep + (1 - failKeep)
-		t.lost(now)
+		t.failShare = t.failShare*failShareDecay + (1 - failShareDecay)
+		t.backOff(now)
 	case Replaced:
 		t.Draining = true
 	case Neutral:
--- a/route/pick/choice_bench_test.go
+++ b/route/pick/choice_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// BenchmarkChoiceBySize is what one request costs the instance that decides and the one that asks,
-// by the number of targets.
+// BenchmarkChoiceBySize measures the cost of one request at the group owner and at the instance
+// that asks it, by the number of targets.
 func BenchmarkChoiceBySize(b *testing.B) {
 	for _, n := range []int{20, 400, 4000, 8000} {
 		pools, _ := region(1, n, pick.ServiceRules{Engine: true})
--- a/route/pick/export_test.go
+++ b/route/pick/export_test.go
@@ -1,4 +1,4 @@
 package pick
 
-// SlownessOf is how many times longer a target's first events took than was expected.
+// SlownessOf returns how many times longer a target's first events took than estimated.
 func (p *Pool) SlownessOf(id string) float64 { return p.targets[id].slowness }
--- a/route/pick/group_test.go
+++ b/route/pick/group_test.go
@@ -10,10 +10,9 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// Symptom: two instances decide for one group, and neither knows the other's choices.
-// Events: instances hold the same lists.
-// Cause: the division depends on the instance, or on the order of its lists.
-func TestAllInstancesAgreeOnDeciders(t *testing.T) {
+// Guards against two owners of one group, neither of which knows the other's choices. This happens
+// if the groups depend on the instance or on the order of its lists.
+func TestAllInstancesAgreeOnOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := targets(rapid.IntRange(1, 40).Draw(t, "targets"))
 		var entries []string
@@ -31,18 +30,16 @@
 				want = got
 			}
 			if got != want {
-				t.Fatalf("%s names %s, the first named %s", id, got, want)
+				t.Fatalf("%s returns %s, the first returned %s", id, got, want)
 			}
 		}
 	})
 }
 
-// Symptom: a sixth of the arrivals at a plain service are turned away as its targets are full,
-// while slots are free at others.
-// Events: many instances send to a few targets with a few slots each; what they know of each
-// other's requests is 200 ms old.
-// Cause: each of them chose by itself.
-func TestPlainServicesHaveOneDecider(t *testing.T) {
+// Guards against requests that a full plain target rejects while slots are free at others: a sixth
+// of all arrivals when many instances, which know each other's requests 200 ms late, choose by
+// themselves among a few targets with a few slots.
+func TestPlainGroupHasOneOwner(t *testing.T) {
 	const instances, slots = 8, 6
 	var entries []string
 	for k := range instances {
@@ -60,9 +57,9 @@
 	}
 	running := map[string]int{}
 	for k := range 2 * slots {
-		asker := pools[entries[k%instances]]
+		requester := pools[entries[k%instances]]
 		plain := pick.Call{Service: "s"}
-		c, _ := pools[asker.Owner(plain)].Pick(t0, plain)
+		c, _ := pools[requester.Owner(plain)].Pick(t0, plain)
 		running[c.ID]++
 	}
 	if running["t0"] != slots || running["t1"] != slots {
@@ -70,33 +67,32 @@
 	}
 }
 
-// Symptom: the load of a target is counted twice, so it looks full.
-// Events: one instance decides for another one; both tell their loads.
-// Cause: both count the request.
-func TestDecidedRequestIsListedOnce(t *testing.T) {
-	decider, asker := pick.New("e1"), pick.New("e2")
+// Guards against a target that looks full because both the group owner and the instance that sends
+// the request report it in their loads.
+func TestRequestChosenByOwnerIsCountedOnce(t *testing.T) {
+	owner, requester := pick.New("e1"), pick.New("e2")
 	s := pick.Snapshot{Targets: targets(3), Entries: []string{"e1", "e2"}, Rules: engines()}
-	decider.Update(t0, s)
-	asker.Update(t0, s)
-	c, _ := decider.Pick(t0, call(1))
-	at := asker.PickAt(t0, call(1), c.ID)
-	if n := len(decider.Loads(t0)) + len(asker.Loads(t0)); n != 1 {
-		t.Fatalf("listed %d times", n)
+	owner.Update(t0, s)
+	requester.Update(t0, s)
+	c, _ := owner.Pick(t0, call(1))
+	at := requester.PickAt(t0, call(1), c.ID)
+	if n := len(owner.Loads(t0)) + len(requester.Loads(t0)); n != 1 {
+		t.Fatalf("counted %d times", n)
 	}
 	at.FirstEvent(t0)
 	at.Done(t0, pick.Good)
 	c.Done(t0, pick.Good)
-	if n := len(decider.Loads(t0)) + len(asker.Loads(t0)); n != 0 {
-		t.Fatalf("still listed %d times", n)
+	if n := len(owner.Loads(t0)) + len(requester.Loads(t0)); n != 0 {
+		t.Fatalf("still counted %d times", n)
 	}
-	own, _ := asker.Pick(t0, call(1))
-	if len(asker.Loads(t0)) != 1 {
-		t.Fatal("an own choice is not listed")
+	own, _ := requester.Pick(t0, call(1))
+	if len(requester.Loads(t0)) != 1 {
+		t.Fatal("an own choice is not counted")
 	}
 	own.Done(t0, pick.Good)
 }
 
-func TestDecisionForATargetThatMayNotGetItIsNotTaken(t *testing.T) {
+func TestPickAtRejectsUnavailableTarget(t *testing.T) {
 	p := pick.New("e")
 	list := targets(3)
 	list[0].Draining = true
@@ -104,18 +100,17 @@
 	tried := call(1)
 	tried.Tried = []string{"t1"}
 	if p.PickAt(t0, call(1), "t0") != nil || p.PickAt(t0, tried, "t1") != nil || p.PickAt(t0, call(1), "gone") != nil {
-		t.Fatal("taken")
+		t.Fatal("accepted")
 	}
 	c := p.PickAt(t0, call(1), "t2")
 	c.Done(t0, pick.Lost)
 	if p.PickAt(t0.Add(time.Millisecond), call(1), "t2") != nil {
-		t.Fatal("taken while it is left out")
+		t.Fatal("accepted during backoff")
 	}
 }
 
-// Symptom: choices go on as at the start though some engine takes many times as long.
-// Events: one target's first events come late again and again.
-// Cause: estimates are never compared with what came.
+// Guards against a target that gets its full share although its first events are late again and
+// again, because estimates are not compared with measured times.
 func TestSlowTargetGetsLess(t *testing.T) {
 	p := pick.New("e")
 	p.Update(t0, pick.Snapshot{Targets: targets(3), Entries: []string{"e"}, Rules: engines()})
@@ -134,7 +129,7 @@
 		}
 	}
 	if counts["t0"] > 25 {
-		t.Fatalf("the slow one got %d of 150", counts["t0"])
+		t.Fatalf("the slow target got %d of 150", counts["t0"])
 	}
 	if slow, usual := p.SlownessOf("t0"), p.SlownessOf("t1"); slow <= 1 || slow < 1.5*usual {
 		t.Fatalf("slowness %v of the slow one, %v of another", slow, usual)
--- a/route/pick/incarnation.go
+++ b/route/pick/incarnation.go
@@ -1,15 +1,13 @@
 package pick
 
-// startedAgain reports whether a listed target is another start than the one known under
-// its id: what is known of the old one, its load, kept prompt parts, failures and that it
-// was draining, says nothing of the new one.
+// startedAgain reports whether a listed target is a restart of the known one with its ID. The load,
+// cached prompt parts, failures and draining state of the old one then no longer apply.
 //
-// Where the list tells when a target started, that decides. Elsewhere a new address does,
-// or a target that was draining and is listed as ready and newly cold: a draining target
-// ends, and only a start makes one cold that was not. Without either sign a drained target
-// stays out until it has been off the list, which is the safe side: a start that is taken
-// for none costs work, a draining target that is taken for started gets requests that it
-// must not get.
+// If the list has start times, they decide. Otherwise a new address does, or a draining target that
+// is listed as ready and newly cold: a draining target ends, and only a restart makes a warm target
+// cold. Without either sign a drained target stays excluded until it has been off the list. That is
+// the safe side: a missed restart costs capacity, but a draining target taken for restarted gets
+// requests that it must not get.
 func (t *target) startedAgain(listed Target) bool {
 	switch {
 	case t.StartMillis != 0 && listed.StartMillis != 0:
--- a/route/pick/incarnation_test.go
+++ b/route/pick/incarnation_test.go
@@ -9,12 +9,10 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// Symptom: a target that has started again never gets a request any more, or is taken for
-// as loaded and as failing as the one before.
-// Events: a target drains, or crashes with requests under way, and starts again under its
-// id.
-// Cause: a target was known by its id alone.
-func TestTargetThatStartsAgainUnderItsIDIsAnotherOne(t *testing.T) {
+// Guards against a restarted target that gets no requests any more, or keeps the load and failures
+// of its predecessor, because targets are known by ID alone. It drains, or crashes with requests in
+// flight, and restarts under its ID.
+func TestRestartedTargetStartsWithoutState(t *testing.T) {
 	list := func(change func(*pick.Target)) pick.Snapshot {
 		one := pick.Target{ID: "t0", Service: "s", Address: "10.0.0.1:1", Zone: "z", Slots: 4, StartMillis: 1000}
 		change(&one)
@@ -22,32 +20,32 @@
 	}
 	same := func(*pick.Target) {}
 	drained := func(x *pick.Target) { x.Draining = true }
-	Convey("a target of which all is known", t, func() {
+	Convey("a target with state", t, func() {
 		p := pick.New("e")
 		p.Update(t0, list(same))
 		running, _ := p.Pick(t0, call(1))
 		lost, _ := p.Pick(t0, call(1))
 		lost.Done(t0, pick.Lost)
 		So(p.PrefixCount(), ShouldEqual, 0)
-		Convey("listed again it stays what it was", func() {
+		Convey("keeps it when listed again", func() {
 			p.Update(t0, list(same))
 			none, _ := p.Pick(t0, call(1))
 			So(none, ShouldBeNil)
 			So(p.Loads(t0)["t0"].Running, ShouldEqual, 1)
 		})
-		Convey("of a later start nothing is known", func() {
+		Convey("loses it on a later start", func() {
 			p.Update(t0, list(func(x *pick.Target) { x.StartMillis = 1001 }))
 			So(p.Loads(t0), ShouldBeEmpty)
 			got, _ := p.Pick(t0, call(1))
 			So(got, ShouldNotBeNil)
-			Convey("and the end of what ran at the old one does not count there", func() {
+			Convey("and requests that end at the old one do not count", func() {
 				running.Done(t0, pick.Lost)
 				So(p.Loads(t0)["t0"].Running, ShouldEqual, 1)
 				again, _ := p.Pick(t0, call(1))
 				So(again, ShouldNotBeNil)
 			})
 		})
-		Convey("an earlier start is an old list", func() {
+		Convey("keeps it on an earlier start, which is an old list", func() {
 			p.Update(t0, list(func(x *pick.Target) { x.StartMillis = 999 }))
 			So(p.Loads(t0)["t0"].Running, ShouldEqual, 1)
 		})
@@ -60,19 +58,19 @@
 		}
 		unborn := func(x *pick.Target) { x.StartMillis = 0 }
 		p.Update(t0, list(func(x *pick.Target) { drained(x); unborn(x) }))
-		Convey("is not brought back by an older list", func() {
+		Convey("does not return with an older list", func() {
 			p.Update(t0, list(unborn))
 			So(open(), ShouldBeFalse)
 		})
-		Convey("is back when it is listed as newly cold", func() {
+		Convey("returns when it is listed as newly cold", func() {
 			p.Update(t0, list(func(x *pick.Target) { unborn(x); x.ColdUntil, x.ColdEpoch = t0.Add(3*time.Second), 7 }))
 			So(open(), ShouldBeTrue)
 		})
-		Convey("is back at another address", func() {
+		Convey("returns at another address", func() {
 			p.Update(t0, list(func(x *pick.Target) { unborn(x); x.Address = "10.0.0.2:1" }))
 			So(open(), ShouldBeTrue)
 		})
-		Convey("is back after it was off the list", func() {
+		Convey("returns after it was off the list", func() {
 			s := list(unborn)
 			p.Update(t0, pick.Snapshot{Entries: s.Entries, Rules: s.Rules})
 			p.Update(t0, s)
--- a/route/pick/leavegroup_test.go
+++ b/route/pick/leavegroup_test.go
@@ -6,11 +6,9 @@
 	"time"
 )
 
-// Symptom: deciders of different groups meet at the same targets, and prompts wait behind
-// each other there while other targets are idle.
-// Events: answers run at all targets, more of them in a prompt's own group.
-// Cause: the group was left for what a call costs others, at targets of which the decider
-// knows only what others told.
+// Guards against group owners that meet at the same targets, where prompts queue up while other
+// targets are idle. This happens if a group is left because of the cost to other requests, for
+// targets of which the owner knows only what others report.
 func TestGroupIsLeftForItsWaitOnly(t *testing.T) {
 	const all = 2 * groupSize
 	at := time.Unix(1000, 0)
@@ -37,6 +35,6 @@
 		t.Errorf("group %d of a prompt of group %d, where nothing waits", g, own)
 	}
 	if g := chosen(40000); g == own {
-		t.Error("the group was kept with 40,000 tokens waiting at each of its targets")
+		t.Error("the group was not left with 40,000 tokens waiting at each of its targets")
 	}
 }
--- a/route/pick/load.go
+++ b/route/pick/load.go
@@ -1,25 +1,25 @@
 package pick
 
-// Ranks is how many ranks of requests are told apart, from 0; later ones count as the last.
+// Ranks is the number of ranks distinguished, from 0; higher ranks count as the last one.
 const Ranks = 10
 
-// Queue is what waits at a target, in tokens by the rank of its requests.
+// Queue is the number of tokens waiting at a target, by the rank of their requests.
 //
-// The load pattern: long prompts of low rank arrive among short ones of high rank, faster
-// than they are read, as when all callers come back together. An engine reads what is of
-// the first rank first, so what stands behind a request is not in front of it. Counted
-// together, urgent requests were refused as they would be late: 500 in the 2 s after a loss
-// of power of all, when those that were sent had their first event within 0.2 s.
+// An engine prefills lower rank numbers first, so what is ranked behind a request does not delay
+// it. This matters when long prompts of late rank arrive among short ones of early rank faster than
+// they are prefilled, as when all callers reconnect together. Counted as one sum, urgent requests
+// were refused as late: 500 in the 2 s after a power loss of all instances, when those that were
+// sent had their first event within 0.2 s.
 type Queue [Ranks]int
 
-// QueueOf is the queue of requests of one rank.
+// QueueOf returns a queue with the given tokens at one rank.
 func QueueOf(rank, tokens int) Queue {
 	var q Queue
 	q[clampRank(rank)] = tokens
 	return q
 }
 
-// Ahead is what an engine reads before, or together with, a request of a rank.
+// Ahead returns the tokens that an engine prefills before, or together with, a request of the rank.
 func (q *Queue) Ahead(rank int) int {
 	sum := 0
 	for _, tokens := range q[:clampRank(rank)+1] {
@@ -28,7 +28,8 @@
 	return sum
 }
 
-// ByRank lists the tokens of each rank, without the ranks of nothing at the end.
+// ByRank returns the tokens of each rank, without trailing zeros. The result shares the queue's
+// memory.
 func (q *Queue) ByRank() []int {
 	last := Ranks
 	for last > 0 && q[last-1] == 0 {
@@ -39,7 +40,6 @@
 
 func clampRank(rank int) int { return min(max(0, rank), Ranks-1) }
 
-// add counts more in.
 func (l *Load) add(more Load) {
 	l.Running += more.Running
 	l.PrefillMillis += more.PrefillMillis
@@ -48,7 +48,6 @@
 	}
 }
 
-// subtract takes a part out.
 func (l *Load) subtract(part Load) {
 	l.Running -= part.Running
 	l.PrefillMillis -= part.PrefillMillis
@@ -57,7 +56,7 @@
 	}
 }
 
-// load is what is under way at the target as far as is known.
+// load is the known work in flight at the target, of this instance and others.
 func (t *target) load() Load {
 	sum := t.own
 	sum.add(t.others)
--- a/route/pick/tenure_test.go
+++ b/route/pick/ownership_test.go
@@ -10,22 +10,22 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// Guards against instances that start together, each of which takes itself for the one that
-// decides for a cold target until it has heard of the others.
-func TestColdTargetWhileInstancesHearOfEachOther(t *testing.T) {
+// Guards against instances that start together, each of which takes itself for the group owner of a
+// cold target until it learns of the others.
+func TestColdTargetWhileInstancesLearnOfEachOther(t *testing.T) {
 	const (
 		perSecond, slack = 2.2 * 1.5, 3
 		step             = 20 * time.Millisecond
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 25).Draw(t, "instances")
-		settle := rapid.SampledFrom([]time.Duration{0, 1200 * time.Millisecond, 2 * time.Second}).Draw(t, "settle")
-		mostNews := max(680, int(settle.Milliseconds())-20)
+		delay := rapid.SampledFrom([]time.Duration{0, 1200 * time.Millisecond, 2 * time.Second}).Draw(t, "delay")
+		maxUpdate := max(680, int(delay.Milliseconds())-20)
 		list := targets(1)
 		list[0].ColdUntil = t0.Add(time.Hour)
 		var pools []*pick.Pool
 		var ids []string
-		// startAt is when each begins to serve, joinedAt when a core instance has heard of it.
+		// startAt is when each begins to serve, joinedAt when a core instance knows of it.
 		var startAt, joinedAt []time.Time
 		ms := func(least, most int, label string) time.Duration {
 			return time.Duration(rapid.IntRange(least, most).Draw(t, label)) * time.Millisecond
@@ -36,15 +36,15 @@
 			startAt = append(startAt, t0.Add(ms(0, 1500, "start")))
 			joinedAt = append(joinedAt, startAt[k].Add(ms(20, 1500, "joins")))
 		}
-		// hearsAt is when each hears of each other one.
-		hearsAt := make([][]time.Time, n)
+		// learnsAt is when each learns of each other one.
+		learnsAt := make([][]time.Time, n)
 		for k := range n {
 			for other := range n {
-				at := joinedAt[other].Add(ms(20, mostNews, "news"))
+				at := joinedAt[other].Add(ms(20, maxUpdate, "update"))
 				if at.Before(joinedAt[k]) {
 					at = joinedAt[k]
 				}
-				hearsAt[k] = append(hearsAt[k], at)
+				learnsAt[k] = append(learnsAt[k], at)
 			}
 		}
 		var sent []time.Time
@@ -55,11 +55,11 @@
 				}
 				known := []string{ids[k]}
 				for other := range n {
-					if other != k && !now.Before(hearsAt[k][other]) {
+					if other != k && !now.Before(learnsAt[k][other]) {
 						known = append(known, ids[other])
 					}
 				}
-				p.Update(now, pick.Snapshot{Targets: list, Entries: known, Joining: now.Before(joinedAt[k]), PropagationDelay: settle, Rules: engines()})
+				p.Update(now, pick.Snapshot{Targets: list, Entries: known, Joining: now.Before(joinedAt[k]), PropagationDelay: delay, Rules: engines()})
 				if c, _ := p.Pick(now, call(5)); c != nil {
 					sent = append(sent, now)
 					c.Done(now, pick.Good)
@@ -75,29 +75,29 @@
 	})
 }
 
-// Guards against an instance that has just started, on a processor that is short, and decides by
-// a view that is seconds old.
-func TestColdTargetOfAnInstanceThatHearsNothing(t *testing.T) {
+// Guards against an instance that has just started, is short of CPU, and gives requests to a cold
+// target by a view that is seconds old.
+func TestColdTargetOfInstanceWithoutUpdates(t *testing.T) {
 	list := targets(1)
 	list[0].ColdUntil = t0.Add(time.Hour)
 	s := pick.Snapshot{Targets: list, Entries: []string{"e"}, Rules: engines()}
-	gives := func(p *pick.Pool, now time.Time) bool {
+	sends := func(p *pick.Pool, now time.Time) bool {
 		c, _ := p.Pick(now, call(5))
 		return c != nil
 	}
 	young := pick.New("e")
 	young.Update(t0, s)
-	if gives(young, t0.Add(2*time.Second)) {
-		t.Error("one that has heard nothing for two seconds after its start gives")
+	if sends(young, t0.Add(2*time.Second)) {
+		t.Error("an instance without updates for two seconds after its start sends requests")
 	}
 	young.UpdateLoads(t0.Add(2*time.Second), nil)
-	if !gives(young, t0.Add(2100*time.Millisecond)) {
-		t.Error("one that hears does not give")
+	if !sends(young, t0.Add(2100*time.Millisecond)) {
+		t.Error("an instance with updates does not send requests")
 	}
 	old := pick.New("e")
 	old.Update(t0, s)
 	old.UpdateLoads(t0.Add(time.Minute), nil)
-	if !gives(old, t0.Add(2*time.Minute)) {
-		t.Error("one that is cut off for a minute does not give")
+	if !sends(old, t0.Add(2*time.Minute)) {
+		t.Error("an instance that is cut off for a minute does not send requests")
 	}
 }
--- a/route/pick/pool.go
+++ b/route/pick/pool.go
@@ -9,117 +9,118 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Pool holds the targets of the own region.
+// Pool holds the targets of the own region. It is safe for concurrent use.
 type Pool struct {
 	self string
 
 	mu      sync.Mutex
 	targets map[string]*target
-	// byService is in the order of the division, and groups are its parts.
+	// byService is sorted as in splitIntoGroups; groups holds its groups.
 	byService map[string][]*target
 	groups    map[string][][]*target
-	// holders are the targets that a prompt part was sent to; some may be gone, or have
-	// forgotten it.
+	// holders are the targets that a prompt prefix was sent to; some may be gone or have dropped
+	// it.
 	holders  map[uint64][]*target
 	snapshot Snapshot
-	// duties are those of the snapshot; nil until they are asked for.
-	duties []Group
-	// past are the entry instances known before those of the snapshot, for as long as settle
-	// says. begunAt is when this instance was first told who is there, heardAt when last.
-	past             []pastEntries
-	begunAt, heardAt time.Time
+	// watched are the groups of WatchedGroups for the snapshot; nil until computed.
+	watched []Group
+	// past are the entry instances known before those of the snapshot, kept for the propagation
+	// delay. firstUpdateAt is when this instance first received an update, lastUpdateAt when it
+	// last did.
+	past                        []pastEntries
+	firstUpdateAt, lastUpdateAt time.Time
 	// evacuatedAt is when each zone was last seen evacuated.
 	evacuatedAt map[string]time.Time
-	// paces are those of the engines by service.
-	paces map[string]*pace
+	// prefillTimes are the prefill times of the engines, by service.
+	prefillTimes map[string]*prefillTime
 }
 
-// target is what this instance knows of one.
+// target is what this instance knows of a target.
 type target struct {
 	Target
-	// own counts what this instance has under way there, or has decided for others;
-	// advised is the part of it that others have decided.
-	own, advised Load
+	// own counts this instance's requests in flight there, and those that it chose for others as
+	// group owner. byOwner is the part of it that other group owners chose. others is what other
+	// instances report.
+	own, byOwner Load
 	others       Load
-	// failures in a row that took it out, until downUntil; probing says that one
-	// request is on its way to see whether it is back.
-	failures  int
-	downUntil time.Time
-	probing   bool
-	// failShare is the share of failed answers, newer ones weighing more.
+	// failures counts consecutive failures; the target is left out until backoffUntil. probing says
+	// that one request is in flight to test whether it is back.
+	failures     int
+	backoffUntil time.Time
+	probing      bool
+	// failShare is the decayed share of failed answers.
 	failShare float64
-	// read is the time that reading prompts takes there, in milliseconds, as it was given
-	// out lately: it fades over readingSpan, as of readAt.
-	read   float64
-	readAt time.Time
-	// slowness is how many times longer first events took than at the service's engines as
-	// a rule.
+	// prefillMillis is the recent prefill time that this instance has assigned; it decays over
+	// prefillSpan, as of prefillAt.
+	prefillMillis float64
+	prefillAt     time.Time
+	// slowness is how many times longer first events took than estimated for the service's engines.
 	slowness float64
-	// next is when it may be given the next request while it bears only a few. coldBy is when
-	// it ends to count as cold after a zone's return from evacuation, or after it was out of
-	// reach.
-	next   time.Time
-	coldBy time.Time
-	// named is the limit that it has named last.
-	named heard
-	// unreached says that no connection to it could be made since its last answer.
+	// nextAllowed is when it may get the next request while its rate is limited. inferredColdUntil
+	// is the end of a cold period inferred from the end of a zone's evacuation or from the target
+	// having been unreachable.
+	nextAllowed       time.Time
+	inferredColdUntil time.Time
+	// limit is the last limit known.
+	limit limitAt
+	// unreached says that no connection could be established since its last answer.
 	unreached bool
-	// order is its place among the targets of the service, alike at all instances.
+	// order is its sort key among the targets of the service, the same at all instances.
 	order uint64
-	// group is the part of the service's targets that it belongs to.
+	// group is the number of its group.
 	group int
-	// watches are called when the target turns out to be out of reach.
+	// watches are called when the target is found unreachable.
 	watches map[*Choice]func()
-	// kept holds the prompt parts sent there.
-	kept map[uint64]use
+	// prefixes are the prompt prefixes sent there.
+	prefixes map[uint64]prefixUse
 }
 
-// New makes an empty pool. self is the id of this instance among the entries.
+// New returns an empty pool. self is the ID of this instance in Snapshot.Entries.
 func New(self string) *Pool {
 	return &Pool{
 		self: self, targets: map[string]*target{}, byService: map[string][]*target{}, evacuatedAt: map[string]time.Time{},
-		paces: map[string]*pace{}, holders: map[uint64][]*target{},
+		prefillTimes: map[string]*prefillTime{}, holders: map[uint64][]*target{},
 	}
 }
 
-// Update takes in a new view. A target that was draining stays so until it starts again:
-// an older list, read elsewhere, must not bring it back.
+// Update replaces the snapshot. A draining target stays draining until it restarts: an older list
+// from another core instance must not bring it back. The caller must not modify s afterwards.
 func (p *Pool) Update(now time.Time, s Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.targets
 	p.targets = make(map[string]*target, len(s.Targets))
 	p.byService = map[string][]*target{}
-	p.noteEvacuations(now, s)
-	p.noteEntries(now, &s)
+	p.recordEvacuations(now, s)
+	p.recordEntries(now, &s)
 	for _, listed := range s.Targets {
 		t := old[listed.ID]
 		if t == nil || t.startedAgain(listed) {
-			t = &target{kept: map[uint64]use{}, watches: map[*Choice]func(){}, slowness: 1, order: orderOf(listed.ID)}
+			t = &target{prefixes: map[uint64]prefixUse{}, watches: map[*Choice]func(){}, slowness: 1, order: orderOf(listed.ID)}
 		}
 		listed.Draining = listed.Draining || t.Draining
 		t.Target, t.others = listed, s.Loads[listed.ID]
 		if at, ok := p.evacuatedAt[listed.Zone]; ok && !s.Evacuated[listed.Zone] {
-			t.coldUntil(at.Add(s.Rules[listed.Service].ColdFor + coldMargin))
+			t.extendCold(at.Add(s.Rules[listed.Service].ColdFor + coldMargin))
 		}
 		p.targets[listed.ID] = t
 		p.byService[listed.Service] = append(p.byService[listed.Service], t)
 	}
 	p.groups = map[string][][]*target{}
 	for service, list := range p.byService {
-		p.groups[service] = divide(list)
+		p.groups[service] = splitIntoGroups(list)
 	}
-	p.snapshot, p.duties = s, nil
-	p.forgetPaces()
+	p.snapshot, p.watched = s, nil
+	p.dropUnusedPrefillTimes()
 }
 
-// UpdateLoads takes in new loads of the others where nothing else has changed. It costs by
-// the number of loads, not of targets.
+// UpdateLoads replaces the loads of the other instances when nothing else has changed. Its cost
+// grows with the number of loads, not of targets. The caller must not modify loads afterwards.
 func (p *Pool) UpdateLoads(now time.Time, loads map[string]Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noteEvacuations(now, p.snapshot)
-	p.noteEntries(now, &p.snapshot)
+	p.recordEvacuations(now, p.snapshot)
+	p.recordEntries(now, &p.snapshot)
 	for id := range p.snapshot.Loads {
 		if t := p.targets[id]; t != nil {
 			t.others = Load{}
@@ -133,16 +134,16 @@
 	p.snapshot.Loads = loads
 }
 
-// forgetPaces drops those of services that the configuration no longer names.
-func (p *Pool) forgetPaces() {
-	for service := range p.paces {
+// dropUnusedPrefillTimes removes those of services that the configuration no longer names.
+func (p *Pool) dropUnusedPrefillTimes() {
+	for service := range p.prefillTimes {
 		if _, ok := p.snapshot.Rules[service]; !ok {
-			delete(p.paces, service)
+			delete(p.prefillTimes, service)
 		}
 	}
 }
 
-func (p *Pool) noteEvacuations(now time.Time, s Snapshot) {
+func (p *Pool) recordEvacuations(now time.Time, s Snapshot) {
 	for zone, on := range s.Evacuated {
 		if on {
 			p.evacuatedAt[zone] = now
@@ -150,17 +151,17 @@
 	}
 }
 
-// Why a choice was not made.
+// Reasons why no target was chosen.
 const (
-	// ReasonNone: the service has no target in the region.
+	// ReasonNoTarget: the service has no target in the region.
 	ReasonNoTarget = "no_target"
-	// ReasonLeft: all targets are draining, evacuated, out of reach, or cold or in need and not
-	// due yet.
+	// ReasonNoneAvailable: all targets are draining, evacuated, in backoff, already tried, or
+	// rate-limited and not due yet.
 	ReasonNoneAvailable = "none_available"
 )
 
-// Pick chooses a target and counts the request in. Without a choice the reason says
-// why.
+// Pick chooses a target and counts the request in its load. If none can be chosen it returns nil
+// and the reason.
 func (p *Pool) Pick(now time.Time, c Call) (*Choice, string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,127 +169,127 @@
 	if len(list) == 0 {
 		return nil, ReasonNoTarget
 	}
-	w := p.weigh(now, c)
-	group := p.group(c.Service, w.chain, c.SpreadKey)
-	w.home = p.home(group, w.chain)
+	w := p.newScorer(now, c)
+	group := p.groupTargets(c.Service, w.chain, c.SpreadKey)
+	w.preferred = p.preferredTarget(group, w.chain)
 	best, e := p.best(group, w)
-	if best == nil || e.hurry(best) > leaveGroup {
-		best, e = p.best(p.inTurn(list, c.SpreadKey), w)
+	if best == nil || e.callCost(best) > leaveGroupMillis {
+		best, e = p.best(p.rotated(list, c.SpreadKey), w)
 	}
 	if best == nil {
 		return nil, ReasonNoneAvailable
 	}
-	ch := p.take(w, best, &e)
-	best.readMore(now, w.pace.until(float64(ch.counted.PendingPrefill.Ahead(c.Rank))))
+	ch := p.reserve(w, best, &e)
+	best.recordPrefill(now, w.prefillTime.firstEventMillis(float64(ch.counted.PendingPrefill.Ahead(c.Rank))))
 	return ch, ""
 }
 
-// inTurn lists the targets from any one on where the loads of most are not known here: those
-// all look idle, and the first of them would be chosen by all.
-func (p *Pool) inTurn(list []*target, lot uint64) []*target {
+// rotated returns the targets starting at one given by spreadKey if the loads of most are unknown
+// here: those all look idle, and all instances would choose the first of them.
+func (p *Pool) rotated(list []*target, spreadKey uint64) []*target {
 	if !p.snapshot.PartialLoads {
 		return list
 	}
-	at := int(lot % uint64(len(list)))
+	at := int(spreadKey % uint64(len(list)))
 	return slices.Concat(list[at:], list[:at])
 }
 
-// best is the eligible target of the least cost, with what the call meets there.
-func (p *Pool) best(list []*target, w *weighing) (best *target, meets estimate) {
+// best returns the eligible target of the lowest cost, with its estimate; nil if none is eligible.
+func (p *Pool) best(list []*target, w *scorer) (best *target, estimated estimate) {
 	least := math.Inf(1)
 	for _, t := range list {
 		if !p.eligible(w.now, t, w.call) {
 			continue
 		}
-		e := w.at(t)
+		e := w.estimateAt(t)
 		if x := e.cost(t); x < least {
-			best, meets, least = t, e, x
+			best, estimated, least = t, e, x
 		}
 	}
-	return best, meets
+	return best, estimated
 }
 
-// take counts the request in.
-func (p *Pool) take(w *weighing, t *target, e *estimate) *Choice {
-	ch := &Choice{ID: t.ID, Address: t.Address, Cost: e.cost(t), Limit: t.named.TargetLimit, pool: p, t: t, at: w.now, chain: w.chain}
+// reserve counts the request in the target's load.
+func (p *Pool) reserve(w *scorer, t *target, e *estimate) *Choice {
+	ch := &Choice{ID: t.ID, Address: t.Address, Cost: e.cost(t), Limit: t.limit.TargetLimit, pool: p, t: t, at: w.now, chain: w.chain}
 	if t.failures > 0 {
 		t.probing, ch.probe = true, true
 	}
 	ch.Cold, ch.Entries = p.cold(w.now, t), len(p.snapshot.Entries)
-	if perSecond := p.perSecond(w.now, t); perSecond > 0 {
-		t.next = w.now.Add(time.Duration(float64(time.Second) / perSecond))
+	if perSecond := p.allowedPerSecond(w.now, t); perSecond > 0 {
+		t.nextAllowed = w.now.Add(time.Duration(float64(time.Second) / perSecond))
 	}
 	ch.Wait, ch.Tokens = e.wait, e.tokens
 	if w.rules.Engine {
-		ch.QueueWait = max(0, e.wait-t.slowness*w.pace.until(float64(e.unread)))
+		ch.QueueWait = max(0, e.wait-t.slowness*w.prefillTime.firstEventMillis(float64(e.prefillTokens)))
 	}
 	ch.Source = w.source(t)
-	ch.counted = Load{Running: 1, PendingPrefill: QueueOf(w.call.Rank, e.unread)}
+	ch.counted = Load{Running: 1, PendingPrefill: QueueOf(w.call.Rank, e.prefillTokens)}
 	t.own.add(ch.counted)
-	p.keep(w.now, t, w.chain)
+	p.recordPrefixes(w.now, t, w.chain)
 	return ch
 }
 
-// PickAt counts in a request for which another instance has decided; nil if the target
-// may not get it as far as is known here.
+// PickAt counts a request at the target that another instance, the group owner, chose. It returns
+// nil if this instance knows that the target must not get it.
 func (p *Pool) PickAt(now time.Time, c Call, id string) *Choice {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.targets[id]
-	if t == nil || !p.open(now, t, c) {
+	if t == nil || !p.available(now, t, c) {
 		return nil
 	}
-	w := p.weigh(now, c)
-	e := w.at(t)
-	ch := p.take(w, t, &e)
-	ch.advised = true
-	t.advised.add(ch.counted)
+	w := p.newScorer(now, c)
+	e := w.estimateAt(t)
+	ch := p.reserve(w, t, &e)
+	ch.byOwner = true
+	t.byOwner.add(ch.counted)
 	return ch
 }
 
-// lost leaves the target out for a while. Requests that fail together count once.
-func (t *target) lost(now time.Time) {
-	if now.Before(t.downUntil) {
+// backOff leaves the target out for a while. Requests that fail together count once.
+func (t *target) backOff(now time.Time) {
+	if now.Before(t.backoffUntil) {
 		return
 	}
-	t.downUntil = now.Add(min(downMost, downFirst<<min(t.failures, 8)))
+	t.backoffUntil = now.Add(min(maxBackoff, minBackoff<<min(t.failures, 8)))
 	t.failures++
-	clear(t.kept)
+	clear(t.prefixes)
 }
 
-// Loads lists what this instance has under way or has decided for others; what others
-// have decided they list.
+// Loads returns the loads to report, by target ID: this instance's requests and those that it chose
+// for others as group owner. Requests chosen by other group owners are reported by those.
 func (p *Pool) Loads(now time.Time) map[string]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]Load{}
 	for id, t := range p.targets {
-		told := t.own
-		told.subtract(t.advised)
-		if told.Running > 0 {
-			told.PrefillMillis = int(t.ownReading(now))
-			out[id] = told
+		reported := t.own
+		reported.subtract(t.byOwner)
+		if reported.Running > 0 {
+			reported.PrefillMillis = int(t.ownPrefillMillis(now))
+			out[id] = reported
 		}
 	}
 	return out
 }
 
-// Counts of targets by what they may get. A limited one may be any of the others, too.
+// Counts are numbers of targets by state. A limited target may be in any other state too.
 type Counts struct{ Targets, BackingOff, Cold, Limited, Draining int }
 
-// Count counts the targets of the region.
+// Count returns the numbers of targets in the region by state.
 func (p *Pool) Count(now time.Time) Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := Counts{Targets: len(p.targets)}
 	for _, t := range p.targets {
-		if t.named.Limited {
+		if t.limit.Limited {
 			c.Limited++
 		}
 		switch {
-		case p.leaving(t):
+		case p.draining(t):
 			c.Draining++
-		case now.Before(t.downUntil):
+		case now.Before(t.backoffUntil):
 			c.BackingOff++
 		case p.cold(now, t):
 			c.Cold++
@@ -297,14 +298,14 @@
 	return c
 }
 
-// Targets is the number of targets.
+// Targets returns the number of targets.
 func (p *Pool) Targets() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.targets)
 }
 
-// Addresses of the targets now.
+// Addresses returns the set of the targets' addresses.
 func (p *Pool) Addresses() map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -315,22 +316,22 @@
 	return out
 }
 
-// link is one part of a prompt with all before it.
-type link struct {
+// prefix is a beginning of a prompt that ends with one of its parts.
+type prefix struct {
 	key uint64
-	// tokens of the prompt up to the end of the part.
+	// tokens is the length of the prompt up to the end of the part.
 	tokens int
 }
 
-// chain names each beginning of the prompt: a part is kept for a request only if all
-// before it are the same.
-func (c *Call) chain() []link {
-	out := make([]link, 0, len(c.Parts))
+// chain returns the prefixes of the prompt from short to long. A part is cached for a request only
+// if all parts before it are the same.
+func (c *Call) chain() []prefix {
+	out := make([]prefix, 0, len(c.Parts))
 	key, tokens := xxhash.Sum64String(c.Model), 0
 	for _, part := range c.Parts {
 		key = mix(key, part.ID)
 		tokens += part.Tokens
-		out = append(out, link{key, tokens})
+		out = append(out, prefix{key, tokens})
 	}
 	return out
 }
--- a/route/pick/pool_test.go
+++ b/route/pick/pool_test.go
@@ -44,10 +44,8 @@
 	return n
 }
 
-// Symptom: a target that has just come back crashes again and again.
-// Events: any number of instances send it requests as they come, each within the rate
-// that the target bears.
-// Cause: the instances' rates add up.
+// Guards against a returning target that crashes again and again because the rates of several
+// instances, each within the limit, add up.
 func TestColdTargetGetsItsRateFromAllInstancesTogether(t *testing.T) {
 	const perSecond, slack = 2.2 * 1.5, 3
 	rapid.Check(t, func(t *rapid.T) {
@@ -78,11 +76,8 @@
 	})
 }
 
-// Symptom: a target of a zone that was evacuated gets its full share at once when the
-// evacuation ends, and crashes.
-// Events: the evacuation is taken back; the list does not show yet that the targets
-// became cold meanwhile.
-// Cause: only the list was asked for cold targets.
+// Guards against a target that gets its full share and crashes when its zone's evacuation ends: it
+// became cold meanwhile, but the list does not show it yet.
 func TestZoneIsColdAfterItsEvacuation(t *testing.T) {
 	p := pick.New("e")
 	s := pick.Snapshot{Targets: targets(1), Entries: []string{"e"}, Rules: engines(), Evacuated: map[string]bool{"z": true}}
@@ -107,12 +102,10 @@
 	}
 }
 
-// Symptom: a target that has just started again gets many times what it bears, and crashes
-// once more.
-// Events: a target crashes and is back after two seconds. The list does not tell for another
-// second that it is cold; the first request to it is answered at once.
-// Cause: it was taken for well as soon as it had answered, and it looked idle.
-func TestTargetThatWasOutOfReachIsColdAtFirst(t *testing.T) {
+// Guards against a restarted target that gets many times what it can take and crashes again. It is
+// back after two seconds, the list shows it as cold another second later, and its first request
+// succeeds at once, so it looks idle and healthy.
+func TestUnreachableTargetIsColdAfterReturn(t *testing.T) {
 	p := pick.New("e")
 	rules := map[string]pick.ServiceRules{"s": {Engine: true, ColdFor: 3 * time.Second, ColdPerSecond: 3}}
 	p.Update(t0, pick.Snapshot{Targets: targets(1), Entries: []string{"e"}, Rules: rules})
@@ -126,7 +119,7 @@
 		got := 0
 		for k := range 100 {
 			at := from.Add(time.Duration(k) * 10 * time.Millisecond)
-			// It is told that nothing has changed.
+			// An update without changes.
 			p.UpdateLoads(at, nil)
 			if c, _ := p.Pick(at, call(1)); c != nil {
 				c.Done(at, pick.Good)
@@ -138,7 +131,7 @@
 	if n := sent(back); n == 0 || n > 4 {
 		t.Errorf("%d requests in the first second", n)
 	}
-	// An evacuation that ended long ago does not make it warm.
+	// A full update does not make it warm.
 	p.Update(back.Add(time.Second), pick.Snapshot{Targets: targets(1), Entries: []string{"e"}, Rules: rules})
 	if n := sent(back.Add(time.Second)); n > 4 {
 		t.Errorf("%d requests in the second second", n)
@@ -146,7 +139,7 @@
 	if n := sent(back.Add(4 * time.Second)); n < 90 {
 		t.Errorf("%d requests in a second when it is warm", n)
 	}
-	// One that breaks off an answer was there.
+	// A target that breaks off an answer was reachable.
 	lost, _ := p.Pick(back.Add(6*time.Second), call(1))
 	lost.Done(back.Add(6*time.Second), pick.Lost)
 	again, _ := p.Pick(back.Add(7*time.Second), call(1))
@@ -156,24 +149,22 @@
 	}
 }
 
-// Symptom: a target crashes at the full rate a moment after the list calls it warm.
-// Events: the list says that it is cold for 100 ms more; a request comes 150 ms later.
-// Cause: the list's cold time was taken to the millisecond.
+// Guards against a target that crashes at the full rate just after its listed cold period: a
+// request came 50 ms after its end.
 func TestColdTimeHasAMargin(t *testing.T) {
 	p := pick.New("e")
 	list := targets(1)
 	list[0].ColdUntil = t0.Add(100 * time.Millisecond)
 	p.Update(t0, pick.Snapshot{Targets: list, Entries: []string{"e"}, Rules: engines()})
 	if c, _ := p.Pick(t0.Add(150*time.Millisecond), call(1)); c == nil || !c.Cold {
-		t.Fatal("taken for warm")
+		t.Fatal("counts as warm")
 	}
 }
 
-// Symptom: requests reach a target long after the list showed that it drains.
-// Events: one core instance shows it draining; an older list of another one comes.
-// Cause: the newest message was taken for the newest news.
-func TestDrainingTargetStaysSo(t *testing.T) {
-	Convey("a target drains and then an older list arrives", t, func() {
+// Guards against requests to a draining target after an older list, from another core instance,
+// arrives later than the newer one.
+func TestDrainingTargetStaysDraining(t *testing.T) {
+	Convey("an older list arrives after a target began to drain", t, func() {
 		p := pick.New("e")
 		list := targets(2)
 		s := pick.Snapshot{Targets: list, Entries: []string{"e"}, Rules: engines()}
@@ -191,10 +182,9 @@
 	})
 }
 
-// Symptom: most requests fail for seconds after a target has crashed.
-// Events: a target cannot be reached; requests go on coming.
-// Cause: it looks idle, as all that it gets ends at once.
-func TestLostTargetIsLeftOutAndProbedByOne(t *testing.T) {
+// Guards against most requests failing for seconds after a target crashed: it looks idle, as
+// everything sent to it ends at once.
+func TestLostTargetIsProbedByOneRequest(t *testing.T) {
 	Convey("a target is lost", t, func() {
 		p := pick.New("e")
 		p.Update(t0, pick.Snapshot{Targets: targets(1), Entries: []string{"e"}, Rules: engines()})
@@ -210,7 +200,7 @@
 		second, _ := p.Pick(later, call(1))
 		So(second, ShouldBeNil)
 
-		Convey("and gets all again when the probe succeeds", func() {
+		Convey("and gets all requests again when the probe succeeds", func() {
 			probe.Done(later, pick.Good)
 			for range 3 {
 				c, _ := p.Pick(later, call(1))
@@ -227,29 +217,28 @@
 	})
 }
 
-// Symptom: engines read the same long prompt parts again and again.
-// Events: requests of many subjects come at several instances; the load is light.
-// Cause: each instance sends a subject elsewhere.
+// Guards against engines that prefill the same long prompt parts again and again under light load
+// because each instance sends a subject to another target.
 func TestSubjectsStayAtOneTargetAtAllInstances(t *testing.T) {
 	list, entries := targets(5), []string{"a", "b", "c"}
-	home := map[uint64]string{}
+	targetOf := map[uint64]string{}
 	for _, id := range entries {
 		p := pick.New(id)
 		p.Update(t0, pick.Snapshot{Targets: list, Entries: entries, Rules: engines()})
 		for subject := range uint64(50) {
 			c, _ := p.Pick(t0, call(subject))
-			if home[subject] == "" {
-				home[subject] = c.ID
+			if targetOf[subject] == "" {
+				targetOf[subject] = c.ID
 			}
-			if c.ID != home[subject] {
-				t.Fatalf("subject %d goes to %s and to %s", subject, home[subject], c.ID)
+			if c.ID != targetOf[subject] {
+				t.Fatalf("subject %d goes to %s and to %s", subject, targetOf[subject], c.ID)
 			}
 			c.FirstEvent(t0)
 			c.Done(t0, pick.Good)
 		}
 	}
 	used := map[string]bool{}
-	for _, id := range home {
+	for _, id := range targetOf {
 		used[id] = true
 	}
 	if len(used) < 4 {
@@ -257,9 +246,8 @@
 	}
 }
 
-// Symptom: a hot subject waits at one engine while others are idle.
-// Events: many requests of one subject come at once.
-// Cause: the kept parts weigh more than any queue.
+// Guards against a hot subject that waits at one engine while others are idle because cached parts
+// weigh more than any queue.
 func TestHotSubjectSpreads(t *testing.T) {
 	p := pick.New("e")
 	p.Update(t0, pick.Snapshot{Targets: targets(5), Entries: []string{"e"}, Rules: engines()})
@@ -273,9 +261,7 @@
 	}
 }
 
-// Symptom: all instances send to the same target, whose queue only the others know.
-// Events: the others tell of a long queue at one target.
-// Cause: the load of others was not counted.
+// Guards against sending to a target with a long queue that only the other instances know.
 func TestLoadsOfOthersCount(t *testing.T) {
 	p := pick.New("e")
 	s := pick.Snapshot{Targets: targets(2), Entries: []string{"e"}, Rules: engines()}
@@ -290,7 +276,7 @@
 	}
 }
 
-func TestCountsReturnToNothing(t *testing.T) {
+func TestCountsReturnToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := pick.New("e")
 		s := pick.Snapshot{Targets: targets(3), Entries: []string{"e"}, Rules: engines()}
@@ -319,7 +305,7 @@
 			c.Done(now, pick.Neutral)
 		}
 		if loads := p.Loads(now); len(loads) > 0 {
-			t.Fatalf("left: %v", loads)
+			t.Fatalf("load left: %v", loads)
 		}
 	})
 }
@@ -342,11 +328,9 @@
 	}
 }
 
-// Symptom: half of the bookings are sent to another region, 160 ms away, while the own
-// target is idle.
-// Events: some requests fail at each target that runs them; the others succeed.
-// Cause: the failures count in the comparison with other regions, whose failures are
-// not known.
+// Guards against half of all bookings being forwarded to a region 160 ms away while the own target
+// is idle: some requests fail at every target, and the failures of other regions are unknown, so
+// own failures must not count in the comparison.
 func TestFailuresDoNotRaiseTheEstimate(t *testing.T) {
 	p := pick.New("e")
 	p.Update(t0, pick.Snapshot{Targets: targets(1), Entries: []string{"e"}})
@@ -361,43 +345,41 @@
 		c.Done(t0, pick.Failed)
 	}
 	if after := estimate(); after != before {
-		t.Fatalf("estimate of %v ms, before the failures %v ms", after, before)
+		t.Fatalf("estimate of %v ms, %v ms before the failures", after, before)
 	}
 }
 
-// Symptom: engines read prompt parts that another engine of the region keeps.
-// Events: the load takes requests of a subject from the target that keeps its parts to
-// others.
-// Cause: nobody told the other target where to fetch them.
-func TestOverflowFetchesFromWhereThePartsAreKept(t *testing.T) {
+// Guards against engines that prefill parts cached at another engine of the region: when load moves
+// a subject's requests to other targets, those must be told where to fetch the parts.
+func TestOverflowFetchesFromWherePartsAreCached(t *testing.T) {
 	Convey("thirty requests of one subject at once", t, func() {
 		p := pick.New("e")
 		p.Update(t0, pick.Snapshot{Targets: targets(5), Entries: []string{"e"}, Rules: engines()})
 		first, _ := p.Pick(t0, call(1))
 		So(first.Source, ShouldEqual, "")
-		keeps := map[string]bool{first.Address: true}
+		caches := map[string]bool{first.Address: true}
 		for range 30 {
 			c, _ := p.Pick(t0, call(1))
-			// A target that was sent the subject keeps it; each other one fetches it from
-			// one that does.
-			So(c.Source != "", ShouldEqual, !keeps[c.Address])
-			So(c.Source == "" || keeps[c.Source], ShouldBeTrue)
-			keeps[c.Address] = true
+			// A target that was sent the subject has it cached; each other one fetches it from one
+			// of these.
+			So(c.Source != "", ShouldEqual, !caches[c.Address])
+			So(c.Source == "" || caches[c.Source], ShouldBeTrue)
+			caches[c.Address] = true
 		}
-		So(len(keeps), ShouldBeGreaterThan, 3)
+		So(len(caches), ShouldBeGreaterThan, 3)
 	})
 	Convey("another instance fetches from the target that all prefer", t, func() {
 		one, other := pick.New("e1"), pick.New("e2")
 		s := pick.Snapshot{Targets: targets(5), Entries: []string{"e1", "e2"}, Rules: engines()}
 		one.Update(t0, s)
-		home, _ := one.Pick(t0, call(1))
-		s.Loads = map[string]pick.Load{home.ID: {PendingPrefill: pick.QueueOf(0, 90000)}}
+		preferred, _ := one.Pick(t0, call(1))
+		s.Loads = map[string]pick.Load{preferred.ID: {PendingPrefill: pick.QueueOf(0, 90000)}}
 		other.Update(t0, s)
 		c, _ := other.Pick(t0, call(1))
-		So(c.ID, ShouldNotEqual, home.ID)
-		So(c.Source, ShouldEqual, home.Address)
+		So(c.ID, ShouldNotEqual, preferred.ID)
+		So(c.Source, ShouldEqual, preferred.Address)
 	})
-	Convey("short prompts are read", t, func() {
+	Convey("short prompts are prefilled", t, func() {
 		p := pick.New("e")
 		p.Update(t0, pick.Snapshot{Targets: targets(5), Entries: []string{"e"}, Rules: engines()})
 		short := pick.Call{Service: "s", PromptTokens: 300, Parts: []pick.Part{{ID: 1, Tokens: 200}, {ID: 2, Tokens: 100}}}
@@ -408,11 +390,9 @@
 	})
 }
 
-// Symptom: long answers miss their deadline at engines that read long prompts all the
-// time, while others read none.
-// Events: long prompts and long answers come mixed.
-// Cause: only the time to the first event was estimated.
-func TestLongPromptsAndLongAnswersPart(t *testing.T) {
+// Guards against long answers that miss their deadline at engines busy with prefill while others
+// have none, because only the time until the first event is estimated.
+func TestLongPromptsAndLongAnswersAreSeparated(t *testing.T) {
 	p := pick.New("e")
 	p.Update(t0, pick.Snapshot{Targets: targets(4), Entries: []string{"e"}, Rules: engines()})
 	prompts, answers := map[string]int{}, map[string]int{}
@@ -432,7 +412,7 @@
 			answers[c.ID]++
 		}
 	}
-	// The target that reads most gets less than its share of the answers.
+	// The target with the most prefill gets less than its share of the answers.
 	busiest := ""
 	for id, n := range prompts {
 		if busiest == "" || n > prompts[busiest] {
@@ -444,10 +424,8 @@
 	}
 }
 
-// Symptom: the memory of an instance grows with each request.
-// Events: prompts of ever new parts are sent; none comes again.
-// Cause: what was sent where is never forgotten.
-func TestKeptPartsAreForgotten(t *testing.T) {
+// Guards against memory that grows with each request with new prompt parts.
+func TestUnusedPrefixesExpire(t *testing.T) {
 	p := pick.New("e")
 	p.Update(t0, pick.Snapshot{Targets: targets(1), Entries: []string{"e"}, Rules: engines()})
 	for n := range uint64(100) {
@@ -455,10 +433,10 @@
 		c.Done(t0, pick.Good)
 	}
 	if n := p.PrefixCount(); n < 200 {
-		t.Fatalf("%d parts kept", n)
+		t.Fatalf("%d prefixes", n)
 	}
 	p.ExpirePrefixes(t0.Add(time.Minute))
 	if n := p.PrefixCount(); n != 0 {
-		t.Fatalf("%d parts kept after a minute", n)
+		t.Fatalf("%d prefixes after a minute", n)
 	}
 }
--- a/route/pick/region_test.go
+++ b/route/pick/region_test.go
@@ -9,11 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a region at its peak keeps its requests, which are late, while two others are
-// idle.
-// Events: first events at home take ten times as long as elsewhere, as engines are crowded.
-// Cause: other regions were judged by the pace that was learned at home.
-func TestOtherRegionsAreJudgedByTheirOwnPace(t *testing.T) {
+// Guards against a region that keeps late requests at its peak while two others are idle, because
+// their cost is computed with its own prefill time, which is ten times higher under load.
+func TestOtherRegionsAreCostedByTheirOwnPrefillTime(t *testing.T) {
 	p, now := New("i"), time.Unix(100, 0)
 	p.Update(now, Snapshot{
 		Targets: []Target{{ID: "x", Service: "s", Address: "x", Slots: 32}}, Entries: []string{"i"},
@@ -31,41 +29,39 @@
 	}
 	call.Parts = []Part{{ID: 1, Tokens: 6000}, {ID: 2, Tokens: 3000}}
 	if after := p.RegionCost("q", idle, call); after != before {
-		t.Errorf("%v ms elsewhere after a crowd at home, %v before", after, before)
+		t.Errorf("%v ms elsewhere after a peak in the own region, %v before", after, before)
 	}
-	// 9,000 tokens at 25 ms for 1,000 of them, and what is taken for the start.
+	// 9,000 tokens at 25 ms for 1,000 of them, and the weight of the initial estimate.
 	if before > 1.1*9*25 {
 		t.Errorf("%v ms at an idle region", before)
 	}
-	if told := p.PrefillSums(now)["s"]; told.perKilo() < 60 {
-		t.Errorf("others are told of %v ms for 1,000 tokens", told.perKilo())
+	if reported := p.PrefillSums(now)["s"]; reported.millisPerKilo() < 60 {
+		t.Errorf("others get a report of %v ms for 1,000 tokens", reported.millisPerKilo())
 	}
 }
 
-// Symptom: a region looks as fast, or as slow, as it was minutes ago.
-// Events: first events come, then none for some seconds.
-// Cause: what is told of the pace did not fade.
-func TestTheToldPaceFades(t *testing.T) {
+// Guards against a region that looks as fast or as slow as minutes ago because the reported sums do
+// not decay.
+func TestReportedPrefillSumsDecay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, now := newPace(), time.Unix(100, 0)
+		p, now := newPrefillTime(), time.Unix(100, 0)
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			p.tell(now, rapid.Float64Range(0, 2e4).Draw(t, "tokens"), rapid.Float64Range(0, 1e5).Draw(t, "millis"))
+			p.report(now, rapid.Float64Range(0, 2e4).Draw(t, "tokens"), rapid.Float64Range(0, 1e5).Draw(t, "millis"))
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
 		}
-		at, later := p.lately(now), p.lately(now.Add(10*readingSpan))
+		at, later := p.recentSums(now), p.recentSums(now.Add(10*prefillSpan))
 		if later.Tokens > at.Tokens/1e4 || later.Millis > at.Millis/1e4 {
-			t.Fatalf("%v is still %v", at, later)
+			t.Fatalf("%v has decayed to %v only", at, later)
 		}
-		if k := later.perKilo(); math.Abs(k-startPerKilo) > 1 {
+		if k := later.millisPerKilo(); math.Abs(k-initialMillisPerKilo) > 1 {
 			t.Fatalf("%v ms where nothing is known", k)
 		}
 	})
 }
 
-// Symptom: a region looks free, or out of use, for as long as one summary counts.
-// Events: an instance of another version tells sums that cannot be.
-// Cause: they were added up with the others.
-func TestSumsThatCannotBeAreLeftOut(t *testing.T) {
+// Guards against a region that looks idle or unusable for the lifetime of a summary because invalid
+// sums from an instance of another version were added.
+func TestInvalidSumsAreIgnored(t *testing.T) {
 	var s PrefillSums
 	s.Add(PrefillSums{Tokens: 1000, Millis: 30})
 	for _, odd := range []PrefillSums{{-1, 5}, {5, -1}, {math.NaN(), 1}, {1, math.Inf(1)}} {
@@ -76,25 +72,24 @@
 	}
 }
 
-// Symptom: all instances of a region pass on all they have on the same news, and the prompt
-// parts of each subject are read in every region.
-// Events: a peak grows.
-// Cause: nothing told which requests are to go first.
-func TestSubjectsArePassedOnInOneOrder(t *testing.T) {
+// Guards against all instances of a region forwarding everything on the same update, with each
+// subject's parts prefilled in every region, because nothing orders which requests go first at a
+// growing peak.
+func TestSubjectsSpillOverInOneOrder(t *testing.T) {
 	call := func(subject int) *Call {
 		return &Call{PromptTokens: 9000, Parts: []Part{{ID: uint64(subject), Tokens: 6000}, {ID: 7, Tokens: 3000}}}
 	}
 	firstElsewhere, sum := 0, 0.0
 	const subjects = 2000
 	for n := range subjects {
-		here, there := call(n).unreadIn("q"), call(n).unreadIn("p")
+		here, there := call(n).prefillTokensIn("q"), call(n).prefillTokensIn("p")
 		for _, unread := range []float64{here, there} {
 			if unread < 3000 || unread > 9000 {
 				t.Fatalf("subject %d: %v of 9000 tokens unread", n, unread)
 			}
 		}
-		if call(n).unreadIn("q") != here {
-			t.Fatal("one subject has two places")
+		if call(n).prefillTokensIn("q") != here {
+			t.Fatal("one subject has two positions")
 		}
 		sum += here
 		if there < here {
@@ -108,7 +103,7 @@
 		t.Errorf("%v of the subjects go to one of two regions first", share)
 	}
 	plain := &Call{PromptTokens: 300}
-	if got := fmt.Sprint(plain.unreadIn("q")); got != "300" {
+	if got := fmt.Sprint(plain.prefillTokensIn("q")); got != "300" {
 		t.Errorf("%s tokens of a prompt without shared parts", got)
 	}
 }
--- a/route/pick/score.go
+++ b/route/pick/score.go
@@ -5,127 +5,128 @@
 	"time"
 )
 
-// weighing is one call that a target is chosen for.
-type weighing struct {
+// scorer estimates the cost of one call at targets.
+type scorer struct {
 	now   time.Time
 	call  Call
-	chain []link
-	// home is the target that all instances prefer for the prompt; nil for none, or where
-	// another instance has decided.
-	home  *target
-	rules ServiceRules
-	pace  *pace
-	// sources are where the prompt's shared parts can be fetched from, and fetch is the
-	// part of the time of reading that this takes.
-	sources sources
-	fetch   float64
+	chain []prefix
+	// preferred is the target that all instances prefer for the prompt; nil for none, or where
+	// another instance, the group owner, chooses.
+	preferred   *target
+	rules       ServiceRules
+	prefillTime *prefillTime
+	// sources are where the prompt's shared parts can be fetched from, and fetchRatio is the ratio
+	// of fetch time to prefill time.
+	sources    sources
+	fetchRatio float64
 }
 
-func (p *Pool) weigh(now time.Time, c Call) *weighing {
-	w := &weighing{now: now, call: c, chain: c.chain(), rules: p.snapshot.Rules[c.Service], pace: p.pace(c.Service)}
-	w.sources = p.sourcesOf(now, c.Service, w.chain)
-	w.fetch = w.fetchShare()
+func (p *Pool) newScorer(now time.Time, c Call) *scorer {
+	w := &scorer{now: now, call: c, chain: c.chain(), rules: p.snapshot.Rules[c.Service], prefillTime: p.prefillTime(c.Service)}
+	w.sources = p.findSources(now, c.Service, w.chain)
+	w.fetchRatio = w.fetchTimeRatio()
 	return w
 }
 
-// estimate is what the call meets at one target.
+// estimate is what the call costs at one target.
 type estimate struct {
 	load Load
-	// unread are the tokens of its prompt that are read there, and tokens what is read until
+	// prefillTokens is the part of its prompt that is prefilled there, and tokens all prefill until
 	// the first event, as far as is known.
-	unread int
-	tokens float64
-	// wait is until the first event, or until the answer of a plain target; social what the
-	// call costs the requests that run there, and its own answer beyond the first event. Both
-	// are in milliseconds of waiting.
-	wait, social float64
+	prefillTokens int
+	tokens        float64
+	// wait is the time until the first event, or until the answer of a plain target. othersCost is
+	// what the call costs the requests running there, and its own answer after the first event.
+	// Both are in milliseconds of waiting.
+	wait, othersCost float64
 }
 
-// cost is all of it, with what the target's failures cost.
+// cost is the total, with what the target's failures cost.
 func (e *estimate) cost(t *target) float64 {
-	return e.wait + e.social + failCost*t.failShare
+	return e.wait + e.othersCost + failCostMillis*t.failShare
 }
 
-// hurry is what the call itself meets: all but what it costs others.
-func (e *estimate) hurry(t *target) float64 { return e.wait + failCost*t.failShare }
+// callCost is the cost to the call itself, without the cost to others.
+func (e *estimate) callCost(t *target) float64 { return e.wait + failCostMillis*t.failShare }
 
-// at estimates what the call meets at a target.
-func (w *weighing) at(t *target) estimate {
+// estimateAt estimates the costs of the call at a target.
+func (w *scorer) estimateAt(t *target) estimate {
 	e := estimate{load: t.load()}
 	running := float64(e.load.Running)
-	e.wait = w.queue(t, e.load.Running)
+	e.wait = w.slotWait(t, e.load.Running)
 	if !w.rules.Engine {
-		e.wait += slotCost * running / float64(max(1, t.Slots))
+		e.wait += slotCostMillis * running / float64(max(1, t.Slots))
 		return e
 	}
-	e.unread = w.unreadAt(t)
-	e.tokens = float64(e.load.PendingPrefill.Ahead(w.call.Rank)) + w.own(t, e.unread)
-	// Engines slow down with the requests that they run.
-	e.wait = e.wait + t.slowness*w.pace.until(e.tokens) + runningCost*running
-	e.social = disturbance(&w.call, w.pace.until(float64(e.unread)), running, t.ownReading(w.now)+float64(t.others.PrefillMillis))
-	e.social += w.stall(t, &e)
+	e.prefillTokens = w.prefillTokensAt(t)
+	e.tokens = float64(e.load.PendingPrefill.Ahead(w.call.Rank)) + w.ownPrefillTokens(t, e.prefillTokens)
+	// Engines slow down with the number of running requests.
+	e.wait = e.wait + t.slowness*w.prefillTime.firstEventMillis(e.tokens) + runningCostMillis*running
+	e.othersCost = slowdownCost(&w.call, w.prefillTime.firstEventMillis(float64(e.prefillTokens)), running, t.ownPrefillMillis(w.now)+float64(t.others.PrefillMillis))
+	e.othersCost += w.stallCost(t, &e)
 	return e
 }
 
-// queue is the wait for a slot.
-func (w *weighing) queue(t *target, running int) float64 {
+// slotWait is the cost of waiting for a slot, in milliseconds.
+func (w *scorer) slotWait(t *target, running int) float64 {
 	if t.Slots == 0 {
 		return 0
 	}
-	return queueCost * float64(max(0, running+1-t.Slots))
+	return queueCostMillis * float64(max(0, running+1-t.Slots))
 }
 
-// own is the part of the prompt that is read at a target: where the home is not known to
-// keep the shared parts, some other instance may have sent them there.
-func (w *weighing) own(t *target, unread int) float64 {
-	own := float64(unread)
-	if t == w.home && len(w.chain) > 1 {
+// ownPrefillTokens is the part of the prompt that is prefilled at a target. At the preferred target
+// preferredHitShare of the shared parts is assumed to be cached, even where this instance does not
+// know of it: other instances send the same parts there.
+func (w *scorer) ownPrefillTokens(t *target, prefillTokens int) float64 {
+	own := float64(prefillTokens)
+	if t == w.preferred && len(w.chain) > 1 {
 		shared := float64(w.chain[len(w.chain)-2].tokens)
-		own = min(own, float64(w.call.PromptTokens)-guess*shared)
+		own = min(own, float64(w.call.PromptTokens)-preferredHitShare*shared)
 	}
 	return own
 }
 
-// usualAnswer is the share of the longest answer that one has as a rule. Callers' own
-// estimates are often far off, and make choices worse.
-const usualAnswer = 0.35
+// typicalAnswerShare is the typical length of an answer as a share of the maximum. Callers' own
+// estimates are often far off and make choices worse.
+const typicalAnswerShare = 0.35
 
-// answer is the length in tokens that the answer is expected to have.
-func (c *Call) answer() float64 { return usualAnswer * float64(c.OutputTokens) }
+// expectedAnswerTokens is the expected length of the answer in tokens.
+func (c *Call) expectedAnswerTokens() float64 { return typicalAnswerShare * float64(c.OutputTokens) }
 
-// disturbance is what reading a prompt for own milliseconds costs the requests that run, and
-// the answer at a target that has read for so many milliseconds of the last span.
-func disturbance(c *Call, own, running, reading float64) float64 {
-	share := min(1, reading/float64(readingSpan.Milliseconds()))
-	slower := chunkTime*share + runningTime*running
-	return disturb*own*running + slowed*c.answer()*slower
+// slowdownCost is what a prefill of own milliseconds costs the running requests, plus what the
+// call's answer loses at a target with so many milliseconds of recent prefill.
+func slowdownCost(c *Call, own, running, recentPrefill float64) float64 {
+	share := min(1, recentPrefill/float64(prefillSpan.Milliseconds()))
+	slower := chunkMillis*share + runningMillis*running
+	return disturbWeight*own*running + slowdownWeight*c.expectedAnswerTokens()*slower
 }
 
-// readMore counts the reading of a prompt that this instance has given to the target.
-func (t *target) readMore(now time.Time, millis float64) {
-	t.read = t.ownReading(now) + millis
-	t.readAt = now
+// recordPrefill adds prefill time that this instance has assigned to the target.
+func (t *target) recordPrefill(now time.Time, millis float64) {
+	t.prefillMillis = t.ownPrefillMillis(now) + millis
+	t.prefillAt = now
 }
 
-// ownReading is the reading that this instance has given out over the last span, in
+// ownPrefillMillis is the recent prefill time that this instance has assigned to the target, in
 // milliseconds.
-func (t *target) ownReading(now time.Time) float64 {
-	if t.readAt.IsZero() {
+func (t *target) ownPrefillMillis(now time.Time) float64 {
+	if t.prefillAt.IsZero() {
 		return 0
 	}
-	return t.read * math.Exp(-float64(now.Sub(t.readAt))/float64(readingSpan))
+	return t.prefillMillis * math.Exp(-float64(now.Sub(t.prefillAt))/float64(prefillSpan))
 }
 
-// pace is that of the engines of a service.
-func (p *Pool) pace(service string) *pace {
-	known := p.paces[service]
+// prefillTime returns the estimator of a service, and creates it if needed.
+func (p *Pool) prefillTime(service string) *prefillTime {
+	known := p.prefillTimes[service]
 	if known == nil {
-		known = newPace()
-		p.paces[service] = known
+		known = newPrefillTime()
+		p.prefillTimes[service] = known
 	}
 	return known
 }
 
-// runningCost is what one running request adds to the time to the first event, in
-// milliseconds: it takes its share of each step.
-const runningCost = 1.0
+// runningCostMillis is what one running request adds to the time until the first event: it takes
+// its share of each step.
+const runningCostMillis = 1.0
--- a/route/pick/stall.go
+++ b/route/pick/stall.go
@@ -1,31 +1,29 @@
 package pick
 
-// The load pattern: long prompts come one after another to an engine where many answers run.
-// It reads a part of a prompt in each step then, a step takes ten times as long, and the
-// next event of every answer comes that much later: once reading has gone on for as long as
-// a route lets events pause, all that run there are late.
-//
-// Gain: fewer long answers are late for a pause, most where an event holds many tokens.
+// When long prompts arrive one after another at an engine that runs many answers, each step
+// includes part of a prefill and takes ten times as long. The next event of every running answer is
+// late by that much: once the prefill lasts as long as a route allows events to pause, all of them
+// are late. Counting this cost reduces late long answers, most where an event holds many tokens.
 
 const (
-	// stallCost is the cost of one running answer that is late, in milliseconds of waiting:
-	// less than a failed one (failCost), as not every answer that runs has an event in the
-	// making, and some have paused before.
-	stallCost = 60.0
-	// stallFrom is the part of the longest pause from which on reading in a row counts: the
-	// estimate is of the mean, and some prompts take longer.
-	stallFrom = 0.7
+	// stallCostMillis is the cost of one running answer that is late, in milliseconds of waiting:
+	// less than a failed answer (failCostMillis), as not every running answer has an event in
+	// progress, and some have paused before.
+	stallCostMillis = 60.0
+	// stallThreshold is the share of the longest allowed pause from which continuous prefill
+	// counts: the estimate is a mean, and some prompts take longer.
+	stallThreshold = 0.7
 )
 
-// stall is what the call costs the answers that run at a target, in milliseconds, as
-// reading in a row becomes too long for their events: whatever rank it has, all that waits
-// is read in a row.
-func (w *weighing) stall(t *target, e *estimate) float64 {
+// stallCost is what the call costs the answers running at a target, in milliseconds, as continuous
+// prefill delays their events too long. Prefill of all ranks counts, as all waiting prompts are
+// prefilled without a break.
+func (w *scorer) stallCost(t *target, e *estimate) float64 {
 	aim := float64(w.rules.GapAim.Milliseconds())
 	if aim <= 0 {
 		return 0
 	}
-	inRow := t.slowness * w.pace.until(float64(e.load.PendingPrefill.Ahead(Ranks-1)+e.unread))
-	late := (inRow/aim - stallFrom) / (1 - stallFrom)
-	return stallCost * float64(e.load.Running) * min(1, max(0, late))
+	prefillMillis := t.slowness * w.prefillTime.firstEventMillis(float64(e.load.PendingPrefill.Ahead(Ranks-1)+e.prefillTokens))
+	late := (prefillMillis/aim - stallThreshold) / (1 - stallThreshold)
+	return stallCostMillis * float64(e.load.Running) * min(1, max(0, late))
 }
--- a/route/pick/stall_test.go
+++ b/route/pick/stall_test.go
@@ -9,8 +9,9 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// busy is a pool of targets t0, t1 and so on with loads, whose events may pause for 600 ms.
-func busy(loads ...pick.Load) *pick.Pool {
+// loadedPool returns a pool of targets t0, t1 and so on with these loads, whose events may pause
+// for 600 ms.
+func loadedPool(loads ...pick.Load) *pick.Pool {
 	p := pick.New("e")
 	s := pick.Snapshot{
 		Targets: targets(len(loads)), Entries: []string{"e"}, Loads: map[string]pick.Load{},
@@ -24,30 +25,27 @@
 	return p
 }
 
-// Symptom: all answers at an engine are late at once, each for one pause between events.
-// Events: urgent requests come to an engine where 30 answers run and long prompts of a
-// later rank wait; another engine reads less in all.
-// Cause: what waits of a later rank is not in front of a request, but it is read in a row
-// with it, and only the share of the time was counted that reading takes.
-func TestReadingInARowIsSharedOut(t *testing.T) {
-	p := busy(
+// Guards against all answers at an engine being late at once. Urgent requests come to an engine
+// with 30 running answers and long prompts of later rank; another engine has less prefill in total.
+// Later ranks are not ahead of a request, but their prefill follows without a break, which its
+// share of time alone does not show.
+func TestContinuousPrefillIsSpread(t *testing.T) {
+	p := loadedPool(
 		pick.Load{Running: 30, PendingPrefill: pick.QueueOf(2, 12000)},
 		pick.Load{Running: 30, PendingPrefill: pick.QueueOf(0, 4000)},
 	)
 	c, _ := p.Pick(t0, pick.Call{Service: "s", PromptTokens: 6000, OutputTokens: 50, Parts: []pick.Part{{ID: 1, Tokens: 6000}}})
 	if c.ID != "t1" {
-		t.Errorf("sent to %s, where 18,000 tokens are read in a row", c.ID)
+		t.Errorf("sent to %s, where 18,000 tokens are prefilled without a break", c.ID)
 	}
 }
 
-// Symptom: a prompt that takes longer than events may pause delays the answers of a full
-// engine while another one has few.
-// Events: one very long prompt; the engine with the fewest answers has a short queue.
-// Cause: as above.
+// Guards against one very long prompt, whose prefill takes longer than events may pause, going to a
+// full engine while another with few answers has a short queue.
 func TestVeryLongPromptGoesWhereFewAnswersRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		few := rapid.IntRange(0, 5).Draw(t, "few")
-		p := busy(pick.Load{Running: 30}, pick.Load{Running: few, PendingPrefill: pick.QueueOf(0, rapid.IntRange(0, 50000).Draw(t, "unread"))})
+		p := loadedPool(pick.Load{Running: 30}, pick.Load{Running: few, PendingPrefill: pick.QueueOf(0, rapid.IntRange(0, 50000).Draw(t, "unread"))})
 		c, _ := p.Pick(t0, pick.Call{Service: "s", PromptTokens: 40000, OutputTokens: 400, Parts: []pick.Part{{ID: 1, Tokens: 40000}}})
 		if c.ID != "t1" {
 			t.Fatalf("sent to %s", c.ID)
@@ -55,8 +53,8 @@
 	})
 }
 
-func TestReadingInARowCostsNothingWhereNoAnswerRuns(t *testing.T) {
-	p := busy(pick.Load{}, pick.Load{Running: 10})
+func TestContinuousPrefillIsFreeWithoutAnswers(t *testing.T) {
+	p := loadedPool(pick.Load{}, pick.Load{Running: 10})
 	c, _ := p.Pick(t0, pick.Call{Service: "s", PromptTokens: 90000, OutputTokens: 400, Parts: []pick.Part{{ID: 1, Tokens: 90000}}})
 	if c.ID != "t0" {
 		t.Errorf("sent to %s", c.ID)
--- a/route/pick/duties_test.go
+++ b/route/pick/watched_test.go
@@ -10,7 +10,8 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// region is the pools of the entry instances of a region before the same targets.
+// region returns the pools of the entry instances of a region, by instance ID, and the snapshot
+// that they all got.
 func region(instances, n int, rules pick.ServiceRules) (pools map[string]*pick.Pool, s pick.Snapshot) {
 	s = pick.Snapshot{Targets: targets(n), Rules: map[string]pick.ServiceRules{"s": rules}, PartialLoads: true}
 	for k := range instances {
@@ -24,17 +25,16 @@
 	return pools, s
 }
 
-// Symptom: the loads of some targets are told to nobody who chooses among them.
-// Events: each instance asks for the loads of the groups that it takes for its own.
-// Cause: instance and teller divide the targets differently, or a group has no instance.
-func TestLoadsOfAllGroupsAreAskedFor(t *testing.T) {
+// Guards against targets whose loads are reported to no instance that chooses among them: instances
+// and the reporter of loads assign groups differently, or a group has no owner.
+func TestLoadsOfAllGroupsAreWatched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances, n := rapid.IntRange(1, 60).Draw(t, "instances"), rapid.IntRange(1, 900).Draw(t, "targets")
 		pools, s := region(instances, n, pick.ServiceRules{Engine: true})
-		asked := map[pick.Group]int{}
+		watched := map[pick.Group]int{}
 		for _, p := range pools {
 			for _, g := range p.WatchedGroups() {
-				asked[g]++
+				watched[g]++
 			}
 		}
 		var ids []string
@@ -43,46 +43,44 @@
 		}
 		groupOf := pick.AssignGroups("s", ids)
 		for id, g := range groupOf {
-			if asked[g] != min(2, instances) {
-				t.Fatalf("the loads of %s in %v are asked for by %d instances", id, g, asked[g])
+			if watched[g] != min(2, instances) {
+				t.Fatalf("the loads of %s in %v are watched by %d instances", id, g, watched[g])
 			}
 		}
 		for subject := range uint64(5) {
 			c := call(subject)
-			decider := pools[pools["e0"].Owner(c)]
-			choice, _ := decider.Pick(t0, c)
+			owner := pools[pools["e0"].Owner(c)]
+			choice, _ := owner.Pick(t0, c)
 			mine := map[pick.Group]bool{}
-			for _, g := range decider.WatchedGroups() {
+			for _, g := range owner.WatchedGroups() {
 				mine[g] = true
 			}
 			if !mine[groupOf[choice.ID]] {
-				t.Fatalf("chose %s of a group whose loads it does not ask for", choice.ID)
+				t.Fatalf("chose %s of a group whose loads it does not watch", choice.ID)
 			}
 		}
 	})
 }
 
-// Symptom: one instance of three hundred is at the end of its processor, and plain requests
-// wait for it.
-// Events: a region's plain service has a hundred targets.
-// Cause: one instance decided for each request to the service.
-func TestLargePlainServiceHasManyDeciders(t *testing.T) {
+// Guards against one instance of three hundred at the limit of its CPU, with plain requests waiting
+// for it, because it owns all requests of a plain service with a hundred targets.
+func TestLargePlainServiceHasManyOwners(t *testing.T) {
 	pools, _ := region(300, 120, pick.ServiceRules{})
-	decided, chosen := map[string]int{}, map[string]int{}
+	owned, chosen := map[string]int{}, map[string]int{}
 	const calls = 600
 	for k := range uint64(calls) {
 		c := pick.Call{Service: "s", SpreadKey: k * 0x9e3779b97f4a7c15}
 		by := pools["e0"].Owner(c)
-		decided[by]++
+		owned[by]++
 		choice, _ := pools[by].Pick(t0, c)
 		chosen[choice.ID]++
 	}
-	if len(decided) != 6 {
-		t.Errorf("%d deciders", len(decided))
+	if len(owned) != 6 {
+		t.Errorf("%d owners", len(owned))
 	}
-	for id, n := range decided {
+	for id, n := range owned {
 		if n > calls/3 {
-			t.Errorf("%s decides %d of %d", id, n, calls)
+			t.Errorf("%s owns %d of %d", id, n, calls)
 		}
 	}
 	for id, n := range chosen {
@@ -92,10 +90,9 @@
 	}
 }
 
-// Symptom: targets look busy or idle that are not.
-// Events: loads come and go while the list stays as it is.
-// Cause: an update of the loads alone left other loads than an update of all.
-func TestLoadsAloneAreAsGoodAsAll(t *testing.T) {
+// Guards against targets that look busy or idle but are not, because UpdateLoads leaves other loads
+// than Update.
+func TestUpdateLoadsMatchesUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, alone := pick.New("e"), pick.New("e")
 		s := pick.Snapshot{Targets: targets(30), Entries: []string{"e"}, Rules: engines()}
@@ -119,9 +116,9 @@
 	})
 }
 
-// Symptom: many deciders crowd one target outside their groups, while others are idle.
-// Events: groups have no target to give, as after a crash; nobody knows the loads elsewhere.
-// Cause: all chose the first of those that look idle.
+// Guards against many group owners that crowd one target outside their groups while others are
+// idle. This happens when groups have no usable target, as after a crash, and the loads elsewhere
+// are unknown: all choose the first target that looks idle.
 func TestOverflowOfGroupsIsSpread(t *testing.T) {
 	pools, s := region(40, 400, pick.ServiceRules{Engine: true})
 	chosen := map[string]int{}
