--- a/experiment/replay/chooser.go
+++ b/experiment/replay/chooser.go
@@ -197,11 +197,11 @@
 		asked = s.instances[s.rng.IntN(len(s.instances))]
 	}
 	choice, sent := s.pick(now, asked, q)
-	local := place.Nowhere
+	local := place.NoTargetCost
 	if choice != nil {
 		local = choice.Wait
 	}
-	if offer := place.Region(local, s.offers(asked, q, mayPass)); offer != nil {
+	if offer := place.ChooseRegion(local, s.offers(asked, q, mayPass)); offer != nil {
 		sent.done(now, pick.Neutral)
 		return decision{region: s.region(offer.Region)}
 	}
@@ -219,11 +219,11 @@
 	return d
 }
 
-func (s *site) offers(asked *instance, q *request, mayPass bool) []place.Offer {
-	var out []place.Offer
+func (s *site) offers(asked *instance, q *request, mayPass bool) []place.RegionCandidate {
+	var out []place.RegionCandidate
 	for _, o := range s.w.regions {
 		if mayPass && o != s.r && o.told.Targets > 0 && !s.w.cut {
-			out = append(out, place.Offer{Region: o.Name, Trip: s.w.trips.To(o.Name), Cost: asked.pool.RegionCost(o.Name, o.told, q.call)})
+			out = append(out, place.RegionCandidate{Region: o.Name, RoundTrip: s.w.trips.To(o.Name), Cost: asked.pool.RegionCost(o.Name, o.told, q.call)})
 		}
 	}
 	return out
--- a/experiment/replay/world.go
+++ b/experiment/replay/world.go
@@ -79,7 +79,7 @@
 	dark    bool
 	cut     bool
 	// trips are never learned here: all take wideTrip.
-	trips    place.Trips
+	trips    place.RoundTrips
 	requests uint64
 }
 
@@ -230,7 +230,7 @@
 		return
 	}
 	q.returned = true
-	back := w.now.Add(place.Return(place.Busy, q.deadline().Sub(w.now)))
+	back := w.now.Add(place.RetryAfter(place.Busy, q.deadline().Sub(w.now)))
 	if passed {
 		back = back.Add(wideTrip)
 	}
--- a/pipeline/exchange/accept.go
+++ b/pipeline/exchange/accept.go
@@ -92,7 +92,7 @@
 		return
 	}
 	if g.o.Killers != nil && g.o.Killers.Refused(&q.raw) {
-		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: CodeKiller, retry: place.Return(place.Killing, 0)})
+		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: CodeKiller, retry: place.RetryAfter(place.PoisonRequest, 0)})
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.until)
@@ -109,17 +109,17 @@
 // accept finds the route and reads the request whole. What it refuses has not run.
 func (q *request) accept() *refusal {
 	if q.view == nil || q.view.Index == nil {
-		return &refusal{status: http.StatusServiceUnavailable, code: CodeNoView, retry: place.Return(place.Starting, 0)}
+		return &refusal{status: http.StatusServiceUnavailable, code: CodeNoView, retry: place.RetryAfter(place.Starting, 0)}
 	}
 	if q.from != nil && q.from.Version > q.view.Index.Table.Version {
-		return &refusal{status: http.StatusServiceUnavailable, code: CodeBehind, retry: place.Return(place.Busy, 0)}
+		return &refusal{status: http.StatusServiceUnavailable, code: CodeBehind, retry: place.RetryAfter(place.Busy, 0)}
 	}
 	q.route = q.view.Index.Match(q.r.Host, q.r.URL.Path)
 	if q.route == nil {
 		return &refusal{status: http.StatusNotFound, code: CodeNoRoute}
 	}
 	if q.g.cutsOff(q) {
-		return &refusal{status: http.StatusServiceUnavailable, code: CodeLeaving, retry: place.Return(place.Leaving, 0)}
+		return &refusal{status: http.StatusServiceUnavailable, code: CodeLeaving, retry: place.RetryAfter(place.Leaving, 0)}
 	}
 	call, err := q.g.o.Dialect.Call(q.r.Header)
 	if err != nil {
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -56,13 +56,13 @@
 func (q *request) choose(now time.Time) (*destination, verdict.Code) {
 	c := q.pickCall()
 	if !q.allows(q.g.o.Region) {
-		if far := q.choosePeer(now, c, place.Nowhere); far != nil {
+		if far := q.choosePeer(now, c, place.NoTargetCost); far != nil {
 			return far, ""
 		}
 		return nil, CodeNoTarget
 	}
 	p := q.chooseTarget(now, c)
-	local := place.Nowhere
+	local := place.NoTargetCost
 	if p != nil {
 		local = p.choice.Wait
 	}
@@ -112,28 +112,28 @@
 	if q.from != nil {
 		return nil
 	}
-	offer := place.Region(local, q.offers(now, c))
+	offer := place.ChooseRegion(local, q.offers(now, c))
 	if offer == nil {
 		return nil
 	}
-	address := place.Way(q.g.o.Self, q.peersOf(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
+	address := place.ChooseInstance(q.g.o.Self, q.peersOf(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
 	return &destination{peer: Peer{Address: address, Region: offer.Region}, wait: offer.Wait()}
 }
 
 // offers are the regions that may serve the request and can be reached: one whose targets
 // are idle and whose instances all leave is no place.
-func (q *request) offers(now time.Time, c pick.Call) []place.Offer {
-	var out []place.Offer
+func (q *request) offers(now time.Time, c pick.Call) []place.RegionCandidate {
+	var out []place.RegionCandidate
 	for key, load := range q.view.Regions {
 		if key.Service != q.service || load.Targets == 0 || !q.allows(key.Region) || q.triedRegions[key.Region] {
 			continue
 		}
-		if !q.g.reach.Open(now, key.Region) || len(q.peersOf(now, key.Region)) == 0 {
+		if !q.g.reach.Available(now, key.Region) || len(q.peersOf(now, key.Region)) == 0 {
 			continue
 		}
-		out = append(out, place.Offer{
-			Region: key.Region, Trip: q.g.trips.To(key.Region), Cost: q.g.o.Pool.RegionCost(key.Region, load, c),
-			Refused: q.g.hasRefused(now, key), Untold: load.LoadUnknown,
+		out = append(out, place.RegionCandidate{
+			Region: key.Region, RoundTrip: q.g.trips.To(key.Region), Cost: q.g.o.Pool.RegionCost(key.Region, load, c),
+			Refused: q.g.hasRefused(now, key), LoadUnknown: load.LoadUnknown,
 		})
 	}
 	return out
--- a/pipeline/exchange/finish.go
+++ b/pipeline/exchange/finish.go
@@ -121,7 +121,7 @@
 	case q.held != nil:
 		q.deliver(q.held)
 	case q.verdict == verdict.NotRun:
-		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: code, retry: place.Return(place.Busy, time.Until(q.until))})
+		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: code, retry: place.RetryAfter(place.Busy, time.Until(q.until))})
 	case time.Now().Before(q.until):
 		q.refuse(&refusal{status: http.StatusBadGateway, code: code})
 	default:
--- a/pipeline/exchange/gateway.go
+++ b/pipeline/exchange/gateway.go
@@ -60,8 +60,8 @@
 	refusing sync.Map
 	leaveOut time.Duration
 	// trips are those to other regions, and reach which of them can be reached.
-	trips place.Trips
-	reach place.Reach
+	trips place.RoundTrips
+	reach place.Reachability
 	// asked counts the requests of each route by name.
 	asked sync.Map
 
--- a/pipeline/exchange/limits.go
+++ b/pipeline/exchange/limits.go
@@ -39,7 +39,7 @@
 		q.units, q.limit = units, a
 		return nil
 	}
-	return &refusal{status: http.StatusTooManyRequests, code: CodeLimit, retry: place.ReturnAfter(a.Wait), limit: &judged{LimitAnswer: a, units: units}}
+	return &refusal{status: http.StatusTooManyRequests, code: CodeLimit, retry: place.LimitRetryAfter(a.Wait), limit: &judged{LimitAnswer: a, units: units}}
 }
 
 // settleLimit gives back what a request took that has not run.
--- a/route/place/place_test.go
+++ b/route/place/place_test.go
@@ -14,37 +14,39 @@
 // Events: regions of all costs, some of which have just refused.
 // Cause: a comparison without the way there, or without what is not known of it.
 func TestRegionIsLeftOnlyForABetterOne(t *testing.T) {
-	offer := func(region string, cost float64) place.Offer {
-		return place.Offer{Region: region, Trip: 170, Cost: cost}
+	offer := func(region string, cost float64) place.RegionCandidate {
+		return place.RegionCandidate{Region: region, RoundTrip: 170, Cost: cost}
 	}
-	refused := func(region string, cost float64) place.Offer {
-		return place.Offer{Region: region, Trip: 170, Cost: cost, Refused: true}
+	refused := func(region string, cost float64) place.RegionCandidate {
+		return place.RegionCandidate{Region: region, RoundTrip: 170, Cost: cost, Refused: true}
+	}
+	untold := func(region string) place.RegionCandidate {
+		return place.RegionCandidate{Region: region, RoundTrip: 170, LoadUnknown: true}
 	}
-	untold := func(region string) place.Offer { return place.Offer{Region: region, Trip: 170, Untold: true} }
 	for name, row := range map[string]struct {
 		local  float64
-		offers []place.Offer
+		offers []place.RegionCandidate
 		want   string
 	}{
 		"no other":                        {900, nil, ""},
-		"better by less than the trips":   {400, []place.Offer{offer("q", 230)}, ""},
-		"better by more":                  {400, []place.Offer{offer("q", 229)}, "q"},
-		"the best of two":                 {900, []place.Offer{offer("q", 70), offer("p", 60)}, "p"},
-		"equal ones":                      {900, []place.Offer{offer("q", 60), offer("p", 60)}, "p"},
-		"one that has just refused":       {900, []place.Offer{refused("q", 0)}, ""},
-		"one whose load is not known":     {900, []place.Offer{untold("q")}, ""},
-		"nowhere else than where unknown": {place.Nowhere, []place.Offer{untold("q")}, "q"},
-		"nowhere else":                    {place.Nowhere, []place.Offer{offer("q", 5000)}, "q"},
-		"nowhere else than where refused": {place.Nowhere, []place.Offer{refused("q", 0)}, "q"},
-		"nowhere at all":                  {place.Nowhere, nil, ""},
+		"better by less than the trips":   {400, []place.RegionCandidate{offer("q", 230)}, ""},
+		"better by more":                  {400, []place.RegionCandidate{offer("q", 229)}, "q"},
+		"the best of two":                 {900, []place.RegionCandidate{offer("q", 70), offer("p", 60)}, "p"},
+		"equal ones":                      {900, []place.RegionCandidate{offer("q", 60), offer("p", 60)}, "p"},
+		"one that has just refused":       {900, []place.RegionCandidate{refused("q", 0)}, ""},
+		"one whose load is not known":     {900, []place.RegionCandidate{untold("q")}, ""},
+		"nowhere else than where unknown": {place.NoTargetCost, []place.RegionCandidate{untold("q")}, "q"},
+		"nowhere else":                    {place.NoTargetCost, []place.RegionCandidate{offer("q", 5000)}, "q"},
+		"nowhere else than where refused": {place.NoTargetCost, []place.RegionCandidate{refused("q", 0)}, "q"},
+		"nowhere at all":                  {place.NoTargetCost, nil, ""},
 	} {
-		if got := regionOf(place.Region(row.local, row.offers)); got != row.want {
+		if got := regionOf(place.ChooseRegion(row.local, row.offers)); got != row.want {
 			t.Errorf("%s: %q, want %q", name, got, row.want)
 		}
 	}
 }
 
-func regionOf(o *place.Offer) string {
+func regionOf(o *place.RegionCandidate) string {
 	if o == nil {
 		return ""
 	}
@@ -53,15 +55,15 @@
 
 func TestRegionDoesNotDependOnTheOrderOfOffers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var offers []place.Offer
+		var offers []place.RegionCandidate
 		for n := range rapid.IntRange(0, 6).Draw(t, "regions") {
-			offers = append(offers, place.Offer{
+			offers = append(offers, place.RegionCandidate{
 				Region: string(rune('a' + n)), Cost: float64(rapid.IntRange(0, 8).Draw(t, "cost") * 100), Refused: rapid.Bool().Draw(t, "refused"),
 			})
 		}
 		local := float64(rapid.IntRange(0, 20).Draw(t, "local") * 100)
-		a := regionOf(place.Region(local, offers))
-		b := regionOf(place.Region(local, rapid.Permutation(offers).Draw(t, "order")))
+		a := regionOf(place.ChooseRegion(local, offers))
+		b := regionOf(place.ChooseRegion(local, rapid.Permutation(offers).Draw(t, "order")))
 		if a != b {
 			t.Fatalf("%q and %q", a, b)
 		}
@@ -85,7 +87,7 @@
 // Cause: a time to come back that does not look at what the caller has left.
 func TestReturn(t *testing.T) {
 	for _, row := range []struct {
-		why        place.Why
+		why        place.RetryReason
 		left, want time.Duration
 	}{
 		{place.Busy, 10 * time.Second, 250 * time.Millisecond},
@@ -95,9 +97,9 @@
 		{place.Starting, 0, 350 * time.Millisecond},
 		{place.Leaving, 10 * time.Second, 20 * time.Millisecond},
 		{place.Leaving, 30 * time.Millisecond, 20 * time.Millisecond},
-		{place.Killing, 0, time.Second},
+		{place.PoisonRequest, 0, time.Second},
 	} {
-		if got := place.Return(row.why, row.left); got != row.want {
+		if got := place.RetryAfter(row.why, row.left); got != row.want {
 			t.Errorf("%d with %v left: %v, want %v", row.why, row.left, got, row.want)
 		}
 	}
@@ -111,7 +113,7 @@
 		1500 * time.Millisecond: 1500 * time.Millisecond,
 		time.Hour:               10 * time.Second,
 	} {
-		if got := place.ReturnAfter(wait); got != want {
+		if got := place.LimitRetryAfter(wait); got != want {
 			t.Errorf("units after %v: %v, want %v", wait, got, want)
 		}
 	}
--- a/route/place/reach.go
+++ b/route/place/reach.go
@@ -22,7 +22,7 @@
 //
 // What goes wrong with instances that are left out one by one: behind a cut each of sixty
 // instances of the region costs somebody the 400 ms that a connection may take.
-type Reach struct {
+type Reachability struct {
 	mu sync.Mutex
 	by map[string]*reach
 }
@@ -34,7 +34,7 @@
 }
 
 // Open reports whether requests may be passed on to a region now.
-func (r *Reach) Open(now time.Time, region string) bool {
+func (r *Reachability) Available(now time.Time, region string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.by[region]
@@ -43,7 +43,7 @@
 
 // Begin notes that a request is passed on there: while the region is out of reach no other
 // is until that one has told.
-func (r *Reach) Begin(now time.Time, region string) {
+func (r *Reachability) Begin(now time.Time, region string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known := r.by[region]; known != nil {
@@ -53,7 +53,7 @@
 
 // Failed notes that an instance of the region could not be reached, and reports whether the
 // region is left out from now on.
-func (r *Reach) Failed(now time.Time, region string) bool {
+func (r *Reachability) Failed(now time.Time, region string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.by == nil {
@@ -71,7 +71,7 @@
 
 // Answered notes that an instance of the region has answered, and reports whether the region
 // had been left out.
-func (r *Reach) Answered(region string) bool {
+func (r *Reachability) Answered(region string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.by[region]
--- a/route/place/reach_test.go
+++ b/route/place/reach_test.go
@@ -16,7 +16,7 @@
 // Cause: each of its instances was found to be out of reach by itself.
 func TestLostRegionCostsFewAttempts(t *testing.T) {
 	const dial, step = 400 * time.Millisecond, 10 * time.Millisecond
-	var r place.Reach
+	var r place.Reachability
 	start := time.Unix(100, 0)
 	failing := map[time.Time]int{}
 	attempts := 0
@@ -24,7 +24,7 @@
 		for range failing[now] {
 			r.Failed(now, "q")
 		}
-		if r.Open(now, "q") {
+		if r.Available(now, "q") {
 			r.Begin(now, "q")
 			attempts++
 			failing[now.Add(dial)]++
@@ -34,14 +34,14 @@
 	if most := int(dial/step) + 6; attempts > most {
 		t.Errorf("%d attempts, want %d at most", attempts, most)
 	}
-	if !r.Open(start.Add(7*time.Second), "q") {
+	if !r.Available(start.Add(7*time.Second), "q") {
 		t.Error("not tried again")
 	}
-	if !r.Open(start, "p") {
+	if !r.Available(start, "p") {
 		t.Error("another region is left out")
 	}
 	r.Answered("q")
-	if !r.Open(start, "q") {
+	if !r.Available(start, "q") {
 		t.Error("left out though it answers")
 	}
 }
@@ -51,7 +51,7 @@
 // Cause: one failure, or failures between answers, counted as the region's.
 func TestRegionIsLeftOutOnlyAfterFailuresInARow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r place.Reach
+		var r place.Reachability
 		now, inRow := time.Unix(100, 0), 0
 		for range rapid.IntRange(1, 60).Draw(t, "attempts") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
@@ -63,10 +63,10 @@
 				r.Answered("q")
 				inRow = 0
 			}
-			if open := r.Open(now, "q"); open != (inRow < 2) {
+			if open := r.Available(now, "q"); open != (inRow < 2) {
 				t.Fatalf("open %v after %d failures in a row", open, inRow)
 			}
-			if !r.Open(now.Add(time.Second), "q") {
+			if !r.Available(now.Add(time.Second), "q") {
 				t.Fatal("left out for more than a second")
 			}
 		}
--- a/route/place/region.go
+++ b/route/place/region.go
@@ -23,32 +23,32 @@
 const RefusedFor = 500 * time.Millisecond
 
 // Offer is a region that may serve a request and can be reached.
-type Offer struct {
+type RegionCandidate struct {
 	Region string
 	// Trip is what the way there and back costs it, see Trips.
-	Trip float64
+	RoundTrip float64
 	// Cost is what the request costs at its targets, see pick.Pool.RegionCost.
 	Cost float64
 	// Refused says that it has refused a request for the service lately, Untold that its load
 	// is not known: it is a place only where there is none else.
-	Refused, Untold bool
+	Refused, LoadUnknown bool
 }
 
 // Wait is what a request passed on there meets until its first event, in milliseconds.
-func (o *Offer) Wait() float64 { return o.Trip + o.Cost }
+func (o *RegionCandidate) Wait() float64 { return o.RoundTrip + o.Cost }
 
 // Nowhere is the cost in the own region where it has no target for a request.
-var Nowhere = math.Inf(1)
+var NoTargetCost = math.Inf(1)
 
 // Region chooses the region that a request is passed on to, where that is better than the
 // own one, in which it costs local; nil for none. Of equal ones it is the first by name.
-func Region(local float64, offers []Offer) *Offer {
-	var best *Offer
+func ChooseRegion(local float64, offers []RegionCandidate) *RegionCandidate {
+	var best *RegionCandidate
 	bestCost := local
 	for i := range offers {
 		o := &offers[i]
 		cost := o.Wait()
-		if o.Refused || o.Untold {
+		if o.Refused || o.LoadUnknown {
 			cost += refusedCost
 		}
 		if cost < bestCost || cost == bestCost && best != nil && o.Region < best.Region {
--- a/route/place/return.go
+++ b/route/place/return.go
@@ -3,28 +3,28 @@
 import "time"
 
 // Why a caller is told to come back.
-type Why uint8
+type RetryReason uint8
 
 const (
 	// Busy: no target can take the request in time; targets come and go within seconds, and
 	// another instance may know more.
-	Busy Why = iota
+	Busy RetryReason = iota
 	// Starting: the instance has started and knows no configuration or target yet.
 	Starting
 	// Leaving: the instance leaves, and another one takes the request now.
 	Leaving
 	// Killing: the request has crashed each target that ran it, and is refused for long.
-	Killing
+	PoisonRequest
 )
 
 // back is when a caller should come back.
-var back = map[Why]time.Duration{
+var back = map[RetryReason]time.Duration{
 	Busy: 250 * time.Millisecond,
 	// Callers that come back earlier than an instance that starts has a view are refused
 	// again, and most do not come a third time; those that come much later are late.
-	Starting: 350 * time.Millisecond,
-	Leaving:  20 * time.Millisecond,
-	Killing:  time.Second,
+	Starting:      350 * time.Millisecond,
+	Leaving:       20 * time.Millisecond,
+	PoisonRequest: time.Second,
 }
 
 // StartWait is how long a request waits for the first view of an instance that has started:
@@ -42,7 +42,7 @@
 
 // Return is when a caller that has left so much time should come back: it honours a third
 // of that at most. A caller that told no deadline has left 0 and is told the whole time.
-func Return(why Why, left time.Duration) time.Duration {
+func RetryAfter(why RetryReason, left time.Duration) time.Duration {
 	after := back[why]
 	if left <= 0 {
 		return after
@@ -58,6 +58,6 @@
 )
 
 // ReturnAfter is when a caller should come back whose workspace has units again after wait.
-func ReturnAfter(wait time.Duration) time.Duration {
+func LimitRetryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, soonestUnits), latestUnits)
 }
--- a/route/place/trip.go
+++ b/route/place/trip.go
@@ -26,13 +26,13 @@
 //
 // What goes wrong with a constant: regions 10 ms apart leave each other alone while one is
 // crowded, and between regions 300 ms apart requests cross to be late.
-type Trips struct {
+type RoundTrips struct {
 	mu sync.Mutex
 	by map[string]float64
 }
 
 // To is the cost of passing to a region, in milliseconds.
-func (t *Trips) To(region string) float64 {
+func (t *RoundTrips) To(region string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if known, ok := t.by[region]; ok {
@@ -43,7 +43,7 @@
 
 // Learn takes in a request that took so many milliseconds until its answer began, there of
 // them in the other region. What cannot be is left out.
-func (t *Trips) Learn(region string, took, there float64) {
+func (t *RoundTrips) Learn(region string, took, there float64) {
 	trip := took - there
 	if !(there >= 0) || !(trip >= 0) || math.IsInf(trip, 0) {
 		return
--- a/route/place/trip_test.go
+++ b/route/place/trip_test.go
@@ -15,7 +15,7 @@
 // Cause: the way was taken to be that of one deployment.
 func TestTripsAreThoseOfTheRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var trips place.Trips
+		var trips place.RoundTrips
 		start := trips.To("q")
 		way := rapid.Float64Range(0.2, 900).Draw(t, "way")
 		for range 60 {
@@ -41,7 +41,7 @@
 // Events: one request takes ten seconds more than its target.
 // Cause: one odd time decided.
 func TestOneOddTripDecidesNothing(t *testing.T) {
-	var trips place.Trips
+	var trips place.RoundTrips
 	for range 60 {
 		trips.Learn("q", 360, 200)
 	}
--- a/route/place/way.go
+++ b/route/place/way.go
@@ -23,7 +23,7 @@
 // addresses. self is the id of the instance that passes on: each has a few peers of its own
 // that stay the same. Among them those go first to which a connection is kept. random
 // draws one of equal ones. There must be one peer at least; the result is its address.
-func Way(self string, peers []string, kept func(address string) bool, random uint64) string {
+func ChooseInstance(self string, peers []string, kept func(address string) bool, random uint64) string {
 	own := firstWays(self, peers)
 	ready := slices.DeleteFunc(slices.Clone(own), func(a string) bool { return !kept(a) })
 	if len(ready) > 0 {
--- a/route/place/way_test.go
+++ b/route/place/way_test.go
@@ -23,14 +23,14 @@
 		self := rapid.StringMatching(`[a-z]{3}`).Draw(t, "self")
 		met := map[string]bool{}
 		for random := range uint64(50) {
-			met[place.Way(self, peers, none, random)] = true
+			met[place.ChooseInstance(self, peers, none, random)] = true
 		}
 		if want := min(4, len(peers)); len(met) != want {
 			t.Fatalf("%d of %d instances met, want %d", len(met), len(peers), want)
 		}
-		one := place.Way(self, peers, none, rapid.Uint64().Draw(t, "one"))
+		one := place.ChooseInstance(self, peers, none, rapid.Uint64().Draw(t, "one"))
 		for random := range uint64(50) {
-			if got := place.Way(self, peers, func(a string) bool { return a == one }, random); got != one {
+			if got := place.ChooseInstance(self, peers, func(a string) bool { return a == one }, random); got != one {
 				t.Fatalf("met %s, a connection is kept to %s", got, one)
 			}
 		}
@@ -46,7 +46,7 @@
 		}
 		fresh := 0
 		for random := range uint64(4) {
-			if !met[place.Way(self, left, none, random)] {
+			if !met[place.ChooseInstance(self, left, none, random)] {
 				fresh++
 			}
 		}
@@ -67,7 +67,7 @@
 	met := map[string]int{}
 	for self := range 60 {
 		for random := range uint64(4) {
-			met[place.Way(fmt.Sprint("self-", self), peers, none, random)]++
+			met[place.ChooseInstance(fmt.Sprint("self-", self), peers, none, random)]++
 		}
 	}
 	most := 0
