--- a/route/place/doc.go
+++ b/route/place/doc.go
@@ -1,7 +1,7 @@
-// Package place decides what becomes of a request once the best target of its own region
-// is known: it goes there, to another region, or back to its caller, who is told when to
-// come again. Package pick chooses the target.
+// Package place decides what happens to a request once the best target of its own region is known:
+// it goes there, is forwarded to another region, or is refused with a time after which the caller
+// should retry. Package pick chooses the target.
 //
-// Costs are milliseconds until the first event, as package pick estimates them. There is
-// no input or output, no clock and no chance in it.
+// Costs are milliseconds until the first event, as package pick estimates them. The package does no
+// input or output, reads no clock and draws no random numbers.
 package place
--- a/route/place/place_test.go
+++ b/route/place/place_test.go
@@ -10,37 +10,36 @@
 	"github.com/gullhaven/gullhaven/route/place"
 )
 
-// Symptom: requests cross the wide area for nothing, or wait at home while others are idle.
-// Events: regions of all costs, some of which have just refused.
-// Cause: a comparison without the way there, or without what is not known of it.
-func TestRegionIsLeftOnlyForABetterOne(t *testing.T) {
-	offer := func(region string, cost float64) place.RegionCandidate {
+// Guards against requests that are forwarded for nothing, or wait in their region while others are
+// idle, because the comparison leaves out the round trip, refusals, or regions with unknown load.
+func TestRequestLeavesRegionOnlyForBetterOne(t *testing.T) {
+	candidate := func(region string, cost float64) place.RegionCandidate {
 		return place.RegionCandidate{Region: region, RoundTrip: 170, Cost: cost}
 	}
 	refused := func(region string, cost float64) place.RegionCandidate {
 		return place.RegionCandidate{Region: region, RoundTrip: 170, Cost: cost, Refused: true}
 	}
-	untold := func(region string) place.RegionCandidate {
+	unknown := func(region string) place.RegionCandidate {
 		return place.RegionCandidate{Region: region, RoundTrip: 170, LoadUnknown: true}
 	}
 	for name, row := range map[string]struct {
-		local  float64
-		offers []place.RegionCandidate
-		want   string
+		local      float64
+		candidates []place.RegionCandidate
+		want       string
 	}{
 		"no other":                        {900, nil, ""},
-		"better by less than the trips":   {400, []place.RegionCandidate{offer("q", 230)}, ""},
-		"better by more":                  {400, []place.RegionCandidate{offer("q", 229)}, "q"},
-		"the best of two":                 {900, []place.RegionCandidate{offer("q", 70), offer("p", 60)}, "p"},
-		"equal ones":                      {900, []place.RegionCandidate{offer("q", 60), offer("p", 60)}, "p"},
+		"better by less than the trips":   {400, []place.RegionCandidate{candidate("q", 230)}, ""},
+		"better by more":                  {400, []place.RegionCandidate{candidate("q", 229)}, "q"},
+		"the best of two":                 {900, []place.RegionCandidate{candidate("q", 70), candidate("p", 60)}, "p"},
+		"equal ones":                      {900, []place.RegionCandidate{candidate("q", 60), candidate("p", 60)}, "p"},
 		"one that has just refused":       {900, []place.RegionCandidate{refused("q", 0)}, ""},
-		"one whose load is not known":     {900, []place.RegionCandidate{untold("q")}, ""},
-		"nowhere else than where unknown": {place.NoTargetCost, []place.RegionCandidate{untold("q")}, "q"},
-		"nowhere else":                    {place.NoTargetCost, []place.RegionCandidate{offer("q", 5000)}, "q"},
+		"one whose load is not known":     {900, []place.RegionCandidate{unknown("q")}, ""},
+		"nowhere else than where unknown": {place.NoTargetCost, []place.RegionCandidate{unknown("q")}, "q"},
+		"nowhere else":                    {place.NoTargetCost, []place.RegionCandidate{candidate("q", 5000)}, "q"},
 		"nowhere else than where refused": {place.NoTargetCost, []place.RegionCandidate{refused("q", 0)}, "q"},
 		"nowhere at all":                  {place.NoTargetCost, nil, ""},
 	} {
-		if got := regionOf(place.ChooseRegion(row.local, row.offers)); got != row.want {
+		if got := regionOf(place.ChooseRegion(row.local, row.candidates)); got != row.want {
 			t.Errorf("%s: %q, want %q", name, got, row.want)
 		}
 	}
@@ -53,17 +52,17 @@
 	return o.Region
 }
 
-func TestRegionDoesNotDependOnTheOrderOfOffers(t *testing.T) {
+func TestChooseRegionIgnoresOrderOfCandidates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var offers []place.RegionCandidate
+		var candidates []place.RegionCandidate
 		for n := range rapid.IntRange(0, 6).Draw(t, "regions") {
-			offers = append(offers, place.RegionCandidate{
+			candidates = append(candidates, place.RegionCandidate{
 				Region: string(rune('a' + n)), Cost: float64(rapid.IntRange(0, 8).Draw(t, "cost") * 100), Refused: rapid.Bool().Draw(t, "refused"),
 			})
 		}
 		local := float64(rapid.IntRange(0, 20).Draw(t, "local") * 100)
-		a := regionOf(place.ChooseRegion(local, offers))
-		b := regionOf(place.ChooseRegion(local, rapid.Permutation(offers).Draw(t, "order")))
+		a := regionOf(place.ChooseRegion(local, candidates))
+		b := regionOf(place.ChooseRegion(local, rapid.Permutation(candidates).Draw(t, "order")))
 		if a != b {
 			t.Fatalf("%q and %q", a, b)
 		}
@@ -72,20 +71,19 @@
 
 func TestOverloaded(t *testing.T) {
 	for _, row := range []struct {
-		front float64
-		aim   time.Duration
-		want  bool
+		queueWait float64
+		aim       time.Duration
+		want      bool
 	}{{999, time.Second, false}, {1001, time.Second, true}, {1e9, 0, false}, {math.Inf(1), time.Second, true}} {
-		if got := place.Overloaded(row.front, row.aim); got != row.want {
-			t.Errorf("%v in front, aim %v: %v", row.front, row.aim, got)
+		if got := place.Overloaded(row.queueWait, row.aim); got != row.want {
+			t.Errorf("queue wait %v, aim %v: %v", row.queueWait, row.aim, got)
 		}
 	}
 }
 
-// Symptom: callers come back when their time is over, or all at once and too soon.
-// Events: refusals with more and less time left.
-// Cause: a time to come back that does not look at what the caller has left.
-func TestReturn(t *testing.T) {
+// Guards against callers told to retry after their deadline, or all at once and too soon, because
+// the delay ignores the time they have left.
+func TestRetryAfter(t *testing.T) {
 	for _, row := range []struct {
 		why        place.RetryReason
 		left, want time.Duration
@@ -105,9 +103,9 @@
 	}
 }
 
-// Guards against callers that come back before there are units, or are told to wait for longer
-// than they can.
-func TestReturnAfter(t *testing.T) {
+// Guards against callers that retry before their workspace has units, or are told to wait for
+// longer than they can.
+func TestLimitRetryAfter(t *testing.T) {
 	for wait, want := range map[time.Duration]time.Duration{
 		0:                       100 * time.Millisecond,
 		1500 * time.Millisecond: 1500 * time.Millisecond,
--- a/route/place/reach_test.go
+++ b/route/place/reachability_test.go
@@ -9,11 +9,9 @@
 	"github.com/gullhaven/gullhaven/route/place"
 )
 
-// Symptom: for as long as a region is cut off, requests wait 400 ms each for connections that
-// cannot be made.
-// Events: a region of sixty instances is cut off for five seconds; a hundred requests a
-// second would cross to it.
-// Cause: each of its instances was found to be out of reach by itself.
+// Guards against requests that wait 400 ms each for connections to a region that is cut off: sixty
+// instances for five seconds, with a hundred requests a second. This happens if each instance is
+// found unreachable by itself.
 func TestLostRegionCostsFewAttempts(t *testing.T) {
 	const dial, step = 400 * time.Millisecond, 10 * time.Millisecond
 	var r place.Reachability
@@ -30,7 +28,7 @@
 			failing[now.Add(dial)]++
 		}
 	}
-	// All of the first 400 ms, and one a second later on.
+	// All of the first 400 ms, and one a second after that.
 	if most := int(dial/step) + 6; attempts > most {
 		t.Errorf("%d attempts, want %d at most", attempts, most)
 	}
@@ -38,18 +36,17 @@
 		t.Error("not tried again")
 	}
 	if !r.Available(start, "p") {
-		t.Error("another region is left out")
+		t.Error("another region is unavailable")
 	}
 	r.Answered("q")
 	if !r.Available(start, "q") {
-		t.Error("left out though it answers")
+		t.Error("unavailable though it answers")
 	}
 }
 
-// Symptom: a region that is well is left out.
-// Events: one of its instances has ended, others answer; or links lose some packets.
-// Cause: one failure, or failures between answers, counted as the region's.
-func TestRegionIsLeftOutOnlyAfterFailuresInARow(t *testing.T) {
+// Guards against leaving out a healthy region because of one failure, or failures with answers in
+// between, as when an instance ends or links lose packets.
+func TestRegionIsUnavailableOnlyAfterConsecutiveFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r place.Reachability
 		now, inRow := time.Unix(100, 0), 0
@@ -63,11 +60,11 @@
 				r.Answered("q")
 				inRow = 0
 			}
-			if open := r.Available(now, "q"); open != (inRow < 2) {
-				t.Fatalf("open %v after %d failures in a row", open, inRow)
+			if available := r.Available(now, "q"); available != (inRow < 2) {
+				t.Fatalf("available %v after %d failures in a row", available, inRow)
 			}
 			if !r.Available(now.Add(time.Second), "q") {
-				t.Fatal("left out for more than a second")
+				t.Fatal("unavailable for more than a second")
 			}
 		}
 	})
--- a/route/place/region.go
+++ b/route/place/region.go
@@ -5,51 +5,53 @@
 	"time"
 )
 
-// The load pattern: a region is at its peak, or has lost targets, while others are idle.
+// A region may be at its peak, or have lost targets, while others are idle.
 
 const (
-	// refusedCost is what passing a request to a region costs more that has refused one of
-	// the service within RefusedFor, or whose load is not known, in milliseconds: more than
-	// any wait, so that it is a place only where there is none else.
+	// refusedCostMillis is the extra cost of forwarding to a region that has refused a request for
+	// the service within RefusedFor, or whose load is unknown. It exceeds any wait, so such a
+	// region is chosen only if there is no other.
 	//
-	// What goes wrong without it: a region that is well by its summary and serves nothing,
-	// as while its targets warm up after an evacuation, looks idle. All others pass on to
-	// it, and each request loses two trips over the wide area.
-	refusedCost = 1e5
+	// Without it, a region that looks healthy by its summary but serves nothing, for example while
+	// its targets warm up after an evacuation, looks idle. All others forward to it, and each
+	// request loses two wide-area round trips.
+	refusedCostMillis = 1e5
 )
 
-// RefusedFor is how long a refusal of a region counts: less than targets take to warm up or
-// come back, so that a region that serves again is found within half a second.
+// RefusedFor is how long a region's refusal counts: less than targets take to warm up or come back,
+// so a region that serves again is found within half a second.
 const RefusedFor = 500 * time.Millisecond
 
-// Offer is a region that may serve a request and can be reached.
+// RegionCandidate is a reachable region that may serve a request.
 type RegionCandidate struct {
 	Region string
-	// Trip is what the way there and back costs it, see Trips.
+	// RoundTrip is the cost of the way there and back in milliseconds, see RoundTrips.
 	RoundTrip float64
-	// Cost is what the request costs at its targets, see pick.Pool.RegionCost.
+	// Cost is the cost at its targets in milliseconds, see pick.Pool.RegionCost.
 	Cost float64
-	// Refused says that it has refused a request for the service lately, Untold that its load
-	// is not known: it is a place only where there is none else.
+	// Refused says that the region has recently refused a request for the service, LoadUnknown that
+	// its load is not known. Such a region is chosen only if there is no other.
 	Refused, LoadUnknown bool
 }
 
-// Wait is what a request passed on there meets until its first event, in milliseconds.
+// Wait is the time until the first event of a request forwarded there, in milliseconds.
 func (o *RegionCandidate) Wait() float64 { return o.RoundTrip + o.Cost }
 
-// Nowhere is the cost in the own region where it has no target for a request.
+// NoTargetCost is the cost in the own region if it has no target for a request. It must not be
+// modified.
 var NoTargetCost = math.Inf(1)
 
-// Region chooses the region that a request is passed on to, where that is better than the
-// own one, in which it costs local; nil for none. Of equal ones it is the first by name.
-func ChooseRegion(local float64, offers []RegionCandidate) *RegionCandidate {
+// ChooseRegion returns the region to forward a request to if one is better than the own region,
+// where the request costs local milliseconds; nil otherwise. Of regions with equal cost it returns
+// the first by name.
+func ChooseRegion(local float64, candidates []RegionCandidate) *RegionCandidate {
 	var best *RegionCandidate
 	bestCost := local
-	for i := range offers {
-		o := &offers[i]
+	for i := range candidates {
+		o := &candidates[i]
 		cost := o.Wait()
 		if o.Refused || o.LoadUnknown {
-			cost += refusedCost
+			cost += refusedCostMillis
 		}
 		if cost < bestCost || cost == bestCost && best != nil && o.Region < best.Region {
 			best, bestCost = o, cost
