--- a/route/pick/pool.go
+++ b/route/pick/pool.go
@@ -84,7 +84,8 @@
 }
 
 // Update replaces the snapshot. A draining target stays draining until it restarts: an older list
-// from another core instance must not bring it back. The caller must not modify s afterwards.
+// from another core instance must not bring it back. The pool keeps the maps and slices of s; the
+// caller must not modify them while the pool is in use.
 func (p *Pool) Update(now time.Time, s Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +116,8 @@
 }
 
 // UpdateLoads replaces the loads of the other instances when nothing else has changed. Its cost
-// grows with the number of loads, not of targets. The caller must not modify loads afterwards.
+// grows with the number of loads, not of targets. The pool keeps loads; the caller must not modify
+// the map while the pool is in use.
 func (p *Pool) UpdateLoads(now time.Time, loads map[string]Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/route/pick/prefix.go
+++ b/route/pick/prefix.go
@@ -139,8 +139,9 @@
 }
 
 // source is the address of the target that t should fetch from; empty for none. It is set even
-// where t is assumed to have cached the parts, as they may have been evicted; if not, t fetches
-// nothing. If no target is known to have cached the parts, it is the preferred target.
+// where t is assumed to have cached the parts, as they may have been evicted; if they are still
+// there, t fetches nothing. If no target is known to have cached the parts, it is the preferred
+// target.
 func (w *scorer) source(t *target) string {
 	if len(w.chain) < 2 || w.fetchRatio >= 1 {
 		return ""
