--- a/route/pick/duties_test.go
+++ b/route/pick/watched_test.go
@@ -10,9 +10,10 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// region is the pools of the entry instances of a region before the same targets.
+// region returns the pools of the entry instances of a region, by instance ID, and the snapshot
+// that they all got.
 func region(instances, n int, rules pick.ServiceRules) (pools map[string]*pick.Pool, s pick.Snapshot) {
-	s = pick.Snapshot{Targets: targets(n), Rules: map[string]pick.ServiceRules{"s": rules}, Partial: true}
+	s = pick.Snapshot{Targets: targets(n), Rules: map[string]pick.ServiceRules{"s": rules}, PartialLoads: true}
 	for k := range instances {
 		s.Entries = append(s.Entries, fmt.Sprint("e", k))
 	}
@@ -24,65 +25,62 @@
 	return pools, s
 }
 
-// Symptom: the loads of some targets are told to nobody who chooses among them.
-// Events: each instance asks for the loads of the groups that it takes for its own.
-// Cause: instance and teller divide the targets differently, or a group has no instance.
-func TestLoadsOfAllGroupsAreAskedFor(t *testing.T) {
+// Guards against targets whose loads are reported to no instance that chooses among them: instances
+// and the reporter of loads assign groups differently, or a group has no owner.
+func TestLoadsOfAllGroupsAreWatched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances, n := rapid.IntRange(1, 60).Draw(t, "instances"), rapid.IntRange(1, 900).Draw(t, "targets")
 		pools, s := region(instances, n, pick.ServiceRules{Engine: true})
-		asked := map[pick.Group]int{}
+		watched := map[pick.Group]int{}
 		for _, p := range pools {
-			for _, g := range p.Duties() {
-				asked[g]++
+			for _, g := range p.WatchedGroups() {
+				watched[g]++
 			}
 		}
 		var ids []string
 		for _, x := range s.Targets {
 			ids = append(ids, x.ID)
 		}
-		groupOf := pick.Division("s", ids)
+		groupOf := pick.AssignGroups("s", ids)
 		for id, g := range groupOf {
-			if asked[g] != min(2, instances) {
-				t.Fatalf("the loads of %s in %v are asked for by %d instances", id, g, asked[g])
+			if watched[g] != min(2, instances) {
+				t.Fatalf("the loads of %s in %v are watched by %d instances", id, g, watched[g])
 			}
 		}
 		for subject := range uint64(5) {
 			c := call(subject)
-			decider := pools[pools["e0"].Decider(c)]
-			choice, _ := decider.Pick(t0, c)
+			owner := pools[pools["e0"].Owner(c)]
+			choice, _ := owner.Pick(t0, c)
 			mine := map[pick.Group]bool{}
-			for _, g := range decider.Duties() {
+			for _, g := range owner.WatchedGroups() {
 				mine[g] = true
 			}
 			if !mine[groupOf[choice.ID]] {
-				t.Fatalf("chose %s of a group whose loads it does not ask for", choice.ID)
+				t.Fatalf("chose %s of a group whose loads it does not watch", choice.ID)
 			}
 		}
 	})
 }
 
-// Symptom: one instance of three hundred is at the end of its processor, and plain requests
-// wait for it.
-// Events: a region's plain service has a hundred targets.
-// Cause: one instance decided for each request to the service.
-func TestLargePlainServiceHasManyDeciders(t *testing.T) {
+// Guards against one instance of three hundred at the limit of its CPU, with plain requests waiting
+// for it, because it owns all requests of a plain service with a hundred targets.
+func TestLargePlainServiceHasManyOwners(t *testing.T) {
 	pools, _ := region(300, 120, pick.ServiceRules{})
-	decided, chosen := map[string]int{}, map[string]int{}
+	owned, chosen := map[string]int{}, map[string]int{}
 	const calls = 600
 	for k := range uint64(calls) {
-		c := pick.Call{Service: "s", Lot: k * 0x9e3779b97f4a7c15}
-		by := pools["e0"].Decider(c)
-		decided[by]++
+		c := pick.Call{Service: "s", SpreadKey: k * 0x9e3779b97f4a7c15}
+		by := pools["e0"].Owner(c)
+		owned[by]++
 		choice, _ := pools[by].Pick(t0, c)
 		chosen[choice.ID]++
 	}
-	if len(decided) != 6 {
-		t.Errorf("%d deciders", len(decided))
+	if len(owned) != 6 {
+		t.Errorf("%d owners", len(owned))
 	}
-	for id, n := range decided {
+	for id, n := range owned {
 		if n > calls/3 {
-			t.Errorf("%s decides %d of %d", id, n, calls)
+			t.Errorf("%s owns %d of %d", id, n, calls)
 		}
 	}
 	for id, n := range chosen {
@@ -92,10 +90,9 @@
 	}
 }
 
-// Symptom: targets look busy or idle that are not.
-// Events: loads come and go while the list stays as it is.
-// Cause: an update of the loads alone left other loads than an update of all.
-func TestLoadsAloneAreAsGoodAsAll(t *testing.T) {
+// Guards against targets that look busy or idle but are not, because UpdateLoads leaves other loads
+// than Update.
+func TestUpdateLoadsMatchesUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, alone := pick.New("e"), pick.New("e")
 		s := pick.Snapshot{Targets: targets(30), Entries: []string{"e"}, Rules: engines()}
@@ -105,7 +102,7 @@
 			s.Loads = map[string]pick.Load{}
 			for range rapid.IntRange(0, 40).Draw(t, "loads") {
 				id := fmt.Sprint("t", rapid.IntRange(0, 35).Draw(t, "target"))
-				s.Loads[id] = pick.Load{Running: rapid.IntRange(1, 9).Draw(t, "running"), Unread: pick.QueueOf(0, 1000)}
+				s.Loads[id] = pick.Load{Running: rapid.IntRange(1, 9).Draw(t, "running"), PendingPrefill: pick.QueueOf(0, 1000)}
 			}
 			whole.Update(now, s)
 			alone.UpdateLoads(now, s.Loads)
@@ -119,16 +116,16 @@
 	})
 }
 
-// Symptom: many deciders crowd one target outside their groups, while others are idle.
-// Events: groups have no target to give, as after a crash; nobody knows the loads elsewhere.
-// Cause: all chose the first of those that look idle.
+// Guards against many group owners that crowd one target outside their groups while others are
+// idle. This happens when groups have no usable target, as after a crash, and the loads elsewhere
+// are unknown: all choose the first target that looks idle.
 func TestOverflowOfGroupsIsSpread(t *testing.T) {
 	pools, s := region(40, 400, pick.ServiceRules{Engine: true})
 	chosen := map[string]int{}
 	for k, id := range s.Entries {
 		p := pools[id]
 		c := call(uint64(k))
-		c.Lot = uint64(k) * 0x9e3779b97f4a7c15
+		c.SpreadKey = uint64(k) * 0x9e3779b97f4a7c15
 		for {
 			first, _ := p.Pick(t0, c)
 			if len(c.Tried) == 60 {
@@ -147,7 +144,7 @@
 
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{400, 4000, 8000} {
-		s := pick.Snapshot{Targets: targets(n), Rules: engines(), Partial: true, Loads: map[string]pick.Load{}}
+		s := pick.Snapshot{Targets: targets(n), Rules: engines(), PartialLoads: true, Loads: map[string]pick.Load{}}
 		for k := range 300 {
 			s.Entries = append(s.Entries, fmt.Sprint("e", k))
 		}
