--- a/coord/limit/allocator.go
+++ b/coord/limit/allocator.go
@@ -15,7 +15,7 @@
 	lookup Lookup
 	lease  time.Duration
 	// quietUntil is when every share of a predecessor has ended.
-	quietUntil time.Time
+	graceUntil time.Time
 	// proportional says how a limit is divided that is asked for more than once over.
 	proportional bool
 	// renews says that shares of a predecessor are renewed until then.
@@ -72,7 +72,7 @@
 // predecessor last until their end. A share of nothing would end them early.
 func NewAllocator(now time.Time, lookup Lookup, lease time.Duration, instances []string) *Allocator {
 	a := &Allocator{
-		lookup: lookup, lease: lease, quietUntil: now.Add(lease),
+		lookup: lookup, lease: lease, graceUntil: now.Add(lease),
 		instances: make(map[string]*reporter), holders: make(map[string]*reporter), limits: make(map[ID]*division),
 	}
 	a.SetInstances(now, instances)
@@ -89,15 +89,15 @@
 // nothing else. What is in force stays within the limit, as no share grows.
 func (a *Allocator) Resume(first uint64) { a.seq, a.renews = first, true }
 
-// EndQuiet says that every holder of a predecessor's shares has reported since.
-func (a *Allocator) EndQuiet(now time.Time) {
-	if now.Before(a.quietUntil) {
-		a.quietUntil = now
+// EndGracePeriod says that every holder of a predecessor's shares has reported since.
+func (a *Allocator) EndGracePeriod(now time.Time) {
+	if now.Before(a.graceUntil) {
+		a.graceUntil = now
 	}
 }
 
-// Quiet reports whether the Allocator still waits for a predecessor's shares.
-func (a *Allocator) Quiet(now time.Time) bool { return now.Before(a.quietUntil) }
+// InGracePeriod reports whether the Allocator still waits for a predecessor's shares.
+func (a *Allocator) InGracePeriod(now time.Time) bool { return now.Before(a.graceUntil) }
 
 // SetInstances tells the lives of instances in the region, as membership has
 // them: a restarted instance has another name here. The shares of one that is
@@ -179,11 +179,11 @@
 		delete(d.holdings, holder.Name)
 		return Share{}, false
 	}
-	if dem.Rate <= 0 || a.Quiet(now) && !a.renewable(dem) {
+	if dem.Rate <= 0 || a.InGracePeriod(now) && !a.renewable(dem) {
 		return Share{}, false
 	}
 	share := dem.Share
-	if !a.Quiet(now) {
+	if !a.InGracePeriod(now) {
 		share = lim.Scaled(a.part(now, d, holder.Name, lim))
 	}
 	a.seq++
--- a/coord/limit/doc.go
+++ b/coord/limit/doc.go
@@ -45,7 +45,7 @@
 // are left in the first round. A need counts what a bucket lacks, and its lower
 // average if it lacks nothing. A small part stays free for newcomers. What nobody
 // asks for goes to all that ask. And a Limiter that refuses, or whose share
-// shrank, says so at once (Urgent).
+// shrank, says so at once (UrgentReport).
 //
 // # Cut off from the owner
 //
@@ -74,10 +74,10 @@
 //
 // An Allocator that follows another one may renew what holders say that they hold, in place of
 // granting nothing (Resume): no share grows until those of the predecessor have ended, or all
-// that may hold one have reported (EndQuiet).
+// that may hold one have reported (EndGracePeriod).
 //
 // # Between regions
 //
-// RegionPart divides a limit over regions once, by the bundle: there is no
+// RegionLimit divides a limit over regions once, by the bundle: there is no
 // exchange between regions, and a cut between them changes nothing.
 package limit
--- a/coord/limit/fair.go
+++ b/coord/limit/fair.go
@@ -18,8 +18,8 @@
 var (
 	// ErrFull: the queue holds as many items as it may.
 	ErrFull = errors.New("fair queue is full")
-	// ErrItem: weight or cost is not above 0, or the request waits already.
-	ErrItem = errors.New("fair queue can't order this item")
+	// ErrInvalidItem: weight or cost is not above 0, or the request waits already.
+	ErrInvalidItem = errors.New("fair queue can't order this item")
 )
 
 // Item is one waiting request.
@@ -35,12 +35,12 @@
 	Cost float64
 }
 
-// Fair orders requests that wait for a saturated pool of targets. Higher
+// FairQueue orders requests that wait for a saturated pool of targets. Higher
 // priorities go first but for the floors of lower ones. Within a priority
 // workspaces share by weight: start-time fair queueing, where an item's start
 // tag is the later of the virtual time and its workspace's last finish tag.
 // It has a single owner.
-type Fair struct {
+type FairQueue struct {
 	capacity int
 	classes  [Priorities]class
 	waiting  map[uint64]*queued
@@ -66,9 +66,9 @@
 	index   int
 }
 
-// NewFair makes a queue for at most capacity items.
-func NewFair(capacity int) *Fair {
-	f := &Fair{capacity: capacity, waiting: make(map[uint64]*queued)}
+// NewFairQueue makes a queue for at most capacity items.
+func NewFairQueue(capacity int) *FairQueue {
+	f := &FairQueue{capacity: capacity, waiting: make(map[uint64]*queued)}
 	for i := range f.classes {
 		f.classes[i].finish = make(map[string]float64)
 	}
@@ -76,12 +76,12 @@
 }
 
 // Len is the number of items waiting.
-func (f *Fair) Len() int { return len(f.waiting) }
+func (f *FairQueue) Len() int { return len(f.waiting) }
 
-// Push adds an item. The error is ErrFull or ErrItem.
-func (f *Fair) Push(it Item) error {
+// Push adds an item. The error is ErrFull or ErrInvalidItem.
+func (f *FairQueue) Push(it Item) error {
 	if !(it.Weight > 0 && it.Cost > 0) || f.waiting[it.Request] != nil {
-		return ErrItem
+		return ErrInvalidItem
 	}
 	if len(f.waiting) >= f.capacity {
 		return ErrFull
@@ -99,7 +99,7 @@
 // Remove takes out an item that no longer waits (its deadline passed, its
 // caller left) and reports whether it was there. Its place isn't given back to
 // the workspace.
-func (f *Fair) Remove(request uint64) bool {
+func (f *FairQueue) Remove(request uint64) bool {
 	q := f.waiting[request]
 	if q == nil {
 		return false
@@ -110,7 +110,7 @@
 }
 
 // Pop takes the next item; ok is false if none waits.
-func (f *Fair) Pop() (it Item, ok bool) {
+func (f *FairQueue) Pop() (it Item, ok bool) {
 	p := f.choose()
 	if p < 0 {
 		return Item{}, false
@@ -126,7 +126,7 @@
 
 // choose returns the class to serve: one whose credit covers its first item,
 // the most owed first, else the highest that waits.
-func (f *Fair) choose() int {
+func (f *FairQueue) choose() int {
 	highest, owed := -1, -1
 	for p := range f.classes {
 		c := &f.classes[p]
@@ -146,7 +146,7 @@
 
 // charge credits the floors of the other waiting classes with a part of the
 // work served. A class that has nothing waiting saves nothing.
-func (f *Fair) charge(served int, cost float64) {
+func (f *FairQueue) charge(served int, cost float64) {
 	for p := range f.classes {
 		c := &f.classes[p]
 		switch {
--- a/coord/limit/fair_test.go
+++ b/coord/limit/fair_test.go
@@ -14,7 +14,7 @@
 // Cause: tags that ignore weight or cost; priorities without a floor.
 func TestBacklogIsSharedByWeightAndNobodyStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFair(1 << 20)
+		f := NewFairQueue(1 << 20)
 		const maxCost = 10
 		workspaces := rapid.IntRange(1, 5).Draw(t, "workspaces")
 		priorities := rapid.SliceOfNDistinct(rapid.IntRange(0, Priorities-1), 1, 4, rapid.ID[int]).Draw(t, "priorities")
@@ -82,12 +82,12 @@
 // Cause: a heap whose indexes are wrong, tags that are never dropped.
 func TestEveryItemLeavesOnce(t *testing.T) {
 	for _, bad := range []Item{{Cost: 1}, {Weight: 1}, {Weight: math.NaN(), Cost: 1}} {
-		if err := NewFair(20).Push(bad); err != ErrItem {
+		if err := NewFairQueue(20).Push(bad); err != ErrInvalidItem {
 			t.Fatalf("%+v: %v", bad, err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFair(20)
+		f := NewFairQueue(20)
 		waiting := map[uint64]bool{}
 		for i := range uint64(300) {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
@@ -124,7 +124,7 @@
 }
 
 func BenchmarkFairTenThousandWorkspaces(b *testing.B) {
-	f := NewFair(20_000)
+	f := NewFairQueue(20_000)
 	names := make([]string, 10_000)
 	for i := range names {
 		names[i] = fmt.Sprint("w", i)
--- a/coord/limit/limit.go
+++ b/coord/limit/limit.go
@@ -17,10 +17,10 @@
 // workspace's home gets.
 const RegionFloor = 0.02
 
-// RegionPart returns the part of a workspace's limit that one of regions
+// RegionLimit returns the part of a workspace's limit that one of regions
 // regions grants: a small floor everywhere, and the rest at home. With more
 // regions than floors fit, every region gets the same part.
-func RegionPart(l Limit, home bool, regions int) Limit {
+func RegionLimit(l Limit, home bool, regions int) Limit {
 	if regions <= 1 {
 		return l
 	}
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -67,12 +67,12 @@
 	p.answers = nil
 	for i, l := range p.limiters {
 		p.send(i)(l.Report(p.now))
-		if number, demands := l.Urgent(p.now); len(demands) > 0 {
+		if number, demands := l.UrgentReport(p.now); len(demands) > 0 {
 			p.send(i)(number, demands)
 		}
 	}
 	for _, a := range late {
-		p.limiters[a.to].Granted(p.now, a.number, a.shares)
+		p.limiters[a.to].ApplyShares(p.now, a.number, a.shares)
 	}
 }
 
@@ -90,7 +90,7 @@
 		if p.chance("answer late", 4) {
 			p.answers = append(p.answers, a)
 		} else if !p.chance("answer lost", 4) {
-			p.limiters[i].Granted(p.now, number, shares)
+			p.limiters[i].ApplyShares(p.now, number, shares)
 		}
 	}
 }
@@ -197,10 +197,10 @@
 	l.Take(now, "w", 0)
 	first, _ := l.Report(now)
 	second, _ := l.Report(now)
-	l.Granted(now, second, []Share{{ID: id, Seq: 2, Limit: whole, Lease: lease}})
+	l.ApplyShares(now, second, []Share{{ID: id, Seq: 2, Limit: whole, Lease: lease}})
 	delete(l.buckets, id) // as Report does after a while without demand
 	l.Take(now, "w", 0)
-	l.Granted(now, first, []Share{{ID: id, Seq: 1, Limit: whole, Lease: lease}})
+	l.ApplyShares(now, first, []Share{{ID: id, Seq: 1, Limit: whole, Lease: lease}})
 	if got := l.buckets[id].seq; got != 0 {
 		t.Fatalf("share %d came back", got)
 	}
@@ -294,7 +294,7 @@
 	var limiters []*Limiter
 	for n := range instances {
 		l := NewLimiter(lookup, 1, lease)
-		l.SetWait(0)
+		l.SetFloorDelay(0)
 		l.SetOwned(func(ID) bool { return n == 0 })
 		limiters = append(limiters, l)
 		// Asked before it was known who stands for the limit, until its floor's burst is spent.
@@ -306,7 +306,7 @@
 		now = now.Add(step)
 		for n, l := range limiters {
 			number, demands := l.Report(now)
-			l.Granted(now, number, alloc.ReportOf(now, Holder{"p", names[n]}, number, demands))
+			l.ApplyShares(now, number, alloc.ReportOf(now, Holder{"p", names[n]}, number, demands))
 		}
 	}
 	for n, l := range limiters {
--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -209,14 +209,14 @@
 	}
 }
 
-// SetWait tells how long new buckets have no rate until they are on their floors without a
+// SetFloorDelay tells how long new buckets have no rate until they are on their floors without a
 // share; a lease, if nothing is told. Within a lease another instance may use a share of the
 // same part, unless that is known to have ended.
-func (l *Limiter) SetWait(d time.Duration) { l.wait = d }
+func (l *Limiter) SetFloorDelay(d time.Duration) { l.wait = d }
 
-// SetPace has the Limiter follow demand faster or slower than with a report every two seconds,
+// SetTimeScale has the Limiter follow demand faster or slower than with a report every two seconds,
 // where it is 1: the time constants are that part of theirs.
-func (l *Limiter) SetPace(p float64) { l.pace = pace(p) }
+func (l *Limiter) SetTimeScale(p float64) { l.pace = pace(p) }
 
 // SetInstances tells the number of instances in the region; floors of buckets
 // made before follow with the next Report.
@@ -285,7 +285,7 @@
 )
 
 // Report returns the demands to send to the owner, and the number under which
-// Granted takes the answer. It is called about once a second, and sent also where
+// ApplyShares takes the answer. It is called about once a second, and sent also where
 // it has no demands: the owner sets floors aside for instances that are silent.
 func (l *Limiter) Report(now time.Time) (number uint64, demands []Demand) {
 	clear(l.hurried)
@@ -344,9 +344,9 @@
 	return demands
 }
 
-// Granted takes the owner's answer to the report of that number. An answer to
+// ApplyShares takes the owner's answer to the report of that number. An answer to
 // a report that is too old is ignored.
-func (l *Limiter) Granted(now time.Time, number uint64, shares []Share) {
+func (l *Limiter) ApplyShares(now time.Time, number uint64, shares []Share) {
 	sent, ok := l.sentAt[number]
 	if !ok || number <= l.answered {
 		return
--- a/coord/limit/offered_test.go
+++ b/coord/limit/offered_test.go
@@ -67,7 +67,7 @@
 			}
 			if c.now.Sub(start)%time.Second == c.phase[i] {
 				number, demands := l.Report(c.now)
-				l.Granted(c.now, number, c.alloc.Report(c.now, c.names[i], number, demands))
+				l.ApplyShares(c.now, number, c.alloc.Report(c.now, c.names[i], number, demands))
 			}
 			if c.urgent && (c.now.Sub(start)+c.phase[i])%urgentPause == 0 {
 				c.hurry(l, i)
@@ -124,8 +124,8 @@
 
 // hurry sends an urgent report.
 func (c *crowd) hurry(l *Limiter, i int) {
-	if number, demands := l.Urgent(c.now); len(demands) > 0 {
-		l.Granted(c.now, number, c.alloc.Report(c.now, c.names[i], number, demands))
+	if number, demands := l.UrgentReport(c.now); len(demands) > 0 {
+		l.ApplyShares(c.now, number, c.alloc.Report(c.now, c.names[i], number, demands))
 	}
 }
 
--- a/coord/limit/urgent.go
+++ b/coord/limit/urgent.go
@@ -45,13 +45,13 @@
 	return true
 }
 
-// Urgent returns a report of only those limits that should not wait for the
+// UrgentReport returns a report of only those limits that should not wait for the
 // next regular one; there is none if it has no demands. A host that calls it ten
 // times a second, and sends what it returns like a regular report, spares callers
 // most refusals while load moves. Without it the bound on what passes is the
 // same and what is refused needlessly is more. As with Report, a host waits for
 // the answer to one before it sends the next: an overtaken answer is dropped.
-func (l *Limiter) Urgent(now time.Time) (number uint64, demands []Demand) {
+func (l *Limiter) UrgentReport(now time.Time) (number uint64, demands []Demand) {
 	for id := range l.hurried {
 		b := l.buckets[id]
 		if b == nil || b.dormant || !b.hurry.due(now) {
--- a/node/limits/book.go
+++ b/node/limits/book.go
@@ -150,7 +150,7 @@
 			continue
 		}
 		delete(b.asked, question{p.Index, p.Number})
-		b.limiters[p.Index].Granted(now, p.Number, sharesOf(workspaces, p.Rows))
+		b.limiters[p.Index].ApplyShares(now, p.Number, sharesOf(workspaces, p.Rows))
 	}
 }
 
--- a/node/limits/limits.go
+++ b/node/limits/limits.go
@@ -109,7 +109,7 @@
 		return limit.Limit{}, false
 	}
 	whole := limit.Limit{Rate: rate, Burst: rate * burst}
-	return limit.RegionPart(whole, w.Home == v.Region, len(v.Bundle.Regions)), true
+	return limit.RegionLimit(whole, w.Home == v.Region, len(v.Bundle.Regions)), true
 }
 
 // SetMembers tells the live instances of the region.
--- a/node/quota/divider.go
+++ b/node/quota/divider.go
@@ -95,7 +95,7 @@
 	}
 	delete(d.awaited, from)
 	if len(d.awaited) == 0 {
-		d.allocator.EndQuiet(now)
+		d.allocator.EndGracePeriod(now)
 	}
 }
 
@@ -130,4 +130,4 @@
 }
 
 // Quiet reports whether shares of a predecessor may be in use that are not known.
-func (d *Divider) Quiet(now time.Time) bool { return d.allocator.Quiet(now) }
+func (d *Divider) Quiet(now time.Time) bool { return d.allocator.InGracePeriod(now) }
--- a/node/quota/holders.go
+++ b/node/quota/holders.go
@@ -35,7 +35,7 @@
 // that is alone: it may know few as it has just started.
 const fewestEntries = 6
 
-// pace follows demand that moves between regions within three seconds: see limit.SetPace.
+// pace follows demand that moves between regions within three seconds: see limit.SetTimeScale.
 const pace = 0.25
 
 // NewHolders makes the Holders of one life of an instance. regions is the number of regions
@@ -46,8 +46,8 @@
 		limits: func(string) (limit.Limit, bool) { return limit.Limit{}, false },
 	}
 	h.shared = limit.NewLimiter(h.lookup, regions, Lease)
-	h.shared.SetPace(pace)
-	h.shared.SetWait(0)
+	h.shared.SetTimeScale(pace)
+	h.shared.SetFloorDelay(0)
 	h.alone = limit.NewLimiter(h.lookupAlone, 1, 0)
 	return h
 }
@@ -83,7 +83,7 @@
 		return Verdict{Unknown: true}
 	}
 	if now.Sub(h.bornAt) >= Lease {
-		h.shared.SetWait(Lease)
+		h.shared.SetFloorDelay(Lease)
 	}
 	ok, wait := h.shared.TakeTokens(now, workspace, units)
 	if ok {
@@ -118,7 +118,7 @@
 	var number uint64
 	var demands []limit.Demand
 	if urgent {
-		number, demands = h.shared.Urgent(now)
+		number, demands = h.shared.UrgentReport(now)
 	} else {
 		number, demands = h.shared.Report(now)
 		// What is let pass alone is reported to nobody; buckets that are not used are forgotten.
@@ -147,7 +147,7 @@
 			ID: limit.ID{Workspace: g.Workspace, Resource: limit.Tokens}, Seq: g.Seq, Limit: g.Limit, Lease: Lease,
 		})
 	}
-	h.shared.Granted(now, a.Number, shares)
+	h.shared.ApplyShares(now, a.Number, shares)
 }
 
 // Len is the number of workspaces that this instance stands for.
