--- a/coord/limit/demand.go
+++ b/coord/limit/demand.go
@@ -6,74 +6,78 @@
 )
 
 const (
-	// slowMemory and fastMemory are the time constants of two averages of what
-	// is asked for. Bursts make the fast one waver; the slow one lags behind
-	// load that comes or leaves.
-	slowMemory = 3 * time.Second
-	fastMemory = time.Second
-	// refillTime is how soon a bucket is to have what it lacks. Where it is
-	// shorter, shares go to and fro and are lost for what can't be granted before
-	// a smaller one is in use.
+	// slowTimeConstant and fastTimeConstant belong to two exponential averages of
+	// demand. The fast one follows bursts; the slow one lags behind load that
+	// starts or stops.
+	slowTimeConstant = 3 * time.Second
+	fastTimeConstant = time.Second
+	// refillTime is how soon a bucket should get what it lacks. If it is shorter,
+	// shares oscillate, and what was taken from one instance can't be granted to
+	// another before the smaller share is in use.
 	refillTime = 2 * time.Second
-	// leastCounted is the least time that an average counts.
-	leastCounted = time.Second
+	// minMeasured is the shortest time over which an average is computed.
+	minMeasured = time.Second
 )
 
-// pace is how fast demand is followed, as a part of what serves a report every two seconds.
-// A host that reports more often follows faster.
-type pace float64
+// timeScale multiplies the time constants. It is 1 for a report every two seconds; a
+// host that reports more often uses a smaller one to follow demand faster.
+type timeScale float64
 
-func (p pace) of(d time.Duration) time.Duration { return time.Duration(float64(p) * float64(d)) }
+func (p timeScale) scaled(d time.Duration) time.Duration {
+	return time.Duration(float64(p) * float64(d))
+}
 
-// demand measures what is asked of a bucket, refused or not.
+// demand measures what is requested from a bucket, whether refused or not.
 type demand struct {
-	pace       pace
+	scale      timeScale
 	slow, fast average
-	// asked are the units since at.
-	asked float64
-	at    time.Time
+	// requested counts units since at.
+	requested float64
+	at        time.Time
 }
 
-// average is an exponential average that starts without a value.
+// average is an exponential moving average that starts without a value.
 type average struct{ sum, weight float64 }
 
-// rate is in units per second. It counts at least one second at a pace of 1: a single request
-// just before the first report would else look like a high rate.
-func (a average) rate(memory, least time.Duration) float64 {
-	minWeight := -math.Expm1(-least.Seconds() / memory.Seconds())
+// rate returns units per second, averaged over at least minTime: otherwise a single
+// request just before the first report would look like a high rate.
+func (a average) rate(timeConstant, minTime time.Duration) float64 {
+	minWeight := -math.Expm1(-minTime.Seconds() / timeConstant.Seconds())
 	return a.sum / max(a.weight, minWeight)
 }
 
-// add counts units asked for in d.
-func (a *average) add(units float64, d, memory time.Duration) {
-	k := -math.Expm1(-d.Seconds() / memory.Seconds())
+// add counts units that were requested within d.
+func (a *average) add(units float64, d, timeConstant time.Duration) {
+	k := -math.Expm1(-d.Seconds() / timeConstant.Seconds())
 	a.sum += k * (units/d.Seconds() - a.sum)
 	a.weight += k * (1 - a.weight)
 }
 
-// measure moves the averages on to now.
-func (m *demand) measure(now time.Time) {
+// update advances the averages to now.
+func (m *demand) update(now time.Time) {
 	d := now.Sub(m.at)
 	if d <= 0 {
 		return
 	}
-	m.slow.add(m.asked, d, m.pace.of(slowMemory))
-	m.fast.add(m.asked, d, m.pace.of(fastMemory))
-	m.asked, m.at = 0, now
+	m.slow.add(m.requested, d, m.scale.scaled(slowTimeConstant))
+	m.fast.add(m.requested, d, m.scale.scaled(fastTimeConstant))
+	m.requested, m.at = 0, now
 }
 
-// rate is the slow average in units per second.
-func (m *demand) rate() float64 { return m.slow.rate(m.pace.of(slowMemory), m.pace.of(leastCounted)) }
+// rate returns the slow average in units per second.
+func (m *demand) rate() float64 {
+	return m.slow.rate(m.scale.scaled(slowTimeConstant), m.scale.scaled(minMeasured))
+}
 
-// need is the rate to ask for, in units per second, with so many tokens left.
-// A bucket that holds a second of its demand has time to find that it needs
-// more, so it asks for the lower average, and load that left is seen soon. Any
-// other asks for what it lacks too.
+// need returns the rate to request, in units per second, with tokens left in the
+// bucket. A bucket that holds a second of its demand has time to notice that it
+// needs more, so it requests the lower average and releases capacity soon after
+// load stops. Any other bucket also requests what it lacks.
 func (m *demand) need(tokens float64) float64 {
-	slow, fast := m.rate(), m.fast.rate(m.pace.of(fastMemory), m.pace.of(leastCounted))
-	lack := max(slow, fast)*m.pace.of(time.Second).Seconds() - tokens
-	if lack <= 0 {
+	slow, fast := m.rate(), m.fast.rate(m.scale.scaled(fastTimeConstant), m.scale.scaled(minMeasured))
+	deficit := max(slow, fast)*m.scale.scaled(time.Second).Seconds() - tokens
+	if deficit <= 0 {
 		return min(slow, fast)
 	}
-	return slow + lack/m.pace.of(refillTime).Seconds()
+	return slow + deficit/m.scale.scaled(refillTime).Seconds()
 }
--- a/coord/limit/fair.go
+++ b/coord/limit/fair.go
@@ -6,11 +6,10 @@
 )
 
 const (
-	// Priorities are 0 (lowest) to Priorities-1.
+	// Priorities is the number of priorities, from 0 (lowest) to Priorities-1.
 	Priorities = 10
-	// FloorShare is the part of the work that each waiting priority below the
-	// highest is sure of, so that none starves. Nine floors leave more than
-	// half to the highest.
+	// FloorShare is the share of the work guaranteed to each waiting priority below the
+	// highest, so that none starves. Nine floors leave more than half to the highest.
 	FloorShare = 0.05
 )
 
@@ -18,64 +17,64 @@
 var (
 	// ErrFull: the queue holds as many items as it may.
 	ErrFull = errors.New("fair queue is full")
-	// ErrInvalidItem: weight or cost is not above 0, or the request waits already.
-	ErrInvalidItem = errors.New("fair queue can't order this item")
+	// ErrInvalidItem: weight or cost is not above 0, or the request is already waiting.
+	ErrInvalidItem = errors.New("fair queue item needs weight and cost above 0 and a request that isn't waiting yet")
 )
 
 // Item is one waiting request.
 type Item struct {
-	// Request is the host's number of it, unique among those waiting.
+	// Request is the host's number for the request, unique among those waiting.
 	Request   uint64
 	Workspace string
 	// Weight of the workspace, above 0.
 	Weight float64
-	// Priority from 0 to Priorities-1; others are brought into the range.
+	// Priority from 0 to Priorities-1; others are clamped.
 	Priority int
-	// Cost is the work, in any one unit for all; above 0.
+	// Cost is the work, above 0, in the same unit for all items.
 	Cost float64
 }
 
 // FairQueue orders requests that wait for a saturated pool of targets. Higher
-// priorities go first but for the floors of lower ones. Within a priority
-// workspaces share by weight: start-time fair queueing, where an item's start
-// tag is the later of the virtual time and its workspace's last finish tag.
-// It has a single owner.
+// priorities go first except for the floors of lower ones. Within a priority
+// workspaces share by weight with start-time fair queueing: an item's start tag
+// is the later of the virtual time and its workspace's last finish tag.
+// It is not safe for concurrent use.
 type FairQueue struct {
 	capacity int
-	classes  [Priorities]class
-	waiting  map[uint64]*queued
+	classes  [Priorities]priorityClass
+	waiting  map[uint64]*queuedItem
 	arrivals uint64
 }
 
-// class is one priority.
-type class struct {
+// priorityClass is the queue of one priority.
+type priorityClass struct {
 	queue queue
-	// virtual is the start tag of the item last served.
-	virtual float64
-	// finish tags by workspace, kept while ahead of virtual.
-	finish map[string]float64
+	// virtualTime is the start tag of the item last served.
+	virtualTime float64
+	// finishTags by workspace, kept while ahead of virtualTime.
+	finishTags map[string]float64
 	// credit is the work owed to the class by its floor.
 	credit float64
 }
 
-type queued struct {
-	item  Item
-	start float64
+type queuedItem struct {
+	item     Item
+	startTag float64
 	// arrival breaks ties: first come, first served.
 	arrival uint64
 	index   int
 }
 
-// NewFairQueue makes a queue for at most capacity items.
+// NewFairQueue returns a queue for at most capacity items.
 func NewFairQueue(capacity int) *FairQueue {
-	f := &FairQueue{capacity: capacity, waiting: make(map[uint64]*queued)}
+	f := &FairQueue{capacity: capacity, waiting: make(map[uint64]*queuedItem)}
 	for i := range f.classes {
-		f.classes[i].finish = make(map[string]float64)
+		f.classes[i].finishTags = make(map[string]float64)
 	}
 	return f
 }
 
-// Len is the number of items waiting.
+// Len returns the number of waiting items.
 func (f *FairQueue) Len() int { return len(f.waiting) }
 
 // Push adds an item. The error is ErrFull or ErrInvalidItem.
@@ -89,16 +88,15 @@
 	it.Priority = max(0, min(it.Priority, Priorities-1))
 	c := &f.classes[it.Priority]
 	f.arrivals++
-	q := &queued{item: it, arrival: f.arrivals, start: max(c.virtual, c.finish[it.Workspace])}
-	c.finish[it.Workspace] = q.start + it.Cost/it.Weight
+	q := &queuedItem{item: it, arrival: f.arrivals, startTag: max(c.virtualTime, c.finishTags[it.Workspace])}
+	c.finishTags[it.Workspace] = q.startTag + it.Cost/it.Weight
 	heap.Push(&c.queue, q)
 	f.waiting[it.Request] = q
 	return nil
 }
 
-// Remove takes out an item that no longer waits (its deadline passed, its
-// caller left) and reports whether it was there. Its place isn't given back to
-// the workspace.
+// Remove removes an item that no longer waits (its deadline passed or its caller
+// left) and reports whether it was present. Its workspace isn't credited for it.
 func (f *FairQueue) Remove(request uint64) bool {
 	q := f.waiting[request]
 	if q == nil {
@@ -109,24 +107,24 @@
 	return true
 }
 
-// Pop takes the next item; ok is false if none waits.
+// Pop removes and returns the next item; ok is false if none waits.
 func (f *FairQueue) Pop() (it Item, ok bool) {
-	p := f.choose()
+	p := f.selectClass()
 	if p < 0 {
 		return Item{}, false
 	}
 	c := &f.classes[p]
-	q := heap.Pop(&c.queue).(*queued)
+	q := heap.Pop(&c.queue).(*queuedItem)
 	delete(f.waiting, q.item.Request)
-	c.virtual = q.start
-	c.forget()
-	f.charge(p, q.item.Cost)
+	c.virtualTime = q.startTag
+	c.pruneTags()
+	f.updateCredits(p, q.item.Cost)
 	return q.item, true
 }
 
-// choose returns the class to serve: one whose credit covers its first item,
-// the most owed first, else the highest that waits.
-func (f *FairQueue) choose() int {
+// selectClass returns the class to serve, or -1: the class with the most credit among
+// those whose credit covers their first item, else the highest with waiting items.
+func (f *FairQueue) selectClass() int {
 	highest, owed := -1, -1
 	for p := range f.classes {
 		c := &f.classes[p]
@@ -144,9 +142,9 @@
 	return highest
 }
 
-// charge credits the floors of the other waiting classes with a part of the
-// work served. A class that has nothing waiting saves nothing.
-func (f *FairQueue) charge(served int, cost float64) {
+// updateCredits credits the floors of the other waiting classes with a share of the
+// work served. A class with nothing waiting keeps no credit.
+func (f *FairQueue) updateCredits(served int, cost float64) {
 	for p := range f.classes {
 		c := &f.classes[p]
 		switch {
@@ -160,27 +158,27 @@
 	}
 }
 
-// forget drops finish tags that no longer hold anybody back. It works through
-// the map only when it has grown past what waits.
-func (c *class) forget() {
-	if len(c.finish) <= 2*len(c.queue)+16 {
+// pruneTags drops finish tags that no longer delay anybody. It scans the map only
+// when that has grown well past what waits.
+func (c *priorityClass) pruneTags() {
+	if len(c.finishTags) <= 2*len(c.queue)+16 {
 		return
 	}
-	for w, tag := range c.finish {
-		if tag <= c.virtual || len(c.queue) == 0 {
-			delete(c.finish, w)
+	for w, tag := range c.finishTags {
+		if tag <= c.virtualTime || len(c.queue) == 0 {
+			delete(c.finishTags, w)
 		}
 	}
 }
 
 // queue is a heap by start tag, then arrival.
-type queue []*queued
+type queue []*queuedItem
 
 func (q queue) Len() int { return len(q) }
 
 func (q queue) Less(i, j int) bool {
-	if q[i].start != q[j].start {
-		return q[i].start < q[j].start
+	if q[i].startTag != q[j].startTag {
+		return q[i].startTag < q[j].startTag
 	}
 	return q[i].arrival < q[j].arrival
 }
@@ -190,14 +188,14 @@
 	q[i].index, q[j].index = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *queue) Push(x any) {
-	it := x.(*queued)
+	it := x.(*queuedItem)
 	it.index = len(*q)
 	*q = append(*q, it)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/coord/limit/fair_test.go
+++ b/coord/limit/fair_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a workspace gets less than its weight, or a low priority nothing.
-// Events: every workspace of every priority keeps a backlog while one item
-// after the other is served.
-// Cause: tags that ignore weight or cost; priorities without a floor.
+// Guards against a workspace that gets less than its weight, or a low priority that gets
+// nothing, while every workspace of every priority has a backlog: tags that ignore weight
+// or cost, or priorities without a floor.
 func TestBacklogIsSharedByWeightAndNobodyStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFairQueue(1 << 20)
@@ -64,8 +63,8 @@
 	})
 }
 
-// checkClass holds start-time fair queueing to its bound: the normalised
-// service of two backlogged workspaces differs by at most one item of each.
+// checkClass checks the bound of start-time fair queueing: the normalised service of two
+// backlogged workspaces differs by at most one item of each.
 func checkClass(t *rapid.T, served, weights []float64, maxCost float64) {
 	for i := range served {
 		for j := range served {
@@ -77,9 +76,8 @@
 	}
 }
 
-// Symptom: a request is lost in the queue or served twice; memory grows.
-// Events: random pushes, pops and removals.
-// Cause: a heap whose indexes are wrong, tags that are never dropped.
+// Guards against a request that is lost in the queue or served twice, and growing memory,
+// with random pushes, pops and removals: wrong heap indexes, or tags that are never dropped.
 func TestEveryItemLeavesOnce(t *testing.T) {
 	for _, bad := range []Item{{Cost: 1}, {Weight: 1}, {Weight: math.NaN(), Cost: 1}} {
 		if err := NewFairQueue(20).Push(bad); err != ErrInvalidItem {
@@ -112,7 +110,7 @@
 				delete(waiting, r)
 			}
 			for p := range f.classes {
-				if n := len(f.classes[p].finish); n > 120 {
+				if n := len(f.classes[p].finishTags); n > 120 {
 					t.Fatalf("%d tags kept", n)
 				}
 			}
--- a/coord/limit/limit.go
+++ b/coord/limit/limit.go
@@ -6,20 +6,20 @@
 type Limit struct {
 	// Rate in units per second.
 	Rate float64 `cbor:"1,keyasint"`
-	// Burst in units: what may be spent at once after a pause.
+	// Burst in units: the most that can be spent at once.
 	Burst float64 `cbor:"2,keyasint"`
 }
 
-// Scaled returns the limit times a factor from 0 to 1.
+// Scaled returns the limit with rate and burst multiplied by f, from 0 to 1.
 func (l Limit) Scaled(f float64) Limit { return Limit{Rate: l.Rate * f, Burst: l.Burst * f} }
 
-// RegionFloor is the part of a limit that each region other than the
-// workspace's home gets.
+// RegionFloor is the share of a limit, from 0 to 1, that each region other than
+// the workspace's home region gets.
 const RegionFloor = 0.02
 
-// RegionLimit returns the part of a workspace's limit that one of regions
-// regions grants: a small floor everywhere, and the rest at home. With more
-// regions than floors fit, every region gets the same part.
+// RegionLimit returns the share of a workspace's limit for one region, where
+// regions is their number: RegionFloor everywhere and the rest in the home region
+// (home is true). With too many regions for RegionFloor all get equal shares.
 func RegionLimit(l Limit, home bool, regions int) Limit {
 	if regions <= 1 {
 		return l
@@ -31,45 +31,45 @@
 	return l.Scaled(floor)
 }
 
-// Resource is what is counted.
+// Resource is the unit that a limit counts.
 type Resource uint8
 
 const (
-	// Requests are counted one each.
+	// Requests counts each request as one.
 	Requests Resource = iota
-	// Tokens are prompt and output tokens together.
+	// Tokens counts prompt and output tokens together.
 	Tokens
 )
 
-// ID names one limit of one workspace.
+// ID identifies one limit of one workspace.
 type ID struct {
 	Workspace string   `cbor:"1,keyasint"`
 	Resource  Resource `cbor:"2,keyasint"`
 }
 
-// Demand is what an instance asks for one limit.
+// Demand is an instance's request for a share of one limit.
 type Demand struct {
 	ID ID `cbor:"1,keyasint"`
-	// Rate asked for in units per second; 0 returns the share.
+	// Rate wanted in units per second; 0 returns the share.
 	Rate float64 `cbor:"2,keyasint"`
 	// Held is the Seq of the share in use, 0 for none.
 	Held uint64 `cbor:"3,keyasint"`
-	// Share is what is in use, for an Allocator that does not know it: see Resume.
+	// Share in use, for an Allocator that does not know it: see Resume.
 	Share Limit `cbor:"4,keyasint"`
 }
 
-// Share is a leased part of one limit.
+// Share is a leased share of one limit.
 type Share struct {
 	ID ID `cbor:"1,keyasint"`
-	// Seq grows with each share of an Allocator.
+	// Seq increases with each share that an Allocator grants.
 	Seq uint64 `cbor:"2,keyasint"`
-	// Rate and Burst of the share.
+	// Limit is the rate and burst of the share.
 	Limit Limit `cbor:"3,keyasint"`
-	// Lease is how long it holds, counted by the instance from the moment
-	// that it SENT the report which this share answers: that is before the
-	// owner granted it, so it ends at the instance first.
+	// Lease is how long the share is valid, counted by the instance from when it
+	// SENT the report that this share answers. That is before the Allocator
+	// granted it, so the lease ends at the instance first.
 	Lease time.Duration `cbor:"4,keyasint"`
 }
 
-// Lookup returns the region's part of a limit; false if there is none.
+// Lookup returns the region's share of a limit; false if there is no limit.
 type Lookup func(ID) (Limit, bool)
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -9,9 +9,9 @@
 )
 
 var (
-	start = time.Unix(1_800_000_000, 0)
-	whole = Limit{Rate: 100, Burst: 200}
-	id    = ID{"w", Requests}
+	start     = time.Unix(1_800_000_000, 0)
+	fullLimit = Limit{Rate: 100, Burst: 200}
+	id        = ID{"w", Requests}
 )
 
 const (
@@ -19,33 +19,33 @@
 	step  = 250 * time.Millisecond
 )
 
-func lookup(i ID) (Limit, bool) { return whole, i.Resource == Requests }
+func lookup(i ID) (Limit, bool) { return fullLimit, i.Resource == Requests }
 
-// pool is a few Limiters and their Allocator over a faulty network.
-type pool struct {
-	t        *rapid.T
-	now      time.Time
-	alloc    *Allocator
-	limiters []*Limiter
-	names    []string
-	answers  []answer
-	// lossy loses, doubles and delays single messages; cut names instances
-	// that hear and say nothing from cutAt on.
-	lossy bool
-	cut   int
-	cutAt time.Time
+// cluster is several Limiters and their Allocator on a faulty network.
+type cluster struct {
+	t         *rapid.T
+	now       time.Time
+	alloc     *Allocator
+	limiters  []*Limiter
+	names     []string
+	responses []response
+	// lossy: single messages are lost, duplicated and delayed. partitioned is the number
+	// of instances that send and receive nothing after partitionedAt.
+	lossy         bool
+	partitioned   int
+	partitionedAt time.Time
 	// excess is what passed above the rate since its lowest point.
 	excess float64
 }
 
-type answer struct {
+type response struct {
 	to     int
 	number uint64
 	shares []Share
 }
 
-func newPool(t *rapid.T) *pool {
-	p := &pool{t: t, now: start}
+func newCluster(t *rapid.T) *cluster {
+	p := &cluster{t: t, now: start}
 	n := rapid.IntRange(2, 5).Draw(t, "instances")
 	for i := range n {
 		p.names = append(p.names, fmt.Sprint(i))
@@ -55,48 +55,48 @@
 	return p
 }
 
-func (p *pool) chance(label string, in int) bool {
-	return p.lossy && rapid.IntRange(1, in).Draw(p.t, label) == 1
+func (p *cluster) chance(label string, oneIn int) bool {
+	return p.lossy && rapid.IntRange(1, oneIn).Draw(p.t, label) == 1
 }
 
-func (p *pool) isCut(i int) bool { return i < p.cut && p.now.After(p.cutAt) }
+func (p *cluster) isPartitioned(i int) bool { return i < p.partitioned && p.now.After(p.partitionedAt) }
 
-// round is one report of each instance and the answers under way.
-func (p *pool) round() {
-	late := p.answers
-	p.answers = nil
+// round sends a report of each instance and delivers delayed responses.
+func (p *cluster) round() {
+	delayed := p.responses
+	p.responses = nil
 	for i, l := range p.limiters {
 		p.send(i)(l.Report(p.now))
 		if number, demands := l.UrgentReport(p.now); len(demands) > 0 {
 			p.send(i)(number, demands)
 		}
 	}
-	for _, a := range late {
+	for _, a := range delayed {
 		p.limiters[a.to].ApplyShares(p.now, a.number, a.shares)
 	}
 }
 
-// send takes a report of an instance to the owner and the answer back.
-func (p *pool) send(i int) func(number uint64, demands []Demand) {
+// send delivers a report of an instance to the Allocator and returns the response.
+func (p *cluster) send(i int) func(number uint64, demands []Demand) {
 	return func(number uint64, demands []Demand) {
-		if p.isCut(i) || p.chance("report lost", 4) {
+		if p.isPartitioned(i) || p.chance("report lost", 4) {
 			return
 		}
 		shares := p.alloc.Report(p.now, p.names[i], number, demands)
-		if p.chance("report doubled", 4) && p.alloc.Report(p.now, p.names[i], number, demands) != nil {
-			p.t.Fatal("a doubled report was answered")
+		if p.chance("report duplicated", 4) && p.alloc.Report(p.now, p.names[i], number, demands) != nil {
+			p.t.Fatal("a duplicated report got a response")
 		}
-		a := answer{i, number, shares}
-		if p.chance("answer late", 4) {
-			p.answers = append(p.answers, a)
-		} else if !p.chance("answer lost", 4) {
+		a := response{i, number, shares}
+		if p.chance("response late", 4) {
+			p.responses = append(p.responses, a)
+		} else if !p.chance("response lost", 4) {
 			p.limiters[i].ApplyShares(p.now, number, shares)
 		}
 	}
 }
 
-// pass asks each instance for some units and checks the bound on any window.
-func (p *pool) pass(asked []int) {
+// takeAndCheck requests some units at each instance and checks the bound on any window.
+func (p *cluster) takeAndCheck(asked []int) {
 	passed, floors := 0.0, 0.0
 	for i, l := range p.limiters {
 		for range asked[i] {
@@ -108,38 +108,37 @@
 			floors += b.floor.Rate
 		}
 	}
-	allowed := max(whole.Rate, floors+p.inForce()) * step.Seconds()
+	allowed := max(fullLimit.Rate, floors+p.inForce()) * step.Seconds()
 	p.excess = max(0, p.excess+passed-allowed)
-	if most := 2*whole.Burst + allowed + float64(len(p.names)); p.excess > most {
-		p.t.Fatalf("%v above the rate, at most %v", p.excess, most)
+	if maxExcess := 2*fullLimit.Burst + allowed + float64(len(p.names)); p.excess > maxExcess {
+		p.t.Fatalf("%v above the rate, want at most %v", p.excess, maxExcess)
 	}
 }
 
-func (p *pool) inForce() float64 {
+func (p *cluster) inForce() float64 {
 	sum := 0.0
 	for _, l := range p.limiters {
 		if b := l.buckets[id]; b != nil && p.now.Before(b.until) {
 			sum += b.share.Rate
 		}
 	}
-	if sum > whole.Rate*(1+1e-9) {
-		p.t.Fatalf("shares of %v are in force, the limit is %v", sum, whole.Rate)
+	if sum > fullLimit.Rate*(1+1e-9) {
+		p.t.Fatalf("shares in force sum to %v, the limit is %v", sum, fullLimit.Rate)
 	}
 	return sum
 }
 
-// Symptom: a workspace passes more than its limit, region-wide.
-// Events: reports and answers are lost, doubled and late, demand moves between
-// instances and vanishes, some instances are cut off and go on on their floors.
-// Cause: a share given on while its old holder still spends it; a floor that
-// nobody set aside; a burst given anew to each new bucket.
+// Guards against a region that passes more than a workspace's limit while reports and
+// responses are lost, duplicated and late, demand moves and stops, and some instances are
+// partitioned and use their floors: a share granted to another while its old holder still
+// spends it, a floor that was not set aside, or a new burst for each new bucket.
 func TestNeverOverTheLimitInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPool(t)
+		p := newCluster(t)
 		p.lossy = rapid.Bool().Draw(t, "lossy")
 		if !p.lossy {
-			p.cut = rapid.IntRange(0, len(p.names)).Draw(t, "cut")
-			p.cutAt = start.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "cut at")) * time.Second)
+			p.partitioned = rapid.IntRange(0, len(p.names)).Draw(t, "cut")
+			p.partitionedAt = start.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "cut at")) * time.Second)
 		}
 		asked := make([]int, len(p.names))
 		for i := range 240 {
@@ -152,28 +151,27 @@
 				p.round()
 				p.alloc.Sweep(p.now)
 			}
-			p.pass(asked)
+			p.takeAndCheck(asked)
 			p.now = p.now.Add(step)
 		}
 	})
 }
 
-// Symptom: a cut-off region passes more than a workspace's limit, second after
-// second; so does one whose workspaces come and go.
-// Events: all ask for more than the limit; some instances are cut off, or ask
-// for a moment only and fall silent until their bucket is forgotten.
-// Cause: floors that are not set aside, a burst given anew with each bucket.
-func TestCutsAndComingsAndGoingsStayInTheLimit(t *testing.T) {
+// Guards against a region that passes more than a workspace's limit for as long as it is
+// partitioned, or while workspaces come and go. All ask for more than the limit; some
+// instances are partitioned, or ask briefly and stop until their bucket is removed. Causes:
+// floors that are not set aside, or a new burst with each bucket.
+func TestPartitionsAndRecreatedBucketsStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPool(t)
-		p.cut = rapid.IntRange(0, len(p.names)).Draw(t, "cut")
-		p.cutAt = start.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "cut at")) * time.Second)
-		comes := rapid.IntRange(p.cut, len(p.names)).Draw(t, "come and go")
+		p := newCluster(t)
+		p.partitioned = rapid.IntRange(0, len(p.names)).Draw(t, "cut")
+		p.partitionedAt = start.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "cut at")) * time.Second)
+		intermittent := rapid.IntRange(p.partitioned, len(p.names)).Draw(t, "come and go")
 		asked := make([]int, len(p.names))
 		for i := range 1600 {
 			for j := range asked {
 				asked[j] = 40
-				if j >= comes && j > 0 && i%160 > 2 {
+				if j >= intermittent && j > 0 && i%160 > 2 {
 					asked[j] = 0
 				}
 			}
@@ -181,37 +179,35 @@
 				p.round()
 				p.alloc.Sweep(p.now)
 			}
-			p.pass(asked)
+			p.takeAndCheck(asked)
 			p.now = p.now.Add(step)
 		}
 	})
 }
 
-// Symptom: a share that was given on comes back to life.
-// Events: an answer is overtaken by a later one; the bucket is forgotten and
-// made anew; the old answer arrives.
-// Cause: answers taken in any order.
-func TestOvertakenAnswerIsIgnored(t *testing.T) {
+// Guards against a share that was granted to another and takes effect again: a response is
+// overtaken by a later one, the bucket is removed and created anew, and the old response
+// arrives.
+func TestOvertakenResponseIsIgnored(t *testing.T) {
 	l := NewLimiter(lookup, 2, lease)
 	now := start
 	l.Take(now, "w", 0)
 	first, _ := l.Report(now)
 	second, _ := l.Report(now)
-	l.ApplyShares(now, second, []Share{{ID: id, Seq: 2, Limit: whole, Lease: lease}})
-	delete(l.buckets, id) // as Report does after a while without demand
+	l.ApplyShares(now, second, []Share{{ID: id, Seq: 2, Limit: fullLimit, Lease: lease}})
+	delete(l.buckets, id) // As Report does after some time without demand.
 	l.Take(now, "w", 0)
-	l.ApplyShares(now, first, []Share{{ID: id, Seq: 1, Limit: whole, Lease: lease}})
+	l.ApplyShares(now, first, []Share{{ID: id, Seq: 1, Limit: fullLimit, Lease: lease}})
 	if got := l.buckets[id].seq; got != 0 {
-		t.Fatalf("share %d came back", got)
+		t.Fatalf("share %d took effect again", got)
 	}
 }
 
-// Symptom: a workspace is held below its limit although it asks for more.
-// Events: demand is uneven and moves to another instance.
-// Cause: equal shares, or shares that stay where demand has gone.
+// Guards against a workspace held below its limit because shares are equal, or stay where
+// demand was, while demand is uneven and moves to another instance.
 func TestLimitIsUsedWhereDemandIs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPool(t)
+		p := newCluster(t)
 		asked := make([]int, len(p.names))
 		for range 2 {
 			total := 0
@@ -233,9 +229,9 @@
 					}
 				}
 			}
-			want := 0.9 * min(whole.Rate*step.Seconds(), float64(total)) * 60
-			if shares := p.inForce(); total > 0 && shares < 0.9*whole.Rate {
-				t.Fatalf("shares of only %v are in force", shares)
+			want := 0.9 * min(fullLimit.Rate*step.Seconds(), float64(total)) * 60
+			if shares := p.inForce(); total > 0 && shares < 0.9*fullLimit.Rate {
+				t.Fatalf("shares in force sum to only %v", shares)
 			}
 			if float64(got) < want {
 				t.Fatalf("%d passed of %v wanted, asked %v", got, want, asked)
@@ -248,7 +244,7 @@
 		}
 		for _, l := range p.limiters {
 			if l.Len() != 0 || p.alloc.Len() != 0 {
-				t.Fatalf("%d buckets and %d divisions are kept without demand", l.Len(), p.alloc.Len())
+				t.Fatalf("%d buckets and %d limit states are kept without demand", l.Len(), p.alloc.Len())
 			}
 		}
 	})
@@ -281,9 +277,10 @@
 	}
 }
 
-// Guards against an owner that has nothing to grant as it counts the floors of all that were
-// asked for a limit once, and against those that go on to spend their floors.
-func TestInstancesThatDoNotStandForALimitSleep(t *testing.T) {
+// Guards against an Allocator that has nothing to grant because it counts the floors of all
+// instances that once got a request for a limit, and against instances that keep spending
+// floors of limits that others are responsible for.
+func TestBucketsOfOtherInstancesLimitsAreDormant(t *testing.T) {
 	const instances = 10
 	now := start
 	var names []string
@@ -297,7 +294,7 @@
 		l.SetFloorDelay(0)
 		l.SetOwned(func(ID) bool { return n == 0 })
 		limiters = append(limiters, l)
-		// Asked before it was known who stands for the limit, until its floor's burst is spent.
+		// Requests that arrive before the responsible instance is known spend the floor's burst.
 		for ok := true; ok; {
 			ok, _ = l.Take(now, "w", 0)
 		}
@@ -311,18 +308,18 @@
 	}
 	for n, l := range limiters {
 		s := l.State(now, id)
-		if n == 0 && (!s.Leased || s.Rate < whole.Rate/2) {
-			t.Errorf("the one that stands for the limit has %+v", s)
+		if n == 0 && (!s.Leased || s.Rate < fullLimit.Rate/2) {
+			t.Errorf("the responsible instance has %+v", s)
 		}
 		if n > 0 && s.Leased {
 			t.Errorf("instance %d has %+v", n, s)
 		}
-		// What came before it slept may be spent.
+		// Tokens from before the bucket became dormant may be spent.
 		for ok := n > 0; ok; {
 			ok, _ = l.Take(now, "w", 0)
 		}
 		if ok, _ := l.Take(now.Add(10*lease), "w", 0); n > 0 && ok {
-			t.Errorf("instance %d lets more pass", n)
+			t.Errorf("instance %d passes more requests", n)
 		}
 	}
 }
--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Bucket is a token bucket filled by a share until its lease ends, and by the
-// floor afterwards. Times never go back; an earlier time counts as no time.
+// Bucket is a token bucket filled by a share until the share's lease ends, and by the
+// floor afterwards. Time never moves backwards: an earlier time counts as no time.
 type Bucket struct {
 	floor Limit
 	share Limit
 	seq   uint64
-	// tokens are up to the floor's burst, which each bucket is lent for good,
-	// and the burst of the share. A new bucket starts with what is lent, and one
-	// is forgotten only when it has that again: a workspace that comes and goes
-	// would else be given a burst each time.
+	// tokens are limited to the floor's burst, which each bucket always has, plus the
+	// burst of the share. A new bucket starts with the floor's burst and is removed only
+	// when it has that again: otherwise a workspace that comes and goes would get a
+	// burst each time.
 	tokens float64
 	at     time.Time
-	// until is the end of the share's lease, or when the floor sets in where no
-	// share came yet.
-	until  time.Time
-	demand demand
-	hurry  hurry
-	// usedAt is when it was last asked.
+	// until is the end of the share's lease or, if no share has arrived yet, when the
+	// floor takes effect.
+	until   time.Time
+	demand  demand
+	urgency urgency
+	// usedAt is the time of the last request.
 	usedAt time.Time
-	// dormant: another instance stands for the limit, and no share is in force here. What is
-	// left may be spent, and no more comes.
+	// dormant: another instance is responsible for the limit, and no share is in force here.
+	// Remaining tokens may be spent, but none are added.
 	dormant bool
 }
 
-// newBucket starts with the floor's burst and no rate until wait has passed.
-func newBucket(now time.Time, floor Limit, wait time.Duration, p pace) *Bucket {
+// newBucket returns a bucket with the floor's burst and no rate until wait has passed.
+func newBucket(now time.Time, floor Limit, wait time.Duration, p timeScale) *Bucket {
 	return &Bucket{
 		floor: floor, tokens: floor.Burst, at: now,
-		until: now.Add(wait), demand: demand{pace: p, at: now},
+		until: now.Add(wait), demand: demand{scale: p, at: now},
 	}
 }
 
-// fill adds what the share gave until its lease ended and the floor since.
+// fill adds what the share gave until its lease ended, and the floor since.
 func (b *Bucket) fill(now time.Time) {
 	if !now.After(b.at) {
 		return
@@ -52,7 +52,7 @@
 		b.add(end.Sub(b.at), b.share.Rate, b.floor.Burst+b.share.Burst)
 		b.at = end
 		if end == b.until {
-			// What was saved under the share goes on to its next holder.
+			// What was saved under the share passes to its next holder.
 			b.tokens = min(b.tokens, b.floor.Burst)
 			b.share, b.seq = Limit{}, 0
 		}
@@ -65,11 +65,11 @@
 	}
 }
 
-func (b *Bucket) add(d time.Duration, rate, most float64) {
-	b.tokens = max(b.tokens, min(most, b.tokens+d.Seconds()*rate))
+func (b *Bucket) add(d time.Duration, rate, maxTokens float64) {
+	b.tokens = max(b.tokens, min(maxTokens, b.tokens+d.Seconds()*rate))
 }
 
-// rate in force at a time.
+// rate returns the rate in force at now, in units per second.
 func (b *Bucket) rate(now time.Time) float64 {
 	if now.Before(b.until) {
 		return b.share.Rate
@@ -77,40 +77,39 @@
 	return b.floor.Rate
 }
 
-// grant replaces the share. What was saved above the new burst is given up.
+// grant replaces the share. Tokens above the new burst are dropped.
 func (b *Bucket) grant(now time.Time, s Share, until time.Time) {
 	b.fill(now)
 	if s.Seq <= b.seq || !now.Before(until) {
 		return
 	}
 	if s.Limit.Rate < b.share.Rate*(1-hysteresis) {
-		b.hurry.shrunk = true
+		b.urgency.shrunk = true
 	}
 	b.share, b.seq, b.until = s.Limit, s.Seq, until
 	b.tokens = min(b.tokens, b.floor.Burst+s.Limit.Burst)
 }
 
-// take spends n units and reports whether it could; if not, wait is when to
-// come back at the present rate, and nothing is spent. Any request is let
-// through while tokens are left, and what it costs above them is a debt: the
-// shares of a limit are small, and one request may well cost more than a whole
-// burst of a share. The bound counts the debt, one request for each instance.
+// take consumes n units and reports whether it could; if not, nothing is consumed and
+// wait is when to retry at the current rate. Any request passes while tokens are left,
+// and what it costs beyond them is debt: shares are small, and one request may well cost
+// more than a share's whole burst. The bound includes the debt, one request for each instance.
 func (b *Bucket) take(now time.Time, n float64) (ok bool, wait time.Duration) {
 	if n <= 0 {
 		return true, 0
 	}
 	b.fill(now)
 	b.usedAt = now
-	b.demand.asked += n
+	b.demand.requested += n
 	if b.tokens > 0 {
 		b.tokens -= n
 		return true, 0
 	}
-	b.hurry.refused = true
+	b.urgency.refused = true
 	return false, waitFor(-b.tokens, b.rate(now))
 }
 
-// inForce is the share in force; nothing if it has ended.
+// inForce returns the share in force; zero if it has ended.
 func (b *Bucket) inForce(now time.Time) Limit {
 	if b.seq == 0 || !now.Before(b.until) {
 		return Limit{}
@@ -118,12 +117,12 @@
 	return b.share
 }
 
-// ask is the rate to ask the owner for, above 0.
-func (b *Bucket) ask() float64 {
-	return max(b.demand.need(b.tokens), leastPart*b.floor.Rate)
+// requestedRate returns the rate to request from the Allocator, above 0.
+func (b *Bucket) requestedRate() float64 {
+	return max(b.demand.need(b.tokens), minDemandShare*b.floor.Rate)
 }
 
-// burst is the most that may be saved.
+// burst returns the most tokens that the bucket may hold.
 func (b *Bucket) burst(now time.Time) float64 {
 	if now.Before(b.until) && b.seq > 0 {
 		return b.floor.Burst + b.share.Burst
@@ -131,7 +130,7 @@
 	return b.floor.Burst
 }
 
-// maxWait bounds what a caller is told where the rate is nearly nothing.
+// maxWait bounds the wait that a caller is told where the rate is nearly zero.
 const maxWait = time.Minute
 
 func waitFor(units, rate float64) time.Duration {
@@ -145,88 +144,90 @@
 	return max(time.Millisecond, time.Duration(math.Ceil(s*1e3))*time.Millisecond)
 }
 
-// Limiter holds the buckets of one instance, for workspaces with demand only.
-// It has a single owner.
+// Limiter holds the buckets of one instance, only for workspaces with demand.
+// It is not safe for concurrent use.
 type Limiter struct {
 	lookup    Lookup
 	instances int
 	lease     time.Duration
-	// wait is how long a new bucket has no rate until it is on its floor without a share.
-	wait    time.Duration
-	pace    pace
-	buckets map[ID]*Bucket
-	// sentAt are the times of reports not answered yet, by number.
-	sentAt map[uint64]time.Time
-	report uint64
-	// answered is the highest report whose answer was taken. An older answer
-	// would bring back a share that the owner gave on.
-	answered uint64
-	// hurried are the buckets that may have something urgent to report.
-	hurried map[ID]bool
-	// owns, if set, says which limits this instance still stands for.
+	// floorDelay is how long a new bucket has no rate before it uses its floor without a share.
+	floorDelay time.Duration
+	scale      timeScale
+	buckets    map[ID]*Bucket
+	// sentAt holds the times of reports without a response, by number.
+	sentAt     map[uint64]time.Time
+	lastReport uint64
+	// lastAnswered is the highest report whose response was applied. An older response
+	// would bring back a share that the Allocator has granted to another.
+	lastAnswered uint64
+	// urgent are the limits whose buckets may need an urgent report.
+	urgent map[ID]bool
+	// owns, if set, reports whether this instance is responsible for a limit.
 	owns func(ID) bool
 }
 
-// releaseAfter is how long a limit that the instance does not stand for any more must not
-// have been asked for until its share is returned: the others learn of a change of who
-// stands for it within that time.
+// releaseAfter is how long a limit that the instance is no longer responsible for must be
+// without requests before its share is returned: within that time the other instances
+// learn of the change of responsibility.
 const releaseAfter = time.Second
 
-// dormantLife is how many leases a dormant bucket is kept after it was last asked: one that is
-// forgotten is lent its floor's burst again.
-const dormantLife = 10
+// dormantLeases is the number of leases for which a dormant bucket is kept after its last
+// request: one that is removed gets its floor's burst again.
+const dormantLeases = 10
 
-// SetOwned tells which limits this instance stands for. Shares of others are returned once
-// nobody asks for them.
+// SetOwned sets which limits this instance is responsible for. Shares of others are returned
+// once they get no more requests.
 func (l *Limiter) SetOwned(owns func(ID) bool) { l.owns = owns }
 
-// sleeps notes whether a limit is another instance's of which no share is in force here, and
-// reports whether the owner is to be told.
+// updateDormant updates whether a bucket is dormant: its limit is another instance's and no
+// share of it is in force here. It reports whether the bucket became dormant, which the
+// Allocator must be told.
 //
-// What goes wrong without it: after a start each instance is asked for a while for limits that
-// others stand for. The owner counts the floor of each, and has nothing left to grant.
-func (l *Limiter) sleeps(now time.Time, id ID, b *Bucket) (tell bool) {
-	before := b.dormant
+// Without this, each instance gets requests for a while after a start for limits that others
+// are responsible for; the Allocator counts the floor of each and has nothing left to grant.
+func (l *Limiter) updateDormant(now time.Time, id ID, b *Bucket) (changed bool) {
+	wasDormant := b.dormant
 	b.dormant = l.owns != nil && !l.owns(id) && b.inForce(now).Rate <= 0
-	return b.dormant && !before
+	return b.dormant && !wasDormant
 }
 
-// released reports whether a limit is another instance's by now.
-func (l *Limiter) released(now time.Time, id ID, b *Bucket) bool {
+// releasable reports whether another instance has become responsible for a limit and the
+// bucket has had no requests for releaseAfter.
+func (l *Limiter) releasable(now time.Time, id ID, b *Bucket) bool {
 	return l.owns != nil && !l.owns(id) && now.Sub(b.usedAt) > releaseAfter
 }
 
-// maxUnanswered bounds the reports whose answer is still taken.
-const maxUnanswered = 8
+// maxPendingReports bounds the reports whose response is still accepted.
+const maxPendingReports = 8
 
-// NewLimiter makes the Limiter of one of instances instances of a region.
-// lease is the lease of shares.
+// NewLimiter returns the Limiter of one instance of a region. lookup gives the region's share
+// of a limit, instances is the number of instances in the region, and lease that of shares.
 func NewLimiter(lookup Lookup, instances int, lease time.Duration) *Limiter {
 	return &Limiter{
-		lookup: lookup, instances: max(1, instances), lease: lease, wait: lease, pace: 1,
+		lookup: lookup, instances: max(1, instances), lease: lease, floorDelay: lease, scale: 1,
 		buckets: make(map[ID]*Bucket), sentAt: make(map[uint64]time.Time),
-		hurried: make(map[ID]bool),
+		urgent: make(map[ID]bool),
 	}
 }
 
-// SetFloorDelay tells how long new buckets have no rate until they are on their floors without a
-// share; a lease, if nothing is told. Within a lease another instance may use a share of the
-// same part, unless that is known to have ended.
-func (l *Limiter) SetFloorDelay(d time.Duration) { l.wait = d }
+// SetFloorDelay sets how long new buckets have no rate before they use their floors without a
+// share; the default is a lease. Until then another instance may use a share that includes
+// this floor, unless that is known to have ended.
+func (l *Limiter) SetFloorDelay(d time.Duration) { l.floorDelay = d }
 
-// SetTimeScale has the Limiter follow demand faster or slower than with a report every two seconds,
-// where it is 1: the time constants are that part of theirs.
-func (l *Limiter) SetTimeScale(p float64) { l.pace = pace(p) }
+// SetTimeScale multiplies the time constants with which demand is followed; 1, the default,
+// suits a report every two seconds.
+func (l *Limiter) SetTimeScale(p float64) { l.scale = timeScale(p) }
 
-// SetInstances tells the number of instances in the region; floors of buckets
-// made before follow with the next Report.
+// SetInstances sets the number of instances in the region. Floors of existing buckets
+// follow with the next Report.
 func (l *Limiter) SetInstances(n int) { l.instances = max(1, n) }
 
-// Len is the number of buckets held.
+// Len returns the number of buckets.
 func (l *Limiter) Len() int { return len(l.buckets) }
 
-// Take spends a request and its tokens from a workspace's limits, both or
-// neither. If not ok, wait says when to come back.
+// Take consumes one request and its tokens from a workspace's limits, both or neither.
+// If not ok, wait is the time until a retry may succeed.
 func (l *Limiter) Take(now time.Time, workspace string, tokens float64) (ok bool, wait time.Duration) {
 	ok, wait = l.take(now, ID{workspace, Requests}, 1)
 	if !ok {
@@ -239,8 +240,7 @@
 	return ok, wait
 }
 
-// Refund gives tokens back that an estimate took too many of; a negative
-// number takes more.
+// Refund returns tokens that an estimate took too many of; a negative number takes more.
 func (l *Limiter) Refund(now time.Time, workspace string, tokens float64) {
 	if b := l.buckets[ID{workspace, Tokens}]; b != nil {
 		b.fill(now)
@@ -255,12 +255,12 @@
 	}
 	ok, wait = b.take(now, n)
 	if !ok {
-		l.hurried[id] = true
+		l.urgent[id] = true
 	}
 	return ok, wait
 }
 
-// bucket returns nil where there is no limit.
+// bucket returns the bucket of a limit, creating it if needed; nil if there is no limit.
 func (l *Limiter) bucket(now time.Time, id ID) *Bucket {
 	if b := l.buckets[id]; b != nil {
 		return b
@@ -269,57 +269,57 @@
 	if !ok || lim.Rate <= 0 {
 		return nil
 	}
-	b := newBucket(now, lim.Scaled(1/float64(l.instances)), l.wait, l.pace)
+	b := newBucket(now, lim.Scaled(1/float64(l.instances)), l.floorDelay, l.scale)
 	l.buckets[id] = b
 	return b
 }
 
 const (
-	// idle is the demand, as a part of the floor's rate, under which a full
-	// bucket is forgotten and its share returned.
-	idle = 0.001
-	// leastPart of the floor's rate is asked for at least. An idle bucket fills
-	// up with it, so that it is forgotten at some time also where others want
-	// all. To ask for 0 would return a share that is still in use.
-	leastPart = 0.02
+	// idleShare is the demand, as a fraction of the floor's rate, below which a full
+	// bucket is removed and its share returned.
+	idleShare = 0.001
+	// minDemandShare is the least demand reported, as a fraction of the floor's rate. An
+	// idle bucket fills up with it, so that it can be removed even where others want
+	// everything. Demand of 0 would return a share that is still in use.
+	minDemandShare = 0.02
 )
 
-// Report returns the demands to send to the owner, and the number under which
-// ApplyShares takes the answer. It is called about once a second, and sent also where
-// it has no demands: the owner sets floors aside for instances that are silent.
+// Report returns the demands to send to the Allocator, and the number with which
+// ApplyShares takes the response. Call it about once a second, and send the report even
+// without demands: the Allocator sets aside the floors of instances that are silent.
 func (l *Limiter) Report(now time.Time) (number uint64, demands []Demand) {
-	clear(l.hurried)
+	clear(l.urgent)
 	for id, b := range l.buckets {
-		b.hurry.reported()
+		b.urgency.reportSent()
 		b.fill(now)
-		if l.sleeps(now, id, b) {
+		if l.updateDormant(now, id, b) {
 			demands = append(demands, Demand{ID: id})
 		}
 		if b.dormant {
-			if now.Sub(b.usedAt) > dormantLife*l.lease {
+			if now.Sub(b.usedAt) > dormantLeases*l.lease {
 				delete(l.buckets, id)
 			}
 			continue
 		}
-		if l.released(now, id, b) || !l.refloor(now, id, b) {
+		if l.releasable(now, id, b) || !l.updateFloor(now, id, b) {
 			delete(l.buckets, id)
 			demands = append(demands, Demand{ID: id, Held: b.seq})
 			continue
 		}
-		b.demand.measure(now)
-		rate := b.ask()
-		if b.demand.rate() < idle*b.floor.Rate && b.tokens >= b.floor.Burst {
+		b.demand.update(now)
+		rate := b.requestedRate()
+		if b.demand.rate() < idleShare*b.floor.Rate && b.tokens >= b.floor.Burst {
 			rate = 0
 			delete(l.buckets, id)
 		}
 		demands = append(demands, Demand{ID: id, Rate: rate, Held: b.seq, Share: b.inForce(now)})
 	}
-	return l.number(now), sorted(demands)
+	return l.startReport(now), sortDemands(demands)
 }
 
-// refloor follows a change of the limit or of the number of instances; it
-// returns false if there is no limit any more.
-func (l *Limiter) refloor(now time.Time, id ID, b *Bucket) bool {
+// updateFloor follows a change of the limit or of the number of instances. It returns
+// false if there is no limit any more.
+func (l *Limiter) updateFloor(now time.Time, id ID, b *Bucket) bool {
 	lim, ok := l.lookup(id)
 	if !ok || lim.Rate <= 0 {
 		return false
@@ -329,51 +329,50 @@
 	return true
 }
 
-// number starts a report.
-func (l *Limiter) number(now time.Time) uint64 {
-	l.report++
-	l.sentAt[l.report] = now
-	delete(l.sentAt, l.report-maxUnanswered)
-	return l.report
+// startReport returns the number of a new report sent at now.
+func (l *Limiter) startReport(now time.Time) uint64 {
+	l.lastReport++
+	l.sentAt[l.lastReport] = now
+	delete(l.sentAt, l.lastReport-maxPendingReports)
+	return l.lastReport
 }
 
-func sorted(demands []Demand) []Demand {
+func sortDemands(demands []Demand) []Demand {
 	slices.SortFunc(demands, func(a, b Demand) int {
 		return cmp.Or(cmp.Compare(a.ID.Workspace, b.ID.Workspace), cmp.Compare(a.ID.Resource, b.ID.Resource))
 	})
 	return demands
 }
 
-// ApplyShares takes the owner's answer to the report of that number. An answer to
-// a report that is too old is ignored.
+// ApplyShares applies the Allocator's response to the report of that number. Responses
+// to reports that are too old or overtaken are ignored.
 func (l *Limiter) ApplyShares(now time.Time, number uint64, shares []Share) {
 	sent, ok := l.sentAt[number]
-	if !ok || number <= l.answered {
+	if !ok || number <= l.lastAnswered {
 		return
 	}
-	l.answered = number
+	l.lastAnswered = number
 	delete(l.sentAt, number)
 	for _, s := range shares {
 		if b := l.buckets[s.ID]; b != nil {
 			b.grant(now, s, sent.Add(s.Lease))
-			if b.hurry.shrunk {
-				l.hurried[s.ID] = true
+			if b.urgency.shrunk {
+				l.urgent[s.ID] = true
 			}
 		}
 	}
 }
 
-// State is what one limit has here.
+// State is the state of one limit at an instance.
 type State struct {
-	// Rate is what the limit is spent at: that of a share, or of the floor where no share is
-	// in force. Leased says which.
+	// Rate is the current rate in units per second: of a share if Leased, else of the floor.
 	Rate   float64
 	Leased bool
-	// Tokens are left; below 0 they are owed.
+	// Tokens left; negative if in debt.
 	Tokens float64
 }
 
-// State returns what a limit has here at a time; nothing where nobody has asked.
+// State returns the state of a limit at now; zero if it has no bucket.
 func (l *Limiter) State(now time.Time, id ID) State {
 	b := l.buckets[id]
 	if b == nil {
--- a/coord/limit/offered_test.go
+++ b/coord/limit/offered_test.go
@@ -11,105 +11,105 @@
 )
 
 const (
-	// offeredPart of the limit is the load of the tests of refusals.
-	offeredPart = 0.8
-	tick        = 20 * time.Millisecond
+	// offeredShare is the load in the tests of refusals, as a fraction of the limit.
+	offeredShare = 0.8
+	tick         = 20 * time.Millisecond
 )
 
-// crowd offers load to Limiters whose reports come a second apart, each at its
-// own moment.
-type crowd struct {
-	now      time.Time
-	alloc    *Allocator
-	names    []string
-	limiters []*Limiter
-	phase    []time.Duration
-	random   *rand.Rand
-	weights  []float64
-	due      []float64
-	size     float64
-	// load offered, as a part of the limit.
-	load    float64
-	poisson bool
-	urgent  bool
-	central *Bucket
-	// asked, refused, and refused by one bucket, soon (0) and late (1).
-	asked, refused, ideal [2]float64
-	// excess is what passed above the rate since its lowest point, highest the
-	// most of it, and most what is allowed.
-	excess, highest, most float64
+// loadSim offers load to Limiters that each report once a second, at different offsets.
+type loadSim struct {
+	now          time.Time
+	alloc        *Allocator
+	names        []string
+	limiters     []*Limiter
+	reportOffset []time.Duration
+	rng          *rand.Rand
+	weights      []float64
+	dueRequests  []float64
+	requestSize  float64
+	// load offered, as a fraction of the limit.
+	load         float64
+	poisson      bool
+	urgent       bool
+	regionBucket *Bucket
+	// Counts of requests, of refusals, and of refusals by a single bucket for the region;
+	// index 0 for the early part of a run, 1 for the rest.
+	asked, refused, regionRefused [2]float64
+	// excess is what passed above the rate since its lowest point, maxExcess its
+	// maximum, and excessLimit what is allowed.
+	excess, maxExcess, excessLimit float64
 }
 
-func tokensOnly(i ID) (Limit, bool) { return whole, i.Resource == Tokens }
+func tokensOnly(i ID) (Limit, bool) { return fullLimit, i.Resource == Tokens }
 
-func newCrowd(n int, seed uint64) *crowd {
-	c := &crowd{now: start, load: offeredPart, random: rand.New(rand.NewPCG(seed, 1)), central: newBucket(start, whole, 0, 1)}
+func newLoadSim(n int, seed uint64) *loadSim {
+	c := &loadSim{now: start, load: offeredShare, rng: rand.New(rand.NewPCG(seed, 1)), regionBucket: newBucket(start, fullLimit, 0, 1)}
 	for i := range n {
 		c.names = append(c.names, fmt.Sprint(i))
 		c.limiters = append(c.limiters, NewLimiter(tokensOnly, n, lease))
-		c.phase = append(c.phase, time.Duration(c.random.IntN(50))*tick)
+		c.reportOffset = append(c.reportOffset, time.Duration(c.rng.IntN(50))*tick)
 	}
 	c.alloc = NewAllocator(start.Add(-lease), tokensOnly, lease, c.names)
-	c.weights, c.due = make([]float64, n), make([]float64, n)
+	c.weights, c.dueRequests = make([]float64, n), make([]float64, n)
 	return c
 }
 
-// run offers load for d; what comes before soon counts as soon.
-func (c *crowd) run(d, soon time.Duration) {
+// run offers load for d; the first part, of length early, is counted under index 0.
+func (c *loadSim) run(d, early time.Duration) {
 	for t := time.Duration(0); t < d; t += tick {
 		phase := 0
-		if t >= soon {
+		if t >= early {
 			phase = 1
 		}
 		for i, l := range c.limiters {
 			for range c.arrivals(i) {
 				c.take(l, phase)
 			}
-			if c.now.Sub(start)%time.Second == c.phase[i] {
+			if c.now.Sub(start)%time.Second == c.reportOffset[i] {
 				number, demands := l.Report(c.now)
 				l.ApplyShares(c.now, number, c.alloc.Report(c.now, c.names[i], number, demands))
 			}
-			if c.urgent && (c.now.Sub(start)+c.phase[i])%urgentPause == 0 {
-				c.hurry(l, i)
+			if c.urgent && (c.now.Sub(start)+c.reportOffset[i])%minUrgentInterval == 0 {
+				c.sendUrgent(l, i)
 			}
 		}
 		c.now = c.now.Add(tick)
-		c.excess = max(0, c.excess-whole.Rate*tick.Seconds())
+		c.excess = max(0, c.excess-fullLimit.Rate*tick.Seconds())
 	}
 }
 
-func (c *crowd) take(l *Limiter, phase int) {
+func (c *loadSim) take(l *Limiter, phase int) {
 	c.asked[phase]++
-	if ok, _ := c.central.take(c.now, c.size); !ok {
-		c.ideal[phase]++
+	if ok, _ := c.regionBucket.take(c.now, c.requestSize); !ok {
+		c.regionRefused[phase]++
 	}
-	if ok, _ := l.Take(c.now, "w", c.size); !ok {
+	if ok, _ := l.Take(c.now, "w", c.requestSize); !ok {
 		c.refused[phase]++
 		return
 	}
-	c.excess += c.size
-	c.highest = max(c.highest, c.excess)
+	c.excess += c.requestSize
+	c.maxExcess = max(c.maxExcess, c.excess)
 }
 
-func (c *crowd) arrivals(i int) int {
-	mean := c.load * whole.Rate / c.size * c.weights[i] * tick.Seconds()
+func (c *loadSim) arrivals(i int) int {
+	mean := c.load * fullLimit.Rate / c.requestSize * c.weights[i] * tick.Seconds()
 	if !c.poisson {
-		c.due[i] += mean
-		n := int(c.due[i])
-		c.due[i] -= float64(n)
+		c.dueRequests[i] += mean
+		n := int(c.dueRequests[i])
+		c.dueRequests[i] -= float64(n)
 		return n
 	}
 	n := 0
-	for left := c.random.ExpFloat64(); left < mean; left += c.random.ExpFloat64() {
+	for left := c.rng.ExpFloat64(); left < mean; left += c.rng.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-// spread divides the load: evenly, or by powers of two.
-func (c *crowd) spread(even bool) {
+// spread divides the load evenly, or by powers of two.
+func (c *loadSim) spread(even bool) {
 	sum := 0.0
-	for i, j := range c.random.Perm(len(c.weights)) {
+	for i, j := range c.rng.Perm(len(c.weights)) {
 		c.weights[j] = 1
 		if !even {
 			c.weights[j] = 1 / float64(int(1)<<i)
@@ -118,52 +118,50 @@
 	}
 	for i := range c.weights {
 		c.weights[i] /= sum
-		c.due[i] = c.random.Float64()
+		c.dueRequests[i] = c.rng.Float64()
 	}
 }
 
-// hurry sends an urgent report.
-func (c *crowd) hurry(l *Limiter, i int) {
+// sendUrgent sends an urgent report if there is one.
+func (c *loadSim) sendUrgent(l *Limiter, i int) {
 	if number, demands := l.UrgentReport(c.now); len(demands) > 0 {
 		l.ApplyShares(c.now, number, c.alloc.Report(c.now, c.names[i], number, demands))
 	}
 }
 
-// needless is the part refused beyond what one bucket refused.
-func (c *crowd) needless(phase int) float64 {
-	return (c.refused[phase] - c.ideal[phase]) / max(1, c.asked[phase])
+// needlessRefusals returns the fraction refused beyond what a single bucket refused.
+func (c *loadSim) needlessRefusals(phase int) float64 {
+	return (c.refused[phase] - c.regionRefused[phase]) / max(1, c.asked[phase])
 }
 
-// TestOfferedBelowTheLimitIsPassed:
-// Symptom: a workspace that asks for less than its limit is refused.
-// Events: load comes to several instances, evenly or not, regular or at random,
-// is spread anew, or all of it jumps to one instance.
-// Cause: the first to ask is granted all that is free; what is lent to a new
-// bucket is taken back; an instance asks for its average though it is in debt.
-func TestOfferedBelowTheLimitIsPassed(t *testing.T) {
-	sums := &tallies{}
+// Guards against refusals for a workspace that asks for less than its limit while load
+// arrives at several instances, is redistributed, or all moves to one instance. Causes: the
+// first to ask gets all that is free, a new bucket's floor burst is taken back, or an
+// instance in debt asks only for its average.
+func TestLoadBelowTheLimitPasses(t *testing.T) {
+	sums := &phaseStats{}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "instances")
-		c := newCrowd(n, rapid.Uint64().Draw(t, "seed"))
+		c := newLoadSim(n, rapid.Uint64().Draw(t, "seed"))
 		c.urgent = rapid.Bool().Draw(t, "urgent")
 		c.poisson = rapid.Bool().Draw(t, "poisson")
 		part := rapid.SampledFrom([]float64{0.02, 0.1, 0.2}).Draw(t, "part of an instance's second")
-		c.size = part * whole.Rate / float64(n)
+		c.requestSize = part * fullLimit.Rate / float64(n)
 		c.spread(rapid.Bool().Draw(t, "even"))
 		c.run(4*lease, lease)
-		c.count(t, sums, atStart)
+		c.record(t, sums, atStart)
 		c.spread(rapid.Bool().Draw(t, "even anew"))
 		c.run(4*lease, lease)
-		c.count(t, sums, spreadAnew)
+		c.record(t, sums, spreadAnew)
 		clear(c.weights)
 		c.weights[rapid.IntRange(0, n-1).Draw(t, "to")] = 1
 		c.run(4*lease, lease)
-		c.count(t, sums, allToOne)
+		c.record(t, sums, allToOne)
 	})
 	sums.check(t)
 }
 
-// phases of a case of TestOfferedBelowTheLimitIsPassed.
+// Phases of a case of TestLoadBelowTheLimitPasses.
 const (
 	atStart = iota
 	spreadAnew
@@ -172,61 +170,60 @@
 	phases
 )
 
-// bound is what may be refused beyond what one bucket for the whole region would
-// refuse, as a part of what is asked for: in the mean of all cases, and in each.
-type bound struct{ mean, each float64 }
+// refusalBound limits what is refused beyond what a single bucket for the region would
+// refuse, as a fraction of the requests: the mean over all cases, and in each case.
+type refusalBound struct{ mean, each float64 }
 
-// bounds by phase, for regular reports alone and with urgent ones.
-var bounds = [phases][2]bound{
+// refusalBounds by phase, for regular reports alone and with urgent ones.
+var refusalBounds = [phases][2]refusalBound{
 	atStart:     {{0.02, 0.25}, {0.01, 0.15}},
 	spreadAnew:  {{0.05, 0.40}, {0.01, 0.20}},
 	allToOne:    {{0.25, 0.60}, {0.10, 0.35}},
 	aLeaseLater: {{0.002, 0.10}, {0.001, 0.06}},
 }
 
-// tally sums what cases measured.
-type tally struct{ sum, cases, highest float64 }
+// refusalStats sums the fractions refused in all cases.
+type refusalStats struct{ sum, cases, highest float64 }
 
-func (y *tally) add(x float64) {
+func (y *refusalStats) add(x float64) {
 	y.sum += x
 	y.cases++
 	y.highest = max(y.highest, x)
 }
 
-type tallies [phases][2]tally
+type phaseStats [phases][2]refusalStats
 
-// count takes what was measured since the last count.
-func (c *crowd) count(t *rapid.T, sums *tallies, phase int) {
+// record adds the counts since the last call to sums, checks them and resets them.
+func (c *loadSim) record(t *rapid.T, sums *phaseStats, phase int) {
 	reports := 0
 	if c.urgent {
 		reports = 1
 	}
 	for i, p := range []int{phase, aLeaseLater} {
-		got := c.needless(i)
+		got := c.needlessRefusals(i)
 		sums[p][reports].add(got)
-		if most := bounds[p][reports].each; got > most {
-			t.Fatalf("phase %d: %.3f refused, at most %v", p, got, most)
+		if maxRefused := refusalBounds[p][reports].each; got > maxRefused {
+			t.Fatalf("phase %d: %.3f refused, want at most %v", p, got, maxRefused)
 		}
 	}
-	c.asked, c.refused, c.ideal = [2]float64{}, [2]float64{}, [2]float64{}
+	c.asked, c.refused, c.regionRefused = [2]float64{}, [2]float64{}, [2]float64{}
 }
 
-func (s *tallies) check(t *testing.T) {
+func (s *phaseStats) check(t *testing.T) {
 	for p := range s {
 		for reports, y := range s[p] {
 			mean := y.sum / max(1, y.cases)
 			t.Logf("phase %d, urgent reports %d: mean %.4f, highest %.3f", p, reports, mean, y.highest)
-			if most := bounds[p][reports].mean; mean > most {
-				t.Errorf("phase %d, urgent reports %d: %.3f refused, at most %v", p, reports, mean, most)
+			if maxRefused := refusalBounds[p][reports].mean; mean > maxRefused {
+				t.Errorf("phase %d, urgent reports %d: %.3f refused, want at most %v", p, reports, mean, maxRefused)
 			}
 		}
 	}
 }
 
-// TestLargeRequestsBelowTheLimit:
-// Symptom: a workspace with large requests is refused most of them.
-// Events: each request costs up to one second of the limit.
-// Cause: only a full bucket lets them through, and a share isn't raised for debt.
+// Guards against a workspace with large requests, of up to one second of the limit each,
+// being refused most of them because only a full bucket lets them through, or because a
+// share isn't raised for debt.
 func TestLargeRequestsBelowTheLimit(t *testing.T) {
 	const instances = 9
 	for _, k := range []struct {
@@ -234,56 +231,51 @@
 		poisson bool
 		bound   float64
 	}{
-		{whole.Rate / instances, false, 0.02},
-		{whole.Rate / instances, true, 0.12},
-		{whole.Rate, false, 0.10},
-		{whole.Rate, true, 0.25},
+		{fullLimit.Rate / instances, false, 0.02},
+		{fullLimit.Rate / instances, true, 0.12},
+		{fullLimit.Rate, false, 0.10},
+		{fullLimit.Rate, true, 0.25},
 	} {
 		for _, urgent := range []bool{false, true} {
-			sum := &crowd{}
+			sum := &loadSim{}
 			for seed := range uint64(20) {
-				c := newCrowd(instances, seed)
-				c.size, c.poisson, c.urgent = k.size, k.poisson, urgent
+				c := newLoadSim(instances, seed)
+				c.requestSize, c.poisson, c.urgent = k.size, k.poisson, urgent
 				c.spread(seed%2 == 0)
 				c.run(12*lease, lease)
 				sum.asked[1] += c.asked[1]
 				sum.refused[1] += c.refused[1]
-				sum.ideal[1] += c.ideal[1]
+				sum.regionRefused[1] += c.regionRefused[1]
 			}
-			got := sum.needless(1)
+			got := sum.needlessRefusals(1)
 			t.Logf("size %.1f, Poisson %v, urgent reports %v: %.3f", k.size, k.poisson, urgent, got)
 			if got > k.bound {
-				t.Errorf("more than %v", k.bound)
+				t.Errorf("want at most %v", k.bound)
 			}
 		}
 	}
 }
 
-// TestNewOwnerIsHeard:
-// Symptom: after a change of the owner, instances refuse at a load far below the
-// limit for as long as the old one had run.
-// Events: an owner numbers shares for a while; another instance takes over.
-// Cause: shares of the new owner have lower numbers and are taken for old ones.
-func TestNewOwnerIsHeard(t *testing.T) {
+// Guards against refusals far below the limit after a change of Allocator, for as long as
+// the old one had run: the new one's shares have lower numbers and are taken for old ones.
+func TestSharesOfNewAllocatorAreAccepted(t *testing.T) {
 	for _, urgent := range []bool{false, true} {
-		c := newCrowd(9, 1)
-		c.urgent, c.size = urgent, 1
+		c := newLoadSim(9, 1)
+		c.urgent, c.requestSize = urgent, 1
 		c.spread(false)
 		c.run(5*lease, 0)
 		c.alloc = NewAllocator(c.now, tokensOnly, lease, c.names)
 		c.run(3*lease, 2*lease+lease/2)
-		if got := c.needless(1); got > 0.02 {
+		if got := c.needlessRefusals(1); got > 0.02 {
 			t.Errorf("%.3f refused after the change", got)
 		}
 	}
 }
 
-// TestNewOwnerGrantsNothingForALease:
-// Symptom: a workspace passes twice its limit after a change of the owner.
-// Events: the new owner answers while shares of the old one are in use; a share
-// of nothing would end those early and keep floors away.
-// Cause: grants before the predecessor's leases have ended.
-func TestNewOwnerGrantsNothingForALease(t *testing.T) {
+// Guards against a workspace passing twice its limit after a change of Allocator, because
+// the new one grants while shares of the old one are in use. A share of zero would end
+// those early and keep floors away.
+func TestNewAllocatorGrantsNothingForALease(t *testing.T) {
 	a := NewAllocator(start, lookup, lease, []string{"0", "1"})
 	demands := []Demand{{ID: id, Rate: 1, Held: 1000}}
 	if shares := a.Report(start.Add(lease-1), "0", 1, demands); len(shares) != 0 {
@@ -294,19 +286,17 @@
 	}
 }
 
-// TestLargeAndUrgentStayInTheLimit:
-// Symptom: a workspace passes more than its limit, region-wide.
-// Events: instances ask for three times the limit in requests of any size, load
-// moves, urgent reports tell the owner at once, and the owner changes.
-// Cause: a debt of more than one request; a share given on before a smaller one
-// is in use; lent bursts given twice; a new owner that grants at once.
-func TestLargeAndUrgentStayInTheLimit(t *testing.T) {
+// Guards against a region that passes more than a workspace's limit when instances ask for
+// three times the limit in requests of any size, load moves, urgent reports are sent and
+// the Allocator changes. Causes: debt of more than one request, a share granted before a
+// smaller one is in use, floor bursts given twice, or a new Allocator that grants at once.
+func TestLargeRequestsAndUrgentReportsStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "instances")
-		c := newCrowd(n, rapid.Uint64().Draw(t, "seed"))
+		c := newLoadSim(n, rapid.Uint64().Draw(t, "seed"))
 		c.urgent, c.poisson = true, true
-		c.size = rapid.SampledFrom([]float64{1, 5, 20, 100}).Draw(t, "size")
-		c.most = 2*whole.Burst + float64(n)*c.size
+		c.requestSize = rapid.SampledFrom([]float64{1, 5, 20, 100}).Draw(t, "size")
+		c.excessLimit = 2*fullLimit.Burst + float64(n)*c.requestSize
 		c.load = 3
 		for range 6 {
 			c.spread(rapid.Bool().Draw(t, "even"))
@@ -318,8 +308,8 @@
 				c.alloc = NewAllocator(c.now, tokensOnly, lease, c.names)
 			}
 		}
-		if c.highest > c.most*(1+1e-9) {
-			t.Fatalf("%v above the rate, at most %v", c.highest, c.most)
+		if c.maxExcess > c.excessLimit*(1+1e-9) {
+			t.Fatalf("%v above the rate, want at most %v", c.maxExcess, c.excessLimit)
 		}
 	})
 }
