--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -185,7 +185,7 @@
 //
 // Without this, each instance gets requests for a while after a start for limits that others
 // are responsible for; the Allocator counts the floor of each and has nothing left to grant.
-func (l *Limiter) updateDormant(now time.Time, id ID, b *Bucket) (changed bool) {
+func (l *Limiter) updateDormant(now time.Time, id ID, b *Bucket) (becameDormant bool) {
 	wasDormant := b.dormant
 	b.dormant = l.owns != nil && !l.owns(id) && b.inForce(now).Rate <= 0
 	return b.dormant && !wasDormant
