--- a/coord/claim/doc.go
+++ b/coord/claim/doc.go
@@ -42,7 +42,7 @@
 // doubled while it runs.
 //
 // The table's clock moves only by Expire commands, only forward, and by at
-// most MaxStep for each. The log's leader proposes one each Tick. A leader
+// most MaxClockStep for each. The log's leader proposes one each ExpireInterval. A leader
 // whose clock is a day ahead so shortens lifetimes by at most half while it
 // leads, instead of forgetting the whole table at once; a leader whose clock is
 // behind keeps records longer, which is safe.
--- a/coord/claim/example_test.go
+++ b/coord/claim/example_test.go
@@ -36,21 +36,21 @@
 	request := claim.Request{
 		Key: claim.KeyOf("booking-desk", "order-17"), Body: claim.DigestOf([]byte("two seats")),
 		Attempt: claim.AttemptID{1}, Instance: claim.Instance{ID: "malang-1", Incarnation: 1},
-		Sending: claim.First, Lifetime: 24 * time.Hour,
+		Mark: claim.First, Lifetime: 24 * time.Hour,
 	}
 
 	gate, step := claim.Open(now, request)
 	step = gate.Replied(now, h.apply(step.Command))
-	fmt.Println("send:", step.Action == claim.Send && gate.Sending())
+	fmt.Println("send:", step.Action == claim.Send && gate.BeginSend())
 	step = gate.Finished(now, verdict.Ran, 201, claim.DigestOf([]byte("confirmed")))
 	fmt.Println("recorded:", h.apply(step.Command).Reply)
 
-	request.Attempt, request.Sending = claim.AttemptID{2}, claim.Resend
+	request.Attempt, request.Mark = claim.AttemptID{2}, claim.Resend
 	request.Instance.ID = "malang-2"
 	gate, step = claim.Open(now, request)
 	step = gate.Replied(now, h.apply(step.Command))
 	fmt.Println("replay:", step.Action == claim.Replay, step.Done.Verdict, step.Done.Status)
-	fmt.Println("send:", gate.Sending())
+	fmt.Println("send:", gate.BeginSend())
 
 	// Output:
 	// send: true
--- a/coord/claim/expiry.go
+++ b/coord/claim/expiry.go
@@ -4,7 +4,7 @@
 func (t *Table) seconds() uint32 { return uint32(t.clock / 1000) }
 
 // expire moves the clock and forgets what is due. See the package comment for
-// why one command moves it by no more than MaxStep.
+// why one command moves it by no more than MaxClockStep.
 func (t *Table) expire(now int64) Result {
 	if now <= t.clock {
 		return Result{Reply: Accepted}
@@ -13,7 +13,7 @@
 		return t.startClock(now)
 	}
 	from := t.seconds()
-	t.clock = min(now, t.clock+MaxStep.Milliseconds())
+	t.clock = min(now, t.clock+MaxClockStep.Milliseconds())
 	for s := from + 1; s <= t.seconds(); s++ {
 		t.forgetDue(s)
 	}
--- a/coord/claim/gate.go
+++ b/coord/claim/gate.go
@@ -26,9 +26,9 @@
 const (
 	// Wait: nothing until the next event.
 	Wait Action = iota
-	// Ask: propose Step.Command at Step.At, and tell the Gate the outcome by
+	// Propose: propose Step.Command at Step.At, and tell the Gate the outcome by
 	// Replied or Failed.
-	Ask
+	Propose
 	// Send: the key is ours. Call Sending right before the send.
 	Send
 	// Join: ask Step.Owner for the running Step.Attempt, and wait with it. If
@@ -74,7 +74,7 @@
 	Body     Digest
 	Attempt  AttemptID
 	Instance Instance
-	Sending  Sending
+	Mark  Mark
 	// Lifetime of the record, whole seconds, from 1 s to MaxLifetime.
 	Lifetime time.Duration
 }
@@ -177,11 +177,11 @@
 	return Step{Action: Wait}
 }
 
-// Sending marks that the request is about to be sent, and reports whether it
+// BeginSend marks that the request is about to be sent, and reports whether it
 // may be. It is called right before the first byte goes to a target. No time
 // is checked: while the key is ours the table grants it to nobody else, also
 // if this process was frozen meanwhile.
-func (g *Gate) Sending() bool {
+func (g *Gate) BeginSend() bool {
 	if g.state != gateGranted {
 		return false
 	}
@@ -190,9 +190,9 @@
 	return true
 }
 
-// Unsent takes back Sending where it is certain that the target saw nothing of
+// CancelSend takes back Sending where it is certain that the target saw nothing of
 // the request (connection refused), so that another target may be tried.
-func (g *Gate) Unsent() {
+func (g *Gate) CancelSend() {
 	if g.state == gateSent {
 		g.state = gateGranted
 	}
@@ -227,7 +227,7 @@
 // unclaimed is the verdict where the table did not grant the key: another
 // sending may hold it unless the caller vouches that there is none.
 func (g *Gate) unclaimed() verdict.Verdict {
-	if g.r.Sending == First {
+	if g.r.Mark == First {
 		return verdict.NotRun
 	}
 	return verdict.MayHaveRun
@@ -235,7 +235,7 @@
 
 // afterRelease is when a resend is granted the key again.
 func (g *Gate) afterRelease() time.Duration {
-	if g.r.Sending == First {
+	if g.r.Mark == First {
 		return 0
 	}
 	return Hold
@@ -245,16 +245,16 @@
 	g.asks++
 	c := &Claim{
 		Key: g.r.Key, Body: g.r.Body, Attempt: g.r.Attempt, Instance: g.r.Instance,
-		LifetimeSeconds: lifetimeSeconds(g.r.Lifetime), Sending: g.r.Sending,
+		LifetimeSeconds: lifetimeSeconds(g.r.Lifetime), Mark: g.r.Mark,
 	}
 	// The time of the claim is when the Gate was opened, also when it asks again.
-	return Step{Action: Ask, At: at, Command: &Command{Now: g.opened.UnixMilli(), Claim: c}}
+	return Step{Action: Propose, At: at, Command: &Command{Now: g.opened.UnixMilli(), Claim: c}}
 }
 
 func (g *Gate) abandon(now time.Time, notRun bool) *Command {
 	a := &Abandon{
 		Key: g.r.Key, Attempt: g.r.Attempt, NotRun: notRun,
-		LifetimeSeconds: lifetimeSeconds(g.r.Lifetime), Sending: g.r.Sending,
+		LifetimeSeconds: lifetimeSeconds(g.r.Lifetime), Mark: g.r.Mark,
 	}
 	return &Command{Now: now.UnixMilli(), Abandon: a}
 }
--- a/coord/claim/gate_test.go
+++ b/coord/claim/gate_test.go
@@ -29,14 +29,14 @@
 		{Invalid, Refuse, nr, mhr},
 	}
 	for _, row := range rows {
-		for _, mark := range []Sending{First, Resend, Unmarked} {
-			g, _ := Open(start, Request{Sending: mark, Lifetime: time.Hour})
+		for _, mark := range []Mark{First, Resend, Unmarked} {
+			g, _ := Open(start, Request{Mark: mark, Lifetime: time.Hour})
 			s := g.Replied(start, Result{Reply: row.reply})
 			want := row.resend
 			if mark == First {
 				want = row.first
 			}
-			if s.Action != row.action || s.Err.Verdict != want || g.Sending() {
+			if s.Action != row.action || s.Err.Verdict != want || g.BeginSend() {
 				t.Errorf("%v, mark %d: action %d, verdict %v", row.reply, mark, s.Action, s.Err.Verdict)
 			}
 		}
@@ -48,13 +48,13 @@
 // Events: no reply comes; the Gate asks until ClaimWait; the grant comes late.
 // Cause: a send without a claim; a refusal that leaves its claim behind.
 func TestNoClaimNoSend(t *testing.T) {
-	for _, mark := range []Sending{First, Resend, Unmarked} {
-		g, s := Open(start, Request{Sending: mark, Lifetime: time.Hour})
+	for _, mark := range []Mark{First, Resend, Unmarked} {
+		g, s := Open(start, Request{Mark: mark, Lifetime: time.Hour})
 		first := s.Command.Claim.Attempt
 		now := start
 		asks := 0
-		for ; s.Action == Ask; s = g.Failed(now, ReplyLost) {
-			if s.Command.Claim.Attempt != first || g.Sending() {
+		for ; s.Action == Propose; s = g.Failed(now, ReplyLost) {
+			if s.Command.Claim.Attempt != first || g.BeginSend() {
 				t.Fatal("asked under another attempt, or sent without a claim")
 			}
 			asks++
@@ -64,7 +64,7 @@
 		if asks < 3 || now.Sub(start) > ClaimWait || told != (mark == First) || s.Command.Abandon == nil {
 			t.Fatalf("mark %d: %d asks in %v, then %+v", mark, asks, now.Sub(start), s)
 		}
-		if s = g.Replied(now, Result{Reply: Granted}); s.Action != Record || s.Command.Abandon == nil || g.Sending() {
+		if s = g.Replied(now, Result{Reply: Granted}); s.Action != Record || s.Command.Abandon == nil || g.BeginSend() {
 			t.Fatalf("a late grant was kept: %+v", s)
 		}
 	}
@@ -78,18 +78,18 @@
 func TestLateAndDoubledGrants(t *testing.T) {
 	g, _ := Open(start, Request{Lifetime: time.Hour})
 	s := g.Replied(start.Add(ClaimWait), Result{Reply: Granted})
-	if s.Action != Refuse || s.Err.Verdict != verdict.NotRun || s.Command.Abandon == nil || g.Sending() {
+	if s.Action != Refuse || s.Err.Verdict != verdict.NotRun || s.Command.Abandon == nil || g.BeginSend() {
 		t.Errorf("a late grant: %+v", s)
 	}
 	g, _ = Open(start, Request{Lifetime: time.Hour})
 	g.Replied(start, Result{Reply: Granted})
-	if !g.Sending() || g.Sending() {
+	if !g.BeginSend() || g.BeginSend() {
 		t.Error("one grant allows one send")
 	}
 	if s = g.Finished(start, verdict.Ran, 200, Digest{}); s.Command.Finish == nil {
 		t.Errorf("the end: %+v", s)
 	}
-	if s = g.Replied(start, Result{Reply: Granted}); s.Command != nil || g.Sending() {
+	if s = g.Replied(start, Result{Reply: Granted}); s.Command != nil || g.BeginSend() {
 		t.Errorf("a doubled grant: %+v", s)
 	}
 }
--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -250,7 +250,7 @@
 		return Result{Reply: Accepted}
 	}
 	r.state = stateFree
-	t.hold(r, a.Sending)
+	t.hold(r, a.Mark)
 	t.touch(r)
 	return Result{Reply: Accepted}
 }
@@ -268,14 +268,14 @@
 	if !a.NotRun {
 		r.state = stateMayHaveRun
 	}
-	t.hold(r, a.Sending)
+	t.hold(r, a.Mark)
 	t.touch(r)
 	return Result{Reply: Accepted}
 }
 
 // hold keeps the key from everybody where an earlier sending may still have a
 // claim under way: its caller may have been told "not run" by the release.
-func (t *Table) hold(r *record, s Sending) {
+func (t *Table) hold(r *record, s Mark) {
 	if s == First {
 		return
 	}
--- a/coord/claim/table_test.go
+++ b/coord/claim/table_test.go
@@ -135,9 +135,9 @@
 		Instance: Instance{id, w.lives[id]}, Lifetime: time.Hour,
 	}
 	r.Attempt[0], r.Attempt[1] = byte(len(w.sends)), 1
-	r.Sending = First
+	r.Mark = First
 	if len(w.sends) > 0 {
-		r.Sending = []Sending{Resend, Unmarked}[w.draw(2)]
+		r.Mark = []Mark{Resend, Unmarked}[w.draw(2)]
 	}
 	s := &sending{r: r, order: len(w.sends)}
 	w.sends = append(w.sends, s)
@@ -147,7 +147,7 @@
 }
 
 func (w *world) follow(s *sending, step Step) {
-	if step.Action == Ask {
+	if step.Action == Propose {
 		s.asked = true
 	}
 	if step.Command != nil {
@@ -200,11 +200,11 @@
 
 func (w *world) send() {
 	s := w.pick(gateGranted)
-	if s == nil || !s.g.Sending() {
+	if s == nil || !s.g.BeginSend() {
 		return
 	}
 	if w.draw(4) == 0 {
-		s.g.Unsent()
+		s.g.CancelSend()
 		return
 	}
 	s.ran = true
@@ -236,11 +236,11 @@
 	w.lives[id]++
 }
 
-// advance moves time and, at most once a Tick, the leader's Expire command,
+// advance moves time and, at most once a ExpireInterval, the leader's Expire command,
 // whose clock may be ahead by any jump. A former leader may leave one more.
 func (w *world) advance() {
 	w.now = w.now.Add(time.Duration(w.draw(400)) * time.Millisecond)
-	if w.now.Sub(w.ticked) >= Tick {
+	if w.now.Sub(w.ticked) >= ExpireInterval {
 		w.ticked = w.now
 		w.tick()
 	}
@@ -314,7 +314,7 @@
 		}
 		first := uint32(rapid.IntRange(1, 20).Draw(t, "lifetime of a released one"))
 		claimAs(0, first)
-		w.apply(Command{Abandon: &Abandon{Key: key, NotRun: true, LifetimeSeconds: first, Sending: First}})
+		w.apply(Command{Abandon: &Abandon{Key: key, NotRun: true, LifetimeSeconds: first, Mark: First}})
 		claimAs(1, lifetime)
 		finished := rapid.Bool().Draw(t, "finished")
 		if finished {
@@ -344,7 +344,7 @@
 // Cause: an abandoned attempt without a tombstone.
 func TestAbandonedAttemptIsNeverGranted(t *testing.T) {
 	claim := Command{Claim: &Claim{Key: Key{1}, Attempt: AttemptID{1}, Instance: Instance{"a", 1}, LifetimeSeconds: 60}}
-	abandon := Command{Abandon: &Abandon{Key: Key{1}, Attempt: AttemptID{1}, NotRun: true, LifetimeSeconds: 60, Sending: First}}
+	abandon := Command{Abandon: &Abandon{Key: Key{1}, Attempt: AttemptID{1}, NotRun: true, LifetimeSeconds: 60, Mark: First}}
 	for _, before := range [][]Command{{abandon}, {claim, abandon}, {claim, claim, abandon}} {
 		table := NewTable()
 		for _, c := range before {
@@ -368,7 +368,7 @@
 func TestReleaseIsHeldForClaimWait(t *testing.T) {
 	table := NewTable()
 	table.Step(Command{Now: start.UnixMilli(), Expire: &Expire{}})
-	abandon := &Abandon{Key: Key{1}, Attempt: AttemptID{2}, NotRun: true, LifetimeSeconds: 60, Sending: Resend}
+	abandon := &Abandon{Key: Key{1}, Attempt: AttemptID{2}, NotRun: true, LifetimeSeconds: 60, Mark: Resend}
 	table.Step(Command{Abandon: abandon})
 	earlier := &Claim{Key: Key{1}, Attempt: AttemptID{1}, Instance: Instance{"a", 1}, LifetimeSeconds: 3600}
 	for ticks := range 4 { // at 0 s, 1 s and 2 s, and one of a former leader
--- a/coord/claim/types.go
+++ b/coord/claim/types.go
@@ -13,19 +13,19 @@
 	MaxRecords = 1 << 18
 	// MaxLifetime bounds the lifetime that a claim may ask for.
 	MaxLifetime = 7 * 24 * time.Hour
-	// Tick is the least time between two Expire commands: the log's leader
-	// proposes the next one no sooner than a Tick after it applied the last
+	// ExpireInterval is the least time between two Expire commands: the log's leader
+	// proposes the next one no sooner than a ExpireInterval after it applied the last
 	// one, or after it came to lead.
-	Tick = time.Second
-	// MaxStep bounds how far one Expire command moves the table's clock.
-	MaxStep = 2 * time.Second
+	ExpireInterval = time.Second
+	// MaxClockStep bounds how far one Expire command moves the table's clock.
+	MaxClockStep = 2 * time.Second
 	// ClaimWait bounds the time from a request's arrival to the grant.
 	ClaimWait = 2 * time.Second
 	// Hold is how long, on the table's clock, a released key is granted to
 	// nobody where an earlier sending may have a claim under way. It lasts at
-	// least ClaimWait: in that time at most ClaimWait/Tick+1 commands of one
+	// least ClaimWait: in that time at most ClaimWait/ExpireInterval+1 commands of one
 	// leader move the clock, and one more that a former leader left behind.
-	Hold = (ClaimWait/Tick + 2) * MaxStep
+	Hold = (ClaimWait/ExpireInterval + 2) * MaxClockStep
 	// MaxInstances bounds the lost instances that are remembered.
 	MaxInstances = 1 << 14
 )
@@ -60,12 +60,12 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// Sending is what the caller's header says of earlier sendings of a key.
-type Sending uint8
+// Mark is what the caller's header says of earlier sendings of a key.
+type Mark uint8
 
 const (
 	// Unmarked: nothing is said; an earlier sending may exist.
-	Unmarked Sending = iota
+	Unmarked Mark = iota
 	// First: the caller vouches that no earlier sending exists.
 	First
 	// Resend: an earlier sending exists.
@@ -91,7 +91,7 @@
 	Instance Instance  `cbor:"4,keyasint"`
 	// LifetimeSeconds is at least 1; longer than MaxLifetime is refused.
 	LifetimeSeconds uint32  `cbor:"5,keyasint"`
-	Sending         Sending `cbor:"6,keyasint,omitempty"`
+	Mark         Mark `cbor:"6,keyasint,omitempty"`
 }
 
 // Finish records how the attempt that holds a key ended.
@@ -114,7 +114,7 @@
 	NotRun bool `cbor:"3,keyasint,omitempty"`
 	// LifetimeSeconds and Sending are those of the Claim.
 	LifetimeSeconds uint32  `cbor:"4,keyasint"`
-	Sending         Sending `cbor:"5,keyasint,omitempty"`
+	Mark         Mark `cbor:"5,keyasint,omitempty"`
 }
 
 // Expire moves the table's clock to Command.Now and forgets old records.
--- a/node/claims.go
+++ b/node/claims.go
@@ -93,7 +93,7 @@
 
 // run does the duties while this instance leads, until ctx ends.
 func (k *keeper) run(ctx context.Context) {
-	duty.Every(ctx, claim.Tick, func(time.Time) {
+	duty.Every(ctx, claim.ExpireInterval, func(time.Time) {
 		if k.local.Node.LeaseUntil().IsZero() {
 			return
 		}
--- a/node/registered/table.go
+++ b/node/registered/table.go
@@ -116,7 +116,7 @@
 	}
 	switch {
 	case c.Expire != nil:
-		t.gate.LeftSeconds -= min(t.gate.LeftSeconds, uint32(claim.Tick/time.Second))
+		t.gate.LeftSeconds -= min(t.gate.LeftSeconds, uint32(claim.ExpireInterval/time.Second))
 	case c.Finish != nil && reply(result) == claim.Forgotten:
 		// An attempt of the lost table has ended just now.
 		t.gate.LeftSeconds = t.gate.Admission.WaitSeconds
--- a/pipeline/claiming.go
+++ b/pipeline/claiming.go
@@ -52,13 +52,13 @@
 
 // sending asks the gate right before a send.
 func (c *claimed) sending() bool {
-	c.sent = c.gate.Sending()
+	c.sent = c.gate.BeginSend()
 	return c.sent
 }
 
 // unsent takes a send back that certainly reached no target.
 func (c *claimed) unsent() {
-	c.gate.Unsent()
+	c.gate.CancelSend()
 	c.sent = false
 }
 
@@ -104,7 +104,7 @@
 	c.gate = gate
 	for {
 		switch step.Action {
-		case claim.Ask:
+		case claim.Propose:
 			step = f.ask(ctx, c, step)
 		case claim.Send:
 			return f.start(x, c, print, next)
@@ -129,7 +129,7 @@
 		Key:      x.keyOf(),
 		Body:     print,
 		Instance: f.deps.Instance,
-		Sending:  x.Terms.Sending,
+		Mark:  x.Terms.Sending,
 		Lifetime: time.Duration(x.View.Bundle.Rules.ClaimLifetimeSeconds) * time.Second,
 	}
 	_, _ = rand.Read(r.Attempt[:])
--- a/pipeline/floor.go
+++ b/pipeline/floor.go
@@ -24,7 +24,7 @@
 }
 
 // sendingMark reads the resend header: "true", "false", or nothing known.
-func sendingMark(text string) claim.Sending {
+func sendingMark(text string) claim.Mark {
 	switch text {
 	case "true":
 		return claim.Resend
--- a/pipeline/terms.go
+++ b/pipeline/terms.go
@@ -34,7 +34,7 @@
 	IdempotencyKey string
 	// NonIdempotent is the caller's mark.
 	NonIdempotent bool
-	Sending       claim.Sending
+	Sending       claim.Mark
 }
 
 // ReadTerms reads the headers. Anything malformed is refused: a deadline that
