--- a/coord/claim/example_test.go
+++ b/coord/claim/example_test.go
@@ -8,14 +8,14 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// home applies commands to a table at once. A real home proposes them to a
+// localLog applies commands to a table at once. In production they are proposed to a
 // replicated log whose state machine is the table, see coord/replhost.
-type home struct {
+type localLog struct {
 	table *claim.Table
 	index uint64
 }
 
-func (h *home) apply(c *claim.Command) claim.Result {
+func (h *localLog) apply(c *claim.Command) claim.Result {
 	entry, err := claim.Encode(*c)
 	if err != nil {
 		panic(err)
@@ -28,11 +28,11 @@
 	return result
 }
 
-// A booking is sent under a claim. Its caller loses the answer and sends it
-// again to another instance, which must not run it a second time.
+// A booking is sent under a claim. Its caller loses the answer and resends it to
+// another instance, which must not run it a second time.
 func Example() {
 	now := time.Unix(1_800_000_000, 0)
-	h := &home{table: claim.NewTable()}
+	h := &localLog{table: claim.NewTable()}
 	request := claim.Request{
 		Key: claim.KeyOf("booking-desk", "order-17"), Body: claim.DigestOf([]byte("two seats")),
 		Attempt: claim.AttemptID{1}, Instance: claim.Instance{ID: "malang-1", Incarnation: 1},
--- a/coord/claim/expiry.go
+++ b/coord/claim/expiry.go
@@ -1,10 +1,10 @@
 package claim
 
-// seconds is the table's clock in Unix seconds, rounded down.
+// seconds returns the table's clock in Unix seconds, rounded down.
 func (t *Table) seconds() uint32 { return uint32(t.clock / 1000) }
 
-// expire moves the clock and forgets what is due. See the package comment for
-// why one command moves it by no more than MaxClockStep.
+// expire advances the clock and removes what has expired. See the package comment for
+// why one command advances it by no more than MaxClockStep.
 func (t *Table) expire(now int64) Result {
 	if now <= t.clock {
 		return Result{Reply: Accepted}
@@ -15,7 +15,7 @@
 	from := t.seconds()
 	t.clock = min(now, t.clock+MaxClockStep.Milliseconds())
 	for s := from + 1; s <= t.seconds(); s++ {
-		t.forgetDue(s)
+		t.expireDue(s)
 	}
 	for id, l := range t.lost {
 		if l.until <= t.seconds() {
@@ -25,8 +25,8 @@
 	return Result{Reply: Accepted}
 }
 
-// startClock sets the clock of a new table and restarts the lifetimes of what
-// was recorded before it had one.
+// startClock sets the clock of a new table and restarts the lifetimes of records
+// from before it had one.
 func (t *Table) startClock(now int64) Result {
 	t.clock = now
 	t.byExpiry = make(map[uint32][]int32)
@@ -35,7 +35,7 @@
 		if r.heldUntil > 0 {
 			t.hold(r, Unmarked)
 		}
-		t.touch(r)
+		t.restartLifetime(r)
 		t.listExpiry(slot)
 	}
 	for id, l := range t.lost {
@@ -45,9 +45,9 @@
 	return Result{Reply: Accepted}
 }
 
-// forgetDue looks at the records listed under a second. One that changed since
+// expireDue handles the records listed under a second. One that changed since
 // it was listed is listed again under its new expiry.
-func (t *Table) forgetDue(second uint32) {
+func (t *Table) expireDue(second uint32) {
 	due := t.byExpiry[second]
 	delete(t.byExpiry, second)
 	for _, slot := range due {
@@ -57,9 +57,9 @@
 			continue
 		}
 		if r.state == stateRunning {
-			// Forgotten while it runs, the key could be granted a second time.
+			// If it were removed while it runs, the key could be granted a second time.
 			r.state = stateMayHaveRun
-			t.touch(r)
+			t.restartLifetime(r)
 			t.listExpiry(slot)
 			continue
 		}
@@ -67,14 +67,14 @@
 	}
 }
 
-// newRecord makes a record of a key that nobody holds yet.
+// newRecord adds a record for a key that has none.
 func (t *Table) newRecord(k Key, lifetime uint32) *record {
 	r := record{key: k, lifetime: lifetime, owner: noOwner}
-	t.touch(&r)
+	t.restartLifetime(&r)
 	return &t.records[t.insert(r)]
 }
 
-// insert takes a record in and lists its expiry.
+// insert stores a record and lists its expiry.
 func (t *Table) insert(r record) int32 {
 	slot := int32(len(t.records))
 	if n := len(t.unused); n > 0 {
@@ -89,10 +89,10 @@
 	return slot
 }
 
-// touch starts the lifetime of a record anew. An expiry never falls, so a
-// record is always listed under a second at or before it: forgetDue then sees
-// it in time, on a replica that was restored from a snapshot as well.
-func (t *Table) touch(r *record) {
+// restartLifetime restarts the lifetime of a record. An expiry never falls, so a
+// record is always listed under a second at or before it: expireDue then sees
+// it in time, also on a replica that was restored from a snapshot.
+func (t *Table) restartLifetime(r *record) {
 	r.expiry = max(r.expiry, t.seconds()+r.lifetime+1, r.heldUntil+1)
 }
 
@@ -109,50 +109,50 @@
 	t.unused = append(t.unused, slot)
 }
 
-// noOwner stands for a record that no instance holds.
+// noOwner is the owner number of a record without an instance.
 const noOwner int32 = -1
 
-// owners gives each life of an instance a small number, as long as a record
-// names it.
+// owners gives each incarnation of an instance a small number for as long as a
+// record refers to it.
 type owners struct {
-	byLife map[Instance]int32
-	lives  []ownedLife
-	unused []int32
+	byInstance map[Instance]int32
+	entries    []ownerEntry
+	unused     []int32
 }
 
-type ownedLife struct {
-	life    Instance
-	records int
+type ownerEntry struct {
+	instance Instance
+	records  int
 }
 
-func newOwners() owners { return owners{byLife: make(map[Instance]int32)} }
+func newOwners() owners { return owners{byInstance: make(map[Instance]int32)} }
 
 func (o *owners) at(n int32) Instance {
 	if n == noOwner {
 		return Instance{}
 	}
-	return o.lives[n].life
+	return o.entries[n].instance
 }
 
 func (o *owners) intern(i Instance) int32 {
-	n, ok := o.byLife[i]
+	n, ok := o.byInstance[i]
 	if !ok {
-		n = o.place(i)
+		n = o.add(i)
 	}
-	o.lives[n].records++
+	o.entries[n].records++
 	return n
 }
 
-func (o *owners) place(i Instance) int32 {
-	n := int32(len(o.lives))
+func (o *owners) add(i Instance) int32 {
+	n := int32(len(o.entries))
 	if k := len(o.unused); k > 0 {
 		n = o.unused[k-1]
 		o.unused = o.unused[:k-1]
 	} else {
-		o.lives = append(o.lives, ownedLife{})
+		o.entries = append(o.entries, ownerEntry{})
 	}
-	o.lives[n] = ownedLife{life: i}
-	o.byLife[i] = n
+	o.entries[n] = ownerEntry{instance: i}
+	o.byInstance[i] = n
 	return n
 }
 
@@ -160,12 +160,12 @@
 	if n == noOwner {
 		return
 	}
-	l := &o.lives[n]
+	l := &o.entries[n]
 	l.records--
 	if l.records > 0 {
 		return
 	}
-	delete(o.byLife, l.life)
-	*l = ownedLife{}
+	delete(o.byInstance, l.instance)
+	*l = ownerEntry{}
 	o.unused = append(o.unused, n)
 }
--- a/coord/claim/gate.go
+++ b/coord/claim/gate.go
@@ -8,118 +8,118 @@
 
 // Codes of refusals by a Gate.
 const (
-	// CodeUnavailable: the claim could not be made or its fate is not known.
+	// CodeUnavailable: the claim could not be made, or whether it was is not known.
 	CodeUnavailable verdict.Code = "claim_unavailable"
 	// CodeConflict: the key was used with another body.
 	CodeConflict verdict.Code = "idempotency_key_conflict"
-	// CodeMayHaveRun: an earlier sending of the key may have run.
+	// CodeMayHaveRun: an earlier attempt of the key may have run.
 	CodeMayHaveRun verdict.Code = "may_have_run"
 	// CodeHeld: the key was released a moment ago.
 	CodeHeld verdict.Code = "claim_held"
-	// CodeGivenUp: the host gave the request up before sending it.
+	// CodeGivenUp: the host gave up the request before sending it.
 	CodeGivenUp verdict.Code = "given_up"
 )
 
-// Action is what a Gate asks its host to do next.
+// Action is what the host of a Gate must do next.
 type Action uint8
 
 const (
 	// Wait: nothing until the next event.
 	Wait Action = iota
-	// Propose: propose Step.Command at Step.At, and tell the Gate the outcome by
-	// Replied or Failed.
+	// Propose: propose Step.Command at Step.At, and report the outcome with Replied
+	// or Failed.
 	Propose
-	// Send: the key is ours. Call Sending right before the send.
+	// Send: the key is this attempt's. Call BeginSend right before sending.
 	Send
-	// Join: ask Step.Owner for the running Step.Attempt, and wait with it. If
-	// that fails the caller is told Step.Err.
+	// Join: ask Step.Owner for the running Step.Attempt and wait for its result. If
+	// that fails the caller gets Step.Err.
 	Join
-	// Replay: answer from Step.Done; the answer itself is not kept.
+	// Replay: respond from Step.Done; the answer itself is not stored.
 	Replay
-	// Refuse: answer with Step.Err. If Step.Command is set, propose it as well
+	// Refuse: respond with Step.Err. If Step.Command is set, also propose it
 	// until it is accepted; the caller need not wait for that.
 	Refuse
 	// Record: propose Step.Command until it is accepted.
 	Record
 )
 
-// Step is the typed effect of an event.
+// Step is what the host must do after an event.
 type Step struct {
 	Action  Action
 	Command *Command
-	// At goes with Ask.
+	// At is set with Propose.
 	At time.Time
-	// Owner and Attempt go with Join.
+	// Owner and Attempt are set with Join.
 	Owner   Instance
 	Attempt AttemptID
-	// Done goes with Replay.
+	// Done is set with Replay.
 	Done Result
-	// Err goes with Refuse and Join.
+	// Err is set with Refuse and Join.
 	Err *verdict.Error
 }
 
-// Failure is how asking the claim's home failed.
+// Failure is how a proposal to the claims home failed.
 type Failure uint8
 
 const (
-	// NotSent: the claim can't have reached its home.
+	// NotSent: the claim can't have reached the claims home.
 	NotSent Failure = iota
 	// ReplyLost: the claim was sent; whether it was committed is not known.
 	ReplyLost
 )
 
-// Request is what a Gate needs to know of the request it guards.
+// Request describes the request that a Gate guards.
 type Request struct {
 	Key      Key
 	Body     Digest
 	Attempt  AttemptID
 	Instance Instance
-	Mark  Mark
-	// Lifetime of the record, whole seconds, from 1 s to MaxLifetime.
+	Mark     Mark
+	// Lifetime of the record, in whole seconds from 1 s to MaxLifetime.
 	Lifetime time.Duration
 }
 
 type gateState uint8
 
 const (
-	gateAsking gateState = iota
+	gateProposing gateState = iota
 	gateGranted
 	gateSent
 	gateClosed
 )
 
-// Gate decides for one sending of a non-idempotent request whether it may be
+// Gate decides for one attempt of a non-idempotent request whether it may be
 // sent, and what its caller is told. See the package comment for the rules.
-// A Gate has a single owner and is used for one sending only.
+// A Gate is not safe for concurrent use and serves one attempt only.
 type Gate struct {
-	r      Request
-	opened time.Time
-	state  gateState
-	asks   int
-	// sent says that a send was begun at any time, also one that was undone.
+	r         Request
+	opened    time.Time
+	state     gateState
+	proposals int
+	// sent: a send was begun at any time, even if it was cancelled.
 	sent bool
 }
 
-// askPause is the wait before the claim is asked for again; it doubles.
-const askPause = 50 * time.Millisecond
+// minProposalDelay is the delay before the first repeated proposal; it doubles with each.
+const minProposalDelay = 50 * time.Millisecond
 
-// Open starts a Gate. now is when the request came from its caller, to this
-// very instance, also if it waited before Open: the argument for Hold counts
-// from there. Times are read from the monotonic clock of this process, here and
-// in every method of the Gate.
+// Open returns the Gate of an attempt and its first step. now must be when the request
+// arrived from its caller at this very instance, even if it waited before Open: the
+// argument for Hold counts from there. Times are read from the monotonic clock of this
+// process, here and in every method of the Gate.
 func Open(now time.Time, r Request) (*Gate, Step) {
 	g := &Gate{r: r, opened: now}
-	return g, g.ask(now)
+	return g, g.propose(now)
 }
 
-// Replied takes the table's reply to the Claim.
+// Replied handles the table's reply to the Claim.
 func (g *Gate) Replied(now time.Time, res Result) Step {
-	// A grant that comes after the refusal would leave the key running for
-	// nobody. A Gate that ever sent must not release: its Finish may be under way.
+	// A grant after the refusal would leave the key running without an owner. A Gate that
+	// ever sent must not release: its Finish may be in flight.
 	if g.state == gateClosed && res.Reply == Granted && !g.sent {
 		return Step{Action: Record, Command: g.abandon(now, true)}
 	}
-	if g.state != gateAsking {
+	if g.state != gateProposing {
 		return Step{Action: Wait}
 	}
 	switch res.Reply {
@@ -137,40 +137,40 @@
 	case Conflict:
 		return g.refuse(verdict.NotRun, CodeConflict, "the idempotency key was used with another body", 0)
 	case Held:
-		return g.refuse(g.unclaimed(), CodeHeld, "the key was released a moment ago", retryAfter(res))
+		return g.refuse(g.unclaimedVerdict(), CodeHeld, "the key was released a moment ago", retryAfter(res))
 	default:
-		return g.refuse(g.unclaimed(), CodeUnavailable, "the claim was refused: "+res.Reply.String(), retryAfter(res))
+		return g.refuse(g.unclaimedVerdict(), CodeUnavailable, "the claim was refused: "+res.Reply.String(), retryAfter(res))
 	}
 }
 
-// Failed takes a failure to ask. The Gate asks again under the same attempt
+// Failed handles a proposal that failed. The Gate proposes again under the same attempt
 // until ClaimWait has passed.
 func (g *Gate) Failed(now time.Time, f Failure) Step {
-	if g.state != gateAsking {
+	if g.state != gateProposing {
 		return Step{Action: Wait}
 	}
-	pause := askPause << min(g.asks, 5)
-	if now.Add(pause).Before(g.opened.Add(ClaimWait)) {
-		return g.ask(now.Add(pause))
+	delay := minProposalDelay << min(g.proposals, 5)
+	if now.Add(delay).Before(g.opened.Add(ClaimWait)) {
+		return g.propose(now.Add(delay))
 	}
-	s := g.refuse(g.unclaimed(), CodeUnavailable, "the claim's home could not be asked", ClaimWait)
-	if f == ReplyLost || g.asks > 1 {
+	s := g.refuse(g.unclaimedVerdict(), CodeUnavailable, "the claim's home could not be asked", ClaimWait)
+	if f == ReplyLost || g.proposals > 1 {
 		s.Command = g.abandon(now, true)
 	}
 	return s
 }
 
 // GiveUp ends a request that was not sent: its deadline passed, its caller
-// left or no target can take it. After Sending it changes nothing; the host
-// then ends the request by Finished.
+// left or no target can take it. code and message go into the refusal. After
+// BeginSend it changes nothing; the host must then end the request with Finished.
 func (g *Gate) GiveUp(now time.Time, code verdict.Code, message string) Step {
 	switch g.state {
-	case gateAsking:
-		s := g.refuse(g.unclaimed(), code, message, 0)
+	case gateProposing:
+		s := g.refuse(g.unclaimedVerdict(), code, message, 0)
 		s.Command = g.abandon(now, true)
 		return s
 	case gateGranted:
-		s := g.refuse(verdict.NotRun, code, message, g.afterRelease())
+		s := g.refuse(verdict.NotRun, code, message, g.retryAfterRelease())
 		s.Command = g.abandon(now, true)
 		return s
 	}
@@ -178,9 +178,9 @@
 }
 
 // BeginSend marks that the request is about to be sent, and reports whether it
-// may be. It is called right before the first byte goes to a target. No time
-// is checked: while the key is ours the table grants it to nobody else, also
-// if this process was frozen meanwhile.
+// may be. Call it right before the first byte goes to a target. No time
+// is checked: while this attempt holds the key the table grants it to no other, even
+// if this process was frozen in between.
 func (g *Gate) BeginSend() bool {
 	if g.state != gateGranted {
 		return false
@@ -190,16 +190,16 @@
 	return true
 }
 
-// CancelSend takes back Sending where it is certain that the target saw nothing of
-// the request (connection refused), so that another target may be tried.
+// CancelSend undoes BeginSend so that another target may be tried. Call it only where it
+// is certain that the target saw nothing of the request (connection refused).
 func (g *Gate) CancelSend() {
 	if g.state == gateSent {
 		g.state = gateGranted
 	}
 }
 
-// Finished takes the end of a sending. A sending that is certain not to have
-// reached the target (NotRun) releases the key.
+// Finished handles the end of a send. NotRun, which must be certain (the request did
+// not reach the target), releases the key. status is the HTTP status or 0.
 func (g *Gate) Finished(now time.Time, v verdict.Verdict, status uint16, answer Digest) Step {
 	if g.state != gateSent {
 		return Step{Action: Wait}
@@ -212,42 +212,42 @@
 	return Step{Action: Record, Command: &Command{Now: now.UnixMilli(), Finish: f}}
 }
 
-// granted takes the key, unless the grant is so late that a later sending can
+// granted takes the key, unless the grant is so late that a later attempt may
 // have been told "not run" in between (see Hold).
 func (g *Gate) granted(now time.Time) Step {
 	if now.Sub(g.opened) < ClaimWait {
 		g.state = gateGranted
 		return Step{Action: Send}
 	}
-	s := g.refuse(verdict.NotRun, CodeUnavailable, "the claim was granted too late", g.afterRelease())
+	s := g.refuse(verdict.NotRun, CodeUnavailable, "the claim was granted too late", g.retryAfterRelease())
 	s.Command = g.abandon(now, true)
 	return s
 }
 
-// unclaimed is the verdict where the table did not grant the key: another
-// sending may hold it unless the caller vouches that there is none.
-func (g *Gate) unclaimed() verdict.Verdict {
+// unclaimedVerdict is the verdict where the table did not grant the key: another
+// attempt may hold it unless the caller vouches that there is none.
+func (g *Gate) unclaimedVerdict() verdict.Verdict {
 	if g.r.Mark == First {
 		return verdict.NotRun
 	}
 	return verdict.MayHaveRun
 }
 
-// afterRelease is when a resend is granted the key again.
-func (g *Gate) afterRelease() time.Duration {
+// retryAfterRelease returns the time after which a resend can be granted the key.
+func (g *Gate) retryAfterRelease() time.Duration {
 	if g.r.Mark == First {
 		return 0
 	}
 	return Hold
 }
 
-func (g *Gate) ask(at time.Time) Step {
-	g.asks++
+func (g *Gate) propose(at time.Time) Step {
+	g.proposals++
 	c := &Claim{
 		Key: g.r.Key, Body: g.r.Body, Attempt: g.r.Attempt, Instance: g.r.Instance,
 		LifetimeSeconds: lifetimeSeconds(g.r.Lifetime), Mark: g.r.Mark,
 	}
-	// The time of the claim is when the Gate was opened, also when it asks again.
+	// The claim carries the time at which the Gate was opened, also when it is repeated.
 	return Step{Action: Propose, At: at, Command: &Command{Now: g.opened.UnixMilli(), Claim: c}}
 }
 
--- a/coord/claim/gate_test.go
+++ b/coord/claim/gate_test.go
@@ -7,11 +7,10 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Symptom: a caller is told "not run" of a request that an earlier sending ran.
-// Events: every reply of the table, and every failure to ask, for a sending of
-// each mark.
-// Cause: a refusal whose verdict looks at this sending only.
-func TestWhatTheCallerIsTold(t *testing.T) {
+// Guards against a caller that is told "not run" although an earlier attempt ran: every
+// reply of the table, for an attempt of each mark. The cause would be a refusal whose
+// verdict covers this attempt only.
+func TestVerdictReportedToTheCaller(t *testing.T) {
 	const nr, mhr = verdict.NotRun, verdict.MayHaveRun
 	rows := []struct {
 		reply         Reply
@@ -43,26 +42,24 @@
 	}
 }
 
-// Symptom: a request runs although its claim was never granted, or a claim
-// stays with nobody.
-// Events: no reply comes; the Gate asks until ClaimWait; the grant comes late.
-// Cause: a send without a claim; a refusal that leaves its claim behind.
+// Guards against a request that runs without a granted claim, and a claim left without an
+// owner: no reply arrives, the Gate proposes until ClaimWait, and the grant arrives late.
 func TestNoClaimNoSend(t *testing.T) {
 	for _, mark := range []Mark{First, Resend, Unmarked} {
 		g, s := Open(start, Request{Mark: mark, Lifetime: time.Hour})
 		first := s.Command.Claim.Attempt
 		now := start
-		asks := 0
+		proposals := 0
 		for ; s.Action == Propose; s = g.Failed(now, ReplyLost) {
 			if s.Command.Claim.Attempt != first || g.BeginSend() {
-				t.Fatal("asked under another attempt, or sent without a claim")
+				t.Fatal("proposed under another attempt id, or sent without a claim")
 			}
-			asks++
+			proposals++
 			now = s.At.Add(10 * time.Millisecond)
 		}
-		told := s.Err.Verdict == verdict.NotRun
-		if asks < 3 || now.Sub(start) > ClaimWait || told != (mark == First) || s.Command.Abandon == nil {
-			t.Fatalf("mark %d: %d asks in %v, then %+v", mark, asks, now.Sub(start), s)
+		notRun := s.Err.Verdict == verdict.NotRun
+		if proposals < 3 || now.Sub(start) > ClaimWait || notRun != (mark == First) || s.Command.Abandon == nil {
+			t.Fatalf("mark %d: %d proposals in %v, then %+v", mark, proposals, now.Sub(start), s)
 		}
 		if s = g.Replied(now, Result{Reply: Granted}); s.Action != Record || s.Command.Abandon == nil || g.BeginSend() {
 			t.Fatalf("a late grant was kept: %+v", s)
@@ -70,16 +67,14 @@
 	}
 }
 
-// Symptom: "not run" was told, by a later sending that released the key, of a
-// request that an earlier one then runs; or a finished key runs again.
-// Events: a grant comes after ClaimWait; a grant comes a second time, after
-// the end, while Finish is under way.
-// Cause: a late grant that is used; a release by a Gate that has sent.
-func TestLateAndDoubledGrants(t *testing.T) {
+// Guards against a request that runs although a later attempt, which released the key, was
+// told "not run", and against a finished key that runs again. A grant arrives after
+// ClaimWait, or a second time after the end while Finish is in flight.
+func TestLateAndDuplicateGrants(t *testing.T) {
 	g, _ := Open(start, Request{Lifetime: time.Hour})
 	s := g.Replied(start.Add(ClaimWait), Result{Reply: Granted})
 	if s.Action != Refuse || s.Err.Verdict != verdict.NotRun || s.Command.Abandon == nil || g.BeginSend() {
-		t.Errorf("a late grant: %+v", s)
+		t.Errorf("late grant: %+v", s)
 	}
 	g, _ = Open(start, Request{Lifetime: time.Hour})
 	g.Replied(start, Result{Reply: Granted})
@@ -87,9 +82,9 @@
 		t.Error("one grant allows one send")
 	}
 	if s = g.Finished(start, verdict.Ran, 200, Digest{}); s.Command.Finish == nil {
-		t.Errorf("the end: %+v", s)
+		t.Errorf("end of the send: %+v", s)
 	}
 	if s = g.Replied(start, Result{Reply: Granted}); s.Command != nil || g.BeginSend() {
-		t.Errorf("a doubled grant: %+v", s)
+		t.Errorf("duplicate grant: %+v", s)
 	}
 }
--- a/coord/claim/snapshot.go
+++ b/coord/claim/snapshot.go
@@ -12,7 +12,7 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// snapshotFormat is raised whenever the layout below changes.
+// snapshotFormat must be raised whenever the layout below changes.
 const snapshotFormat = 1
 
 // recordBytes is the size of a record in a snapshot: the four digests, four
@@ -20,44 +20,44 @@
 // (verdict, state), big-endian.
 const recordBytes = 32 + 16 + 16 + 16 + 4*4 + 2 + 2
 
-// image is a snapshot. It holds everything in sorted order, so that replicas
+// snapshotData is a snapshot. Everything is sorted, so that replicas
 // which applied the same entries write the same bytes.
-type image struct {
-	Format  int         `cbor:"1,keyasint"`
-	Clock   int64       `cbor:"2,keyasint"`
-	Applied uint64      `cbor:"3,keyasint"`
-	Lives   []Instance  `cbor:"4,keyasint"`
-	Lost    []lostImage `cbor:"5,keyasint"`
-	// Records of recordBytes each, by key; owners index Lives from 1, 0 is none.
+type snapshotData struct {
+	Format  int            `cbor:"1,keyasint"`
+	Clock   int64          `cbor:"2,keyasint"`
+	Applied uint64         `cbor:"3,keyasint"`
+	Owners  []Instance     `cbor:"4,keyasint"`
+	Lost    []lostInstance `cbor:"5,keyasint"`
+	// Records of recordBytes each, sorted by key; owners index Owners from 1, 0 is none.
 	Records []byte `cbor:"6,keyasint"`
 }
 
-type lostImage struct {
+type lostInstance struct {
 	Instance Instance `cbor:"1,keyasint"`
 	Until    uint32   `cbor:"2,keyasint"`
 }
 
-// Snapshot writes the whole table.
+// Snapshot encodes the whole table.
 func (t *Table) Snapshot() ([]byte, error) {
-	im := image{Format: snapshotFormat, Clock: t.clock, Applied: t.applied}
-	im.Lives = make([]Instance, 0, len(t.owners.byLife))
-	for l := range t.owners.byLife {
-		im.Lives = append(im.Lives, l)
+	im := snapshotData{Format: snapshotFormat, Clock: t.clock, Applied: t.applied}
+	im.Owners = make([]Instance, 0, len(t.owners.byInstance))
+	for l := range t.owners.byInstance {
+		im.Owners = append(im.Owners, l)
 	}
-	slices.SortFunc(im.Lives, compareLives)
-	number := make(map[Instance]uint32, len(im.Lives))
-	for i, l := range im.Lives {
+	slices.SortFunc(im.Owners, compareInstances)
+	number := make(map[Instance]uint32, len(im.Owners))
+	for i, l := range im.Owners {
 		number[l] = uint32(i + 1)
 	}
 	for id, l := range t.lost {
-		im.Lost = append(im.Lost, lostImage{Instance{ID: id, Incarnation: l.incarnation}, l.until})
+		im.Lost = append(im.Lost, lostInstance{Instance{ID: id, Incarnation: l.incarnation}, l.until})
 	}
-	slices.SortFunc(im.Lost, func(a, b lostImage) int { return compareLives(a.Instance, b.Instance) })
+	slices.SortFunc(im.Lost, func(a, b lostInstance) int { return compareInstances(a.Instance, b.Instance) })
 	im.Records = t.packRecords(number)
 	return cbor.Marshal(im)
 }
 
-func compareLives(a, b Instance) int {
+func compareInstances(a, b Instance) int {
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
@@ -90,25 +90,25 @@
 	return append(b, byte(r.verdict), byte(r.state))
 }
 
-// Restore replaces the table by a snapshot. On an error the table is unchanged.
+// Restore replaces the table's contents with a snapshot. On an error the table is unchanged.
 func (t *Table) Restore(snapshot []byte) error {
-	var im image
+	var im snapshotData
 	if err := cbor.Unmarshal(snapshot, &im); err != nil {
 		return fmt.Errorf("claims snapshot: %w", err)
 	}
 	if im.Format != snapshotFormat {
-		return fmt.Errorf("claims snapshot: format %d, want %d", im.Format, snapshotFormat)
+		return fmt.Errorf("claims snapshot: format is %d, want %d", im.Format, snapshotFormat)
 	}
 	if len(im.Records)%recordBytes != 0 || len(im.Records)/recordBytes > MaxRecords {
-		return fmt.Errorf("claims snapshot: %d bytes of records", len(im.Records))
+		return fmt.Errorf("claims snapshot: %d bytes of records, want whole records and no more than MaxRecords", len(im.Records))
 	}
 	n := NewTable()
 	n.clock, n.applied = im.Clock, im.Applied
 	for _, l := range im.Lost {
-		n.lost[l.Instance.ID] = lostLife{incarnation: l.Instance.Incarnation, until: l.Until}
+		n.lost[l.Instance.ID] = lostIncarnation{incarnation: l.Instance.Incarnation, until: l.Until}
 	}
 	for b := im.Records; len(b) > 0; b = b[recordBytes:] {
-		if err := n.restoreRecord(b[:recordBytes], im.Lives); err != nil {
+		if err := n.restoreRecord(b[:recordBytes], im.Owners); err != nil {
 			return fmt.Errorf("claims snapshot: %w", err)
 		}
 	}
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (t *Table) restoreRecord(b []byte, lives []Instance) error {
+func (t *Table) restoreRecord(b []byte, instances []Instance) error {
 	var r record
 	owner := binary.BigEndian.Uint32(b[92:])
 	r.key, r.body = Key(b[:32]), Digest(b[32:48])
@@ -125,15 +125,15 @@
 	r.lifetime = binary.BigEndian.Uint32(b[88:])
 	r.status = binary.BigEndian.Uint16(b[96:])
 	r.verdict, r.state = verdict.Verdict(b[98]), recordState(b[99])
-	if r.verdict > verdict.Ran || r.state > stateDone || int(owner) > len(lives) {
+	if r.verdict > verdict.Ran || r.state > stateDone || int(owner) > len(instances) {
 		return fmt.Errorf("record %x is malformed", r.key[:4])
 	}
-	if _, twice := t.byKey[r.key]; twice {
+	if _, duplicate := t.byKey[r.key]; duplicate {
 		return fmt.Errorf("record %x stands twice", r.key[:4])
 	}
 	r.owner = noOwner
 	if owner > 0 {
-		r.owner = t.owners.intern(lives[owner-1])
+		r.owner = t.owners.intern(instances[owner-1])
 	}
 	t.insert(r)
 	return nil
--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -9,7 +9,7 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// recordState is where a key stands.
+// recordState is the state of a key.
 type recordState uint8
 
 const (
@@ -18,13 +18,13 @@
 	stateFree recordState = iota
 	// stateRunning: the attempt was granted and has not ended.
 	stateRunning
-	// stateMayHaveRun: the attempt's end is not known.
+	// stateMayHaveRun: the outcome of the attempt is not known.
 	stateMayHaveRun
 	// stateDone: the attempt ended with a verdict above NotRun.
 	stateDone
 )
 
-// record is what is kept of a key; recordBytes in a snapshot.
+// record is what is stored for a key; recordBytes long in a snapshot.
 type record struct {
 	key     Key
 	body    Digest
@@ -40,15 +40,15 @@
 	state    recordState
 }
 
-// lostLife is the highest lost incarnation of an instance.
-type lostLife struct {
+// lostIncarnation is the highest lost incarnation of an instance.
+type lostIncarnation struct {
 	incarnation uint64
-	// until is when it is forgotten, in Unix seconds on the table's clock.
+	// until is when the entry is removed, in Unix seconds on the table's clock.
 	until uint32
 }
 
-// Table is the replicated state machine of claims. It has a single owner, the
-// goroutine that applies the log.
+// Table is the replicated state machine of claims. It is not safe for concurrent use:
+// only the goroutine that applies the log may use it.
 type Table struct {
 	// clock in Unix milliseconds.
 	clock   int64
@@ -59,39 +59,39 @@
 	// byExpiry lists each record once, under a second at or before its expiry.
 	byExpiry map[uint32][]int32
 	owners   owners
-	lost     map[string]lostLife
+	lost     map[string]lostIncarnation
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
 		byKey:    make(map[Key]int32),
 		byExpiry: make(map[uint32][]int32),
 		owners:   newOwners(),
-		lost:     make(map[string]lostLife),
+		lost:     make(map[string]lostIncarnation),
 	}
 }
 
-// Len is the number of keys held, tombstones included.
+// Len returns the number of keys in the table, tombstones included.
 func (t *Table) Len() int { return len(t.byKey) }
 
-// Clock is the table's clock in Unix milliseconds; 0 before the first Expire.
+// Clock returns the table's clock in Unix milliseconds; 0 before the first Expire.
 func (t *Table) Clock() int64 { return t.clock }
 
-// Applied is the index of the last entry applied.
+// Applied returns the index of the last entry applied.
 func (t *Table) Applied() uint64 { return t.applied }
 
-// Encode writes a command for the log.
+// Encode encodes a command for the log.
 func Encode(c Command) ([]byte, error) { return cbor.Marshal(c) }
 
-// DecodeResult reads what Apply returned.
+// DecodeResult decodes what Apply returned.
 func DecodeResult(b []byte) (Result, error) {
 	var r Result
 	err := cbor.Unmarshal(b, &r)
 	return r, err
 }
 
-// Apply takes the committed entry at index and returns its Result in CBOR. An
+// Apply applies the committed entry at index and returns its Result in CBOR. An
 // index at or below the last one is not applied again: its Result is Invalid.
 func (t *Table) Apply(index uint64, command []byte) []byte {
 	var c Command
@@ -107,7 +107,7 @@
 	}
 	b, err := cbor.Marshal(res)
 	if err != nil {
-		// A Result has only plain fields, so this is a fault of the program.
+		// A Result has only plain fields, so this is a programming error.
 		panic(fmt.Sprintf("claim: result: %v", err))
 	}
 	return b
@@ -131,7 +131,7 @@
 	}
 }
 
-// count is how many commands the entry holds; exactly one is valid.
+// count returns how many commands the entry holds; exactly one is valid.
 func (c *Command) count() int {
 	n := 0
 	for _, set := range []bool{c.Claim != nil, c.Finish != nil, c.Abandon != nil, c.Expire != nil, c.InstanceLost != nil} {
@@ -156,8 +156,8 @@
 	if now+int64(c.LifetimeSeconds)*1000 <= t.clock {
 		return Result{Reply: Stale}
 	}
-	// What a dead life of an instance proposed may arrive after its loss was
-	// recorded. Granted, it would run for ever at nobody.
+	// A proposal of a lost incarnation may arrive after the loss was recorded. If it
+	// were granted, the key would stay Running without an owner.
 	if l, ok := t.lost[c.Instance.ID]; ok && c.Instance.Incarnation <= l.incarnation {
 		return Result{Reply: OwnerLost}
 	}
@@ -177,7 +177,7 @@
 	return t.grant(r, c)
 }
 
-// replyTaken answers a claim of a key that is not free.
+// replyTaken returns the reply to a claim of a key that is not free.
 func (t *Table) replyTaken(r *record, c *Claim) Result {
 	if r.body != c.Body && r.body != (Digest{}) {
 		return Result{Reply: Conflict}
@@ -188,7 +188,7 @@
 	case r.state == stateMayHaveRun:
 		return Result{Reply: MayHaveRun}
 	case r.attempt == c.Attempt:
-		// The reply was lost and the proposal retried: same answer.
+		// The reply was lost and the proposal retried: same reply.
 		return Result{Reply: Granted}
 	}
 	return Result{Reply: Running, Owner: t.owners.at(r.owner), Attempt: r.attempt}
@@ -202,11 +202,11 @@
 	r.lifetime = c.LifetimeSeconds
 	r.state = stateRunning
 	r.heldUntil = 0
-	t.touch(r)
+	t.restartLifetime(r)
 	return Result{Reply: Granted}
 }
 
-// finish raises the record of the attempt; a verdict once recorded only rises.
+// finish records the end of an attempt; a recorded verdict only rises.
 func (t *Table) finish(f *Finish) Result {
 	if f.Verdict != verdict.MayHaveRun && f.Verdict != verdict.Ran {
 		return invalid("finish with verdict %v", f.Verdict)
@@ -224,11 +224,11 @@
 	}
 	r.verdict = r.verdict.Join(f.Verdict)
 	r.state = stateDone
-	t.touch(r)
+	t.restartLifetime(r)
 	return Result{Reply: Accepted}
 }
 
-// abandon releases a running key, or leaves a tombstone before its claim came.
+// abandon releases a running key, or leaves a tombstone if its claim hasn't arrived yet.
 func (t *Table) abandon(a *Abandon) Result {
 	if err := checkLifetime(a.LifetimeSeconds); err != nil {
 		return invalid("%v", err)
@@ -246,18 +246,18 @@
 	}
 	if !a.NotRun {
 		r.state = stateMayHaveRun
-		t.touch(r)
+		t.restartLifetime(r)
 		return Result{Reply: Accepted}
 	}
 	r.state = stateFree
 	t.hold(r, a.Mark)
-	t.touch(r)
+	t.restartLifetime(r)
 	return Result{Reply: Accepted}
 }
 
-// addTombstone records an attempt that was given up before its claim was
+// addTombstone records an attempt that was abandoned before its claim was
 // applied. Without it the claim, when it arrives, would be granted although its
-// sender has gone, and resends would be told that the key is running.
+// proposer has given up, and resends would be told that the key is running.
 func (t *Table) addTombstone(a *Abandon) Result {
 	if len(t.byKey) >= MaxRecords {
 		return Result{Reply: Full, RetryAfterMillis: time.Second.Milliseconds()}
@@ -269,12 +269,12 @@
 		r.state = stateMayHaveRun
 	}
 	t.hold(r, a.Mark)
-	t.touch(r)
+	t.restartLifetime(r)
 	return Result{Reply: Accepted}
 }
 
-// hold keeps the key from everybody where an earlier sending may still have a
-// claim under way: its caller may have been told "not run" by the release.
+// hold blocks the key for all attempts where an earlier one may still have a claim in
+// flight: its caller may have been told "not run" because of the release.
 func (t *Table) hold(r *record, s Mark) {
 	if s == First {
 		return
@@ -286,21 +286,21 @@
 	if l.Instance.ID == "" {
 		return invalid("a lost instance without a name")
 	}
-	t.loseRunning(l.Instance)
+	t.markLostRunning(l.Instance)
 	old, known := t.lost[l.Instance.ID]
 	if !known && len(t.lost) >= MaxInstances {
 		return Result{Reply: Full, RetryAfterMillis: time.Second.Milliseconds()}
 	}
-	t.lost[l.Instance.ID] = lostLife{
+	t.lost[l.Instance.ID] = lostIncarnation{
 		incarnation: max(old.incarnation, l.Instance.Incarnation),
 		until:       t.seconds() + uint32(MaxLifetime/time.Second),
 	}
 	return Result{Reply: Accepted}
 }
 
-// loseRunning turns what the lost lives had running to MayHaveRun. It looks at
-// every record, which costs a few milliseconds at MaxRecords, for each loss.
-func (t *Table) loseRunning(lost Instance) {
+// markLostRunning changes the running keys of the lost incarnations to MayHaveRun. It
+// scans every record, which takes a few milliseconds at MaxRecords for each loss.
+func (t *Table) markLostRunning(lost Instance) {
 	for _, slot := range t.byKey {
 		r := &t.records[slot]
 		if r.state != stateRunning {
@@ -309,7 +309,7 @@
 		o := t.owners.at(r.owner)
 		if o.ID == lost.ID && o.Incarnation <= lost.Incarnation {
 			r.state = stateMayHaveRun
-			t.touch(r)
+			t.restartLifetime(r)
 		}
 	}
 }
--- a/coord/claim/table_test.go
+++ b/coord/claim/table_test.go
@@ -12,59 +12,59 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// world runs Gates of several instances against one Table over a network that
-// delays, doubles and loses, and keeps the truth about what ran.
-type world struct {
-	t      *rapid.T
-	random *rand.Rand
-	now    time.Time
-	table  *Table
-	index  uint64
-	flying []proposal
-	sends  []*sending
-	ticked time.Time
-	extra  time.Time
-	lives  map[string]uint64
-	risen  map[Key]verdict.Verdict
-	// mortal says that records may be forgotten within the test.
-	mortal bool
+// simulation runs Gates of several instances against one Table over a network that
+// delays, duplicates and loses messages, and records what really ran.
+type simulation struct {
+	t             *rapid.T
+	random        *rand.Rand
+	now           time.Time
+	table         *Table
+	index         uint64
+	inFlight      []proposal
+	attempts      []*attempt
+	lastTick      time.Time
+	lastExtraTick time.Time
+	incarnations  map[string]uint64
+	recorded      map[Key]verdict.Verdict
+	// mayExpire: records may expire within the test.
+	mayExpire bool
 }
 
 type proposal struct {
 	cmd  Command
-	from *sending
+	from *attempt
 }
 
-type sending struct {
-	r      Request
-	g      *Gate
-	asked  bool
-	order  int
-	ran    bool
-	notRun bool
-	dead   bool
+type attempt struct {
+	r        Request
+	g        *Gate
+	proposed bool
+	order    int
+	ran      bool
+	notRun   bool
+	dead     bool
 }
 
 var start = time.Unix(1_800_000_000, 0)
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{
 		t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
-		now: start, table: NewTable(), ticked: start, extra: start,
-		lives: map[string]uint64{"a": 1, "b": 1, "c": 1}, risen: map[Key]verdict.Verdict{},
+		now: start, table: NewTable(), lastTick: start, lastExtraTick: start,
+		incarnations: map[string]uint64{"a": 1, "b": 1, "c": 1}, recorded: map[Key]verdict.Verdict{},
 	}
 	w.apply(Command{Now: start.UnixMilli(), Expire: &Expire{}})
 	return w
 }
 
-// draw is uniform, unlike rapid's integers, which prefer small ones: long
-// interleavings of all kinds of steps would be rare with those.
-func (w *world) draw(n int) int { return w.random.IntN(n) }
+// draw is uniform, unlike rapid's integers, which prefer small values and so would
+// make long interleavings of all kinds of steps rare.
+func (w *simulation) draw(n int) int { return w.random.IntN(n) }
 
-// pick returns a live sending whose Gate is in one of the states, or nil.
-func (w *world) pick(states ...gateState) *sending {
-	var fit []*sending
-	for _, s := range w.sends {
+// pick returns a live attempt whose Gate is in one of the states, or nil.
+func (w *simulation) pick(states ...gateState) *attempt {
+	var fit []*attempt
+	for _, s := range w.attempts {
 		if !s.dead && slices.Contains(states, s.g.state) {
 			fit = append(fit, s)
 		}
@@ -75,44 +75,44 @@
 	return fit[w.draw(len(fit))]
 }
 
-func (w *world) apply(c Command) Result {
+func (w *simulation) apply(c Command) Result {
 	w.index++
 	b, err := Encode(c)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	other := NewTable()
+	replica := NewTable()
 	snap, err := w.table.Snapshot()
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if err := other.Restore(snap); err != nil {
+	if err := replica.Restore(snap); err != nil {
 		w.t.Fatal(err)
 	}
-	one, two := w.table.Apply(w.index, b), other.Apply(w.index, b)
-	again, _ := w.table.Snapshot()
-	restored, _ := other.Snapshot()
-	if !bytes.Equal(one, two) || !bytes.Equal(again, restored) {
+	got, restoredGot := w.table.Apply(w.index, b), replica.Apply(w.index, b)
+	snapshot, _ := w.table.Snapshot()
+	replicaSnapshot, _ := replica.Snapshot()
+	if !bytes.Equal(got, restoredGot) || !bytes.Equal(snapshot, replicaSnapshot) {
 		w.t.Fatalf("a restored replica differs after %+v", c)
 	}
 	if w.draw(2) == 0 {
-		w.table = other
+		w.table = replica
 	}
-	res, err := DecodeResult(one)
+	res, err := DecodeResult(got)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.checkRise()
+	w.checkRecordsOnlyRise()
 	return res
 }
 
-// checkRise fails when what is recorded of a key falls.
-func (w *world) checkRise() {
-	for k := range w.risen {
-		if _, kept := w.table.byKey[k]; !kept && w.mortal {
-			delete(w.risen, k)
+// checkRecordsOnlyRise fails when the recorded verdict of a key falls.
+func (w *simulation) checkRecordsOnlyRise() {
+	for k := range w.recorded {
+		if _, kept := w.table.byKey[k]; !kept && w.mayExpire {
+			delete(w.recorded, k)
 		} else if !kept {
-			w.t.Fatal("a record was forgotten within its lifetime")
+			w.t.Fatal("a record was removed within its lifetime")
 		}
 	}
 	for k, slot := range w.table.byKey {
@@ -121,55 +121,55 @@
 		if r.state == stateMayHaveRun {
 			v = verdict.MayHaveRun
 		}
-		if v < w.risen[k] {
-			w.t.Fatalf("recorded verdict fell from %v to %v", w.risen[k], v)
+		if v < w.recorded[k] {
+			w.t.Fatalf("recorded verdict fell from %v to %v", w.recorded[k], v)
 		}
-		w.risen[k] = v
+		w.recorded[k] = v
 	}
 }
 
-func (w *world) open() {
+func (w *simulation) open() {
 	id := []string{"a", "b", "c"}[w.draw(3)]
 	r := Request{
 		Key: KeyOf("w", "k"), Body: DigestOf([]byte{byte(w.draw(8) / 7)}),
-		Instance: Instance{id, w.lives[id]}, Lifetime: time.Hour,
+		Instance: Instance{id, w.incarnations[id]}, Lifetime: time.Hour,
 	}
-	r.Attempt[0], r.Attempt[1] = byte(len(w.sends)), 1
+	r.Attempt[0], r.Attempt[1] = byte(len(w.attempts)), 1
 	r.Mark = First
-	if len(w.sends) > 0 {
+	if len(w.attempts) > 0 {
 		r.Mark = []Mark{Resend, Unmarked}[w.draw(2)]
 	}
-	s := &sending{r: r, order: len(w.sends)}
-	w.sends = append(w.sends, s)
+	s := &attempt{r: r, order: len(w.attempts)}
+	w.attempts = append(w.attempts, s)
 	g, step := Open(w.now, r)
 	s.g = g
-	w.follow(s, step)
+	w.applyStep(s, step)
 }
 
-func (w *world) follow(s *sending, step Step) {
+func (w *simulation) applyStep(s *attempt, step Step) {
 	if step.Action == Propose {
-		s.asked = true
+		s.proposed = true
 	}
 	if step.Command != nil {
-		w.flying = append(w.flying, proposal{*step.Command, s})
+		w.inFlight = append(w.inFlight, proposal{*step.Command, s})
 	}
 	if step.Action == Refuse && step.Err.Verdict == verdict.NotRun && step.Err.Code != CodeConflict {
 		s.notRun = true
-		w.checkTold()
+		w.checkNotRunIsTrue()
 	}
 }
 
-// checkTold fails when a caller was told "not run" and this sending or an
+// checkNotRunIsTrue fails when a caller was told "not run" and this attempt or an
 // earlier one ran, before or after.
-func (w *world) checkTold() {
+func (w *simulation) checkNotRunIsTrue() {
 	runs := 0
-	for _, s := range w.sends {
+	for _, s := range w.attempts {
 		if s.ran {
 			runs++
 		}
-		for _, e := range w.sends[:s.order+1] {
+		for _, e := range w.attempts[:s.order+1] {
 			if s.notRun && e.ran {
-				w.t.Fatalf("sending %d was told not_run and sending %d ran", s.order, e.order)
+				w.t.Fatalf("attempt %d was told not_run and attempt %d ran", s.order, e.order)
 			}
 		}
 	}
@@ -178,27 +178,27 @@
 	}
 }
 
-func (w *world) deliver() {
-	if len(w.flying) == 0 {
+func (w *simulation) deliver() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := w.draw(len(w.flying))
-	p := w.flying[i]
-	fate := w.draw(8)
-	if fate != 0 { // else a copy stays under way
-		w.flying = append(w.flying[:i], w.flying[i+1:]...)
+	i := w.draw(len(w.inFlight))
+	p := w.inFlight[i]
+	outcome := w.draw(8)
+	if outcome != 0 { // Otherwise a copy stays in flight.
+		w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 	}
-	if fate == 1 {
+	if outcome == 1 {
 		return
 	}
 	res := w.apply(p.cmd)
-	if p.cmd.Claim == nil || p.from.dead || fate == 2 {
+	if p.cmd.Claim == nil || p.from.dead || outcome == 2 {
 		return
 	}
-	w.follow(p.from, p.from.g.Replied(w.now, res))
+	w.applyStep(p.from, p.from.g.Replied(w.now, res))
 }
 
-func (w *world) send() {
+func (w *simulation) send() {
 	s := w.pick(gateGranted)
 	if s == nil || !s.g.BeginSend() {
 		return
@@ -208,64 +208,63 @@
 		return
 	}
 	s.ran = true
-	w.checkTold()
+	w.checkNotRunIsTrue()
 }
 
-func (w *world) finish() {
+func (w *simulation) finish() {
 	s := w.pick(gateSent)
 	if s == nil {
 		return
 	}
 	v := []verdict.Verdict{verdict.MayHaveRun, verdict.Ran}[w.draw(2)]
-	w.follow(s, s.g.Finished(w.now, v, 200, DigestOf([]byte("answer"))))
-	// What is found out later of the same attempt, by another of its instances.
+	w.applyStep(s, s.g.Finished(w.now, v, 200, DigestOf([]byte("answer"))))
+	// A late report on the same attempt, by another of its instances.
 	late := &Finish{Key: s.r.Key, Attempt: s.r.Attempt, Verdict: verdict.MayHaveRun}
-	w.flying = append(w.flying, proposal{Command{Finish: late}, s})
+	w.inFlight = append(w.inFlight, proposal{Command{Finish: late}, s})
 }
 
-// loseInstance ends a life of an instance, or only believes so.
-func (w *world) loseInstance() {
+// loseInstance ends an incarnation of an instance, or only reports it as lost.
+func (w *simulation) loseInstance() {
 	id := []string{"a", "b", "c"}[w.draw(3)]
-	w.flying = append(w.flying, proposal{cmd: Command{InstanceLost: &InstanceLost{Instance{id, w.lives[id]}}}})
+	w.inFlight = append(w.inFlight, proposal{cmd: Command{InstanceLost: &InstanceLost{Instance{id, w.incarnations[id]}}}})
 	if w.draw(2) == 0 {
 		return
 	}
-	for _, s := range w.sends {
-		s.dead = s.dead || s.r.Instance == Instance{id, w.lives[id]}
+	for _, s := range w.attempts {
+		s.dead = s.dead || s.r.Instance == Instance{id, w.incarnations[id]}
 	}
-	w.lives[id]++
+	w.incarnations[id]++
 }
 
-// advance moves time and, at most once a ExpireInterval, the leader's Expire command,
-// whose clock may be ahead by any jump. A former leader may leave one more.
-func (w *world) advance() {
+// advance moves time and, at most once per ExpireInterval, applies the leader's Expire
+// command, whose clock may be ahead by any jump. A previous leader may leave one more.
+func (w *simulation) advance() {
 	w.now = w.now.Add(time.Duration(w.draw(400)) * time.Millisecond)
-	if w.now.Sub(w.ticked) >= ExpireInterval {
-		w.ticked = w.now
+	if w.now.Sub(w.lastTick) >= ExpireInterval {
+		w.lastTick = w.now
 		w.tick()
 	}
-	if w.now.Sub(w.extra) > ClaimWait && w.draw(3) == 0 {
-		w.extra = w.now
+	if w.now.Sub(w.lastExtraTick) > ClaimWait && w.draw(3) == 0 {
+		w.lastExtraTick = w.now
 		w.tick()
 	}
 }
 
-func (w *world) tick() {
+func (w *simulation) tick() {
 	ahead := time.Duration(w.draw(100)) * time.Second
 	w.apply(Command{Now: w.now.Add(ahead).UnixMilli(), Expire: &Expire{}})
 }
 
-// Symptom: a booking is confirmed twice, or its caller is told "not run" and
-// the families arrive all the same.
-// Events: the caller resends to other instances while claims, replies and
-// releases are delayed, doubled and lost, instances die or are thought dead,
-// replicas are restored from snapshots and the leader's clock jumps.
-// Cause: a key granted twice, a release while a send is possible, a late grant
-// that is used after a resend was told "not run", a verdict that falls.
+// Guards against a request that runs twice, or whose caller is told "not run" although it
+// runs. The caller resends to other instances while claims, replies and releases are
+// delayed, duplicated and lost, instances die or are believed dead, replicas are restored
+// from snapshots and the leader's clock jumps. Causes: a key granted twice, a release while
+// a send is possible, a late grant that is used after a resend was told "not run", or a
+// verdict that falls.
 func TestAtMostOneRunAndNotRunIsTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for range 10 {
-			w := newWorld(t)
+			w := newSimulation(t)
 			for range 150 {
 				w.step()
 			}
@@ -273,11 +272,11 @@
 	})
 }
 
-func (w *world) step() {
-	asking := w.pick(gateAsking)
-	unsent := w.pick(gateAsking, gateGranted)
+func (w *simulation) step() {
+	asking := w.pick(gateProposing)
+	unsent := w.pick(gateProposing, gateGranted)
 	switch k := w.draw(100); {
-	case k < 12 && len(w.sends) < 12:
+	case k < 12 && len(w.attempts) < 12:
 		w.open()
 	case k < 50:
 		w.deliver()
@@ -288,22 +287,21 @@
 	case k < 62:
 		w.loseInstance()
 	case k < 70 && asking != nil:
-		w.follow(asking, asking.g.Failed(w.now, Failure(w.draw(2))))
+		w.applyStep(asking, asking.g.Failed(w.now, Failure(w.draw(2))))
 	case k < 82 && unsent != nil:
-		w.follow(unsent, unsent.g.GiveUp(w.now, CodeGivenUp, "no target"))
+		w.applyStep(unsent, unsent.g.GiveUp(w.now, CodeGivenUp, "no target"))
 	default:
 		w.advance()
 	}
 }
 
-// Symptom: a resend after the lifetime is refused for ever, or one within the
-// lifetime runs again, or memory grows.
-// Events: claims with random lifetimes, ends, and the clock in steps.
-// Cause: an expiry that is listed too late, too early or not at all.
+// Guards against a resend after the lifetime that is refused for ever, one within the
+// lifetime that runs again, and growing memory: an expiry that is listed too late, too
+// early or not at all.
 func TestRecordsLastExactlyTheirLifetime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		w.mortal = true
+		w := newSimulation(t)
+		w.mayExpire = true
 		lifetime := uint32(rapid.IntRange(1, 20).Draw(t, "lifetime"))
 		key := KeyOf("w", "k")
 		claimAs := func(n byte, lifetime uint32) {
@@ -320,28 +318,27 @@
 		if finished {
 			w.apply(Command{Finish: &Finish{Key: key, Attempt: AttemptID{1}, Verdict: verdict.Ran, Status: 200}})
 		}
-		lives := int64(max(first, lifetime)) + 1
+		recordSeconds := int64(max(first, lifetime)) + 1
 		if !finished {
-			lives += int64(lifetime) + 1 // as MayHaveRun
+			recordSeconds += int64(lifetime) + 1 // as MayHaveRun
 		}
-		for s := int64(1); s <= lives; s++ {
+		for s := int64(1); s <= recordSeconds; s++ {
 			w.now = w.now.Add(time.Second)
 			w.apply(Command{Now: w.now.UnixMilli(), Expire: &Expire{}})
-			if s < lives && w.table.Len() != 1 {
-				t.Fatalf("forgotten after %d of %d s", s, lives)
+			if s < recordSeconds && w.table.Len() != 1 {
+				t.Fatalf("removed after %d of %d s", s, recordSeconds)
 			}
 		}
 		if w.table.Len() != 0 || len(w.table.byExpiry) != 0 {
-			t.Fatalf("%d records and %d listings are left", w.table.Len(), len(w.table.byExpiry))
+			t.Fatalf("%d records and %d expiry lists are left", w.table.Len(), len(w.table.byExpiry))
 		}
 		claimAs(2, lifetime)
 	})
 }
 
-// Symptom: resends are told for a lifetime that the key is running, at nobody.
-// Events: an attempt is abandoned before or after its claim is applied, and the
-// claim, delayed or doubled, is applied once more.
-// Cause: an abandoned attempt without a tombstone.
+// Guards against resends that are told for a lifetime that the key is running although it
+// has no owner: an attempt is abandoned before or after its claim is applied, the claim,
+// delayed or duplicated, is applied again, and there is no tombstone.
 func TestAbandonedAttemptIsNeverGranted(t *testing.T) {
 	claim := Command{Claim: &Claim{Key: Key{1}, Attempt: AttemptID{1}, Instance: Instance{"a", 1}, LifetimeSeconds: 60}}
 	abandon := Command{Abandon: &Abandon{Key: Key{1}, Attempt: AttemptID{1}, NotRun: true, LifetimeSeconds: 60, Mark: First}}
@@ -351,47 +348,45 @@
 			table.Step(c)
 		}
 		if r := table.Step(claim); r.Reply != Released {
-			t.Errorf("the delayed claim was answered %v", r.Reply)
+			t.Errorf("the delayed claim got reply %v", r.Reply)
 		}
 		next := *claim.Claim
 		next.Attempt = AttemptID{2}
 		if r := table.Step(Command{Claim: &next}); r.Reply != Granted {
-			t.Errorf("the next attempt was answered %v", r.Reply)
+			t.Errorf("the next attempt got reply %v", r.Reply)
 		}
 	}
 }
 
-// Symptom: a caller was told "not run" and its earlier sending runs then.
-// Events: a resend is granted the key and releases it; the table's clock runs
-// as fast as it may for ClaimWait; the earlier claim arrives.
-// Cause: a hold that is shorter than ClaimWait on a fast clock.
+// Guards against an attempt that runs after its caller was told "not run": a resend is
+// granted the key and releases it, the table's clock runs at its fastest for ClaimWait, and
+// the earlier claim arrives after a hold that was too short.
 func TestReleaseIsHeldForClaimWait(t *testing.T) {
 	table := NewTable()
 	table.Step(Command{Now: start.UnixMilli(), Expire: &Expire{}})
 	abandon := &Abandon{Key: Key{1}, Attempt: AttemptID{2}, NotRun: true, LifetimeSeconds: 60, Mark: Resend}
 	table.Step(Command{Abandon: abandon})
 	earlier := &Claim{Key: Key{1}, Attempt: AttemptID{1}, Instance: Instance{"a", 1}, LifetimeSeconds: 3600}
-	for ticks := range 4 { // at 0 s, 1 s and 2 s, and one of a former leader
+	for ticks := range 4 { // At 0 s, 1 s and 2 s, and one of a previous leader.
 		if r := table.Step(Command{Now: start.UnixMilli(), Claim: earlier}); r.Reply != Held {
-			t.Fatalf("answered %v after %d ticks", r.Reply, ticks)
+			t.Fatalf("reply %v after %d ticks", r.Reply, ticks)
 		}
 		table.Step(Command{Now: start.Add(time.Hour).UnixMilli(), Expire: &Expire{}})
 	}
 	if r := table.Step(Command{Now: start.UnixMilli(), Claim: earlier}); r.Reply != Granted {
-		t.Fatalf("answered %v after the hold", r.Reply)
+		t.Fatalf("reply %v after the hold", r.Reply)
 	}
 }
 
-// Symptom: a key is granted twice because a dead instance's claim came late.
-// Events: the loss is applied first, then the claim; a new life claims.
-// Cause: no memory of lost lives.
-func TestLostLifeIsNotGranted(t *testing.T) {
+// Guards against a key granted twice because a lost instance's claim arrives after its loss
+// was applied and the lost incarnation was not remembered.
+func TestLostIncarnationIsNotGranted(t *testing.T) {
 	table := NewTable()
 	table.Step(Command{InstanceLost: &InstanceLost{Instance{"a", 3}}})
 	for incarnation, want := range map[uint64]Reply{2: OwnerLost, 3: OwnerLost, 4: Granted} {
 		c := &Claim{Key: Key{byte(incarnation)}, Instance: Instance{"a", incarnation}, LifetimeSeconds: 60}
 		if r := table.Step(Command{Claim: c}); r.Reply != want {
-			t.Errorf("life %d was answered %v", incarnation, r.Reply)
+			t.Errorf("incarnation %d got reply %v", incarnation, r.Reply)
 		}
 	}
 }
--- a/node/registered/doc.go
+++ b/node/registered/doc.go
@@ -36,7 +36,7 @@
 //
 // # How the wait is counted
 //
-// By the leader's Expire commands, which are at least claim.Tick apart by a
+// By the leader's Expire commands, which are at least claim.ExpireInterval apart by a
 // monotonic clock, and not by what clocks show: the machine that took the place
 // of a lost one may have a wrong date. Time in which the region has no leader
 // does not count, which is safe. A change of leader can count one Tick too much.
--- a/node/registered/registrar.go
+++ b/node/registered/registrar.go
@@ -57,7 +57,7 @@
 // NewRegistrar makes a Registrar.
 func NewRegistrar(o Options) *Registrar { return &Registrar{o: o} }
 
-// Step does what is due; the leader calls it each claim.Tick. Once the group is
+// Step does what is due; the leader calls it each claim.ExpireInterval. Once the group is
 // admitted it asks for nothing more.
 func (r *Registrar) Step(ctx context.Context) {
 	if r.o.Table.Status().State == Unregistered && r.o.Lifetime() > 0 {
--- a/pipeline/claiming.go
+++ b/pipeline/claiming.go
@@ -129,7 +129,7 @@
 		Key:      x.keyOf(),
 		Body:     print,
 		Instance: f.deps.Instance,
-		Mark:  x.Terms.Sending,
+		Mark:     x.Terms.Sending,
 		Lifetime: time.Duration(x.View.Bundle.Rules.ClaimLifetimeSeconds) * time.Second,
 	}
 	_, _ = rand.Read(r.Attempt[:])
