--- a/coord/retry/breaker.go
+++ b/coord/retry/breaker.go
@@ -34,8 +34,8 @@
 	MinAttempts float64
 	// Window is the time constant of all averages.
 	Window time.Duration
-	// Pause of an open target; it doubles with each opening in a row to MaxPause.
-	Pause, MaxPause time.Duration
+	// OpenTime of an open target; it doubles with each opening in a row to MaxPause.
+	OpenTime, MaxOpenTime time.Duration
 	// Trials is how many requests a half-open target takes at a time, and how
 	// many must succeed to close it.
 	Trials int
@@ -49,7 +49,7 @@
 func DefaultBreakerConfig() BreakerConfig {
 	return BreakerConfig{
 		FailureShare: 0.5, SlowFactor: 3, MinAttempts: 5, Window: 10 * time.Second,
-		Pause: 5 * time.Second, MaxPause: time.Minute, Trials: 2,
+		OpenTime: 5 * time.Second, MaxOpenTime: time.Minute, Trials: 2,
 		MaxOpenShare: 0.34, SlowStart: 10 * time.Second,
 	}
 }
@@ -58,8 +58,8 @@
 // show that it is well.
 const minWeight = 0.1
 
-// Ended is the end of an attempt at a target.
-type Ended struct {
+// Outcome is the end of an attempt at a target.
+type Outcome struct {
 	Target string
 	// OK is false for failures that speak against the target; a refusal for
 	// load or a cancel by this side is not reported at all.
@@ -175,9 +175,9 @@
 	}
 }
 
-// Ended records the end of an attempt and reports whether the target's state
+// RecordOutcome records the end of an attempt and reports whether the target's state
 // changed by it.
-func (b *Breaker) Ended(now time.Time, e Ended) bool {
+func (b *Breaker) RecordOutcome(now time.Time, e Outcome) bool {
 	t := b.targets[e.Target]
 	if t == nil {
 		return false
@@ -251,19 +251,19 @@
 
 func (b *Breaker) open(now time.Time, t *target) {
 	b.openings++
-	if t.state == Closed && now.Sub(t.weightFrom) > b.cfg.MaxPause {
+	if t.state == Closed && now.Sub(t.weightFrom) > b.cfg.MaxOpenTime {
 		t.openings = 0
 	}
-	pause := float64(b.cfg.Pause) * math.Pow(2, float64(min(t.openings, 16)))
+	pause := float64(b.cfg.OpenTime) * math.Pow(2, float64(min(t.openings, 16)))
 	t.state = Open
-	t.until = now.Add(time.Duration(min(pause, float64(b.cfg.MaxPause))))
+	t.until = now.Add(time.Duration(min(pause, float64(b.cfg.MaxOpenTime))))
 	t.openings++
 	t.succeeded = 0
 }
 
 // tried takes the end of an attempt at a half-open target. One that was sent
 // before the target opened counts as a trial too: it is as good a sign.
-func (b *Breaker) tried(now time.Time, t *target, e Ended) {
+func (b *Breaker) tried(now time.Time, t *target, e Outcome) {
 	if !e.OK || e.Slowness > 0 && b.slowerThanPeers(now, t, e.Slowness) {
 		b.open(now, t)
 		return
@@ -283,7 +283,7 @@
 }
 
 // record fades the counts and adds an end.
-func (t *target) record(now time.Time, e Ended, window time.Duration) {
+func (t *target) record(now time.Time, e Outcome, window time.Duration) {
 	if d := now.Sub(t.at); d > 0 {
 		k := math.Exp(-d.Seconds() / window.Seconds())
 		t.good, t.all, t.timed = t.good*k, t.all*k, t.timed*k
--- a/coord/retry/budget.go
+++ b/coord/retry/budget.go
@@ -122,8 +122,8 @@
 // Attempt is what a HedgeGate needs to know of a running attempt.
 type Attempt struct {
 	Idempotent bool
-	// FirstToken says that something was passed on to the caller.
-	FirstToken bool
+	// ResponseStarted says that something was passed on to the caller.
+	ResponseStarted bool
 	// Hedges is how many second attempts the request has had.
 	Hedges int
 	// Deadline of the request, and the predicted Finish of a hedge started now.
@@ -152,7 +152,7 @@
 
 // Allow reports whether the hedge may start, and pays for it.
 func (g *HedgeGate) Allow(now time.Time, a Attempt) bool {
-	if !a.Idempotent || a.FirstToken || a.Hedges > 0 {
+	if !a.Idempotent || a.ResponseStarted || a.Hedges > 0 {
 		return false
 	}
 	if !a.Deadline.IsZero() && a.Finish.After(a.Deadline) {
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -78,13 +78,13 @@
 		for range requests {
 			b.Succeeded(start)
 			g.Request()
-			a := Attempt{Idempotent: rapid.IntRange(0, 3).Draw(t, "idempotent") > 0, FirstToken: rapid.IntRange(0, 3).Draw(t, "token") == 0}
+			a := Attempt{Idempotent: rapid.IntRange(0, 3).Draw(t, "idempotent") > 0, ResponseStarted: rapid.IntRange(0, 3).Draw(t, "token") == 0}
 			before := b.Tokens()
 			if !g.Allow(start, a) {
 				continue
 			}
 			hedges++
-			if !a.Idempotent || a.FirstToken || before-b.Tokens() != 1 {
+			if !a.Idempotent || a.ResponseStarted || before-b.Tokens() != 1 {
 				t.Fatalf("hedge of %+v paid with %v", a, before-b.Tokens())
 			}
 		}
@@ -110,7 +110,7 @@
 		b := NewBreaker(cfg)
 		b.SetTargets(start, names)
 		now := start
-		drive := func(rounds int, ended func(i int) Ended) {
+		drive := func(rounds int, ended func(i int) Outcome) {
 			for range rounds {
 				now = now.Add(200 * time.Millisecond)
 				for i, name := range names {
@@ -118,7 +118,7 @@
 						b.Sent(now, name)
 						e := ended(i)
 						e.Target = name
-						b.Ended(now, e)
+						b.RecordOutcome(now, e)
 					}
 				}
 				out := 0
@@ -132,10 +132,10 @@
 				}
 			}
 		}
-		drive(100, func(int) Ended {
-			return Ended{OK: rapid.IntRange(0, 9).Draw(t, "ok") > 0, Slowness: rapid.Float64Range(0.3, 30).Draw(t, "slowness")}
+		drive(100, func(int) Outcome {
+			return Outcome{OK: rapid.IntRange(0, 9).Draw(t, "ok") > 0, Slowness: rapid.Float64Range(0.3, 30).Draw(t, "slowness")}
 		})
-		well := func(int) Ended { return Ended{OK: true, Slowness: 1} }
+		well := func(int) Outcome { return Outcome{OK: true, Slowness: 1} }
 		drive(1000, well)
 		for _, name := range names {
 			if b.State(now, name) != Closed || b.Weight(now, name) != 1 {
@@ -143,15 +143,15 @@
 			}
 		}
 		opened, _ := b.Counts()
-		drive(200, func(int) Ended { return Ended{OK: true, Slowness: 20} })
+		drive(200, func(int) Outcome { return Outcome{OK: true, Slowness: 20} })
 		if again, _ := b.Counts(); again != opened {
 			t.Fatal("a slowness of all targets opened some")
 		}
 		drive(1000, well)
 		grey := rapid.IntRange(0, n-1).Draw(t, "grey")
-		drive(200, func(i int) Ended {
+		drive(200, func(i int) Outcome {
 			if i == grey {
-				return Ended{OK: true, Slowness: 10}
+				return Outcome{OK: true, Slowness: 10}
 			}
 			return well(i)
 		})
--- a/coord/retry/window.go
+++ b/coord/retry/window.go
@@ -46,40 +46,40 @@
 // has passed since this one started.
 func (w *Window) SetAllowance(allowance float64) { w.allowance = allowance }
 
-// First counts a first sending.
-func (w *Window) First(now time.Time) {
+// CountFirstAttempt counts a first sending.
+func (w *Window) CountFirstAttempt(now time.Time) {
 	w.move(now)
 	w.firsts[w.at%int64(len(w.firsts))]++
 }
 
 // Use is what a Window holds.
 type Use struct {
-	// Firsts and Extras are counted in the span that ends now.
-	Firsts, Extras int
-	// Left is how many extras are allowed now.
-	Left float64
+	// FirstAttempts and Retries are counted in the span that ends now.
+	FirstAttempts, Retries int
+	// Remaining is how many extras are allowed now.
+	Remaining float64
 }
 
 // Use returns what is counted now.
 func (w *Window) Use(now time.Time) Use {
 	w.move(now)
-	use := Use{Left: math.Inf(1)}
+	use := Use{Remaining: math.Inf(1)}
 	firsts := 0
 	for back := range int64(windowParts) {
 		firsts += w.firstsIn(w.at - back)
 	}
-	use.Firsts = firsts
+	use.FirstAttempts = firsts
 	for back := range int64(len(w.extras)) {
-		use.Extras += w.extrasIn(w.at - back)
-		use.Left = min(use.Left, w.share*float64(firsts)+w.allowance-float64(use.Extras))
+		use.Retries += w.extrasIn(w.at - back)
+		use.Remaining = min(use.Remaining, w.share*float64(firsts)+w.allowance-float64(use.Retries))
 		firsts += w.firstsIn(w.at - back - windowParts)
 	}
 	return use
 }
 
-// TryExtra counts a further sending in and reports whether it is allowed.
-func (w *Window) TryExtra(now time.Time) bool {
-	if w.Use(now).Left < 1 {
+// TryRetry counts a further sending in and reports whether it is allowed.
+func (w *Window) TryRetry(now time.Time) bool {
+	if w.Use(now).Remaining < 1 {
 		return false
 	}
 	w.extras[w.at%int64(len(w.extras))]++
--- a/coord/retry/window_test.go
+++ b/coord/retry/window_test.go
@@ -25,11 +25,11 @@
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 40, 300, 2500, 11000, 400000}).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
-				w.First(now)
+				w.CountFirstAttempt(now)
 				firsts = append(firsts, now)
 				continue
 			}
-			if w.TryExtra(now) {
+			if w.TryRetry(now) {
 				extras = append(extras, now)
 			}
 			for _, back := range []time.Duration{0, span / 4, span / 2, span} {
@@ -61,8 +61,8 @@
 	run := func(firsts int) {
 		for range firsts {
 			now = now.Add(50 * time.Millisecond)
-			w.First(now)
-			if w.TryExtra(now) {
+			w.CountFirstAttempt(now)
+			if w.TryRetry(now) {
 				extras++
 			}
 		}
@@ -79,19 +79,19 @@
 	now := time.Unix(1000, 0)
 	w := retry.NewWindow(now, 10*time.Second, 0.5, 2)
 	for k, want := range []bool{true, true, false} {
-		if got := w.TryExtra(now); got != want {
+		if got := w.TryRetry(now); got != want {
 			t.Fatalf("extra %d: %v", k, got)
 		}
 	}
-	w.First(now)
-	w.First(now)
-	if !w.TryExtra(now) {
+	w.CountFirstAttempt(now)
+	w.CountFirstAttempt(now)
+	if !w.TryRetry(now) {
 		t.Fatal("two first sendings allow one more at a share of a half")
 	}
-	if w.TryExtra(now.Add(9 * time.Second)) {
+	if w.TryRetry(now.Add(9 * time.Second)) {
 		t.Fatal("allowed again within the span")
 	}
-	if !w.TryExtra(now.Add(12 * time.Second)) {
+	if !w.TryRetry(now.Add(12 * time.Second)) {
 		t.Fatal("not allowed after the span")
 	}
 }
--- a/pipeline/budget.go
+++ b/pipeline/budget.go
@@ -92,7 +92,7 @@
 	defer b.mu.Unlock()
 	return b.of(x.Service.ID).gate.Allow(b.now(), retry.Attempt{
 		Idempotent: !x.Once,
-		FirstToken: x.headWritten,
+		ResponseStarted: x.headWritten,
 		Deadline:   x.Deadline,
 		Finish:     finish,
 	})
--- a/pipeline/exchange/repeats.go
+++ b/pipeline/exchange/repeats.go
@@ -71,7 +71,7 @@
 func (r *repeats) first(now time.Time, service string, entries int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.of(now, service, entries).window.First(now)
+	r.of(now, service, entries).window.CountFirstAttempt(now)
 }
 
 // try decides on one more sending, and counts it if it is allowed.
@@ -79,7 +79,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.of(now, service, entries)
-	d := repeatDecision{allowed: s.window.TryExtra(now), age: now.Sub(r.began)}
+	d := repeatDecision{allowed: s.window.TryRetry(now), age: now.Sub(r.began)}
 	if now.Sub(s.toldAt) >= tellEvery {
 		s.toldAt, d.tell, d.use = now, true, s.window.Use(now)
 	}
--- a/pipeline/exchange/send.go
+++ b/pipeline/exchange/send.go
@@ -94,8 +94,8 @@
 func (q *request) mayRepeat(now time.Time) bool {
 	d := q.g.repeats.try(now, q.service, q.view.Entries)
 	if d.tell {
-		q.g.o.Log.Info("repeats", zap.String("service", q.service), zap.Bool("allowed", d.allowed), zap.Int("firsts", d.use.Firsts),
-			zap.Int("extras", d.use.Extras), zap.Float64("left", d.use.Left), zap.Int("entries", q.view.Entries), zap.Duration("age", d.age))
+		q.g.o.Log.Info("repeats", zap.String("service", q.service), zap.Bool("allowed", d.allowed), zap.Int("firsts", d.use.FirstAttempts),
+			zap.Int("extras", d.use.Retries), zap.Float64("left", d.use.Remaining), zap.Int("entries", q.view.Entries), zap.Duration("age", d.age))
 	}
 	if !d.allowed {
 		q.g.o.Metrics.RetriesDenied.Inc(1)
