--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -10,20 +10,19 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// Symptom: a region that lost capacity is kept down by retries.
-// Events: requests come steadily, a random share of attempts fails, and every
-// failure asks for a retry, which may fail as well.
-// Cause: a budget that counts requests instead of successes, or that does not
-// shrink with the success rate.
-func TestRetriesShrinkWithTheSquareOfSuccess(t *testing.T) {
+// Guards against retries that keep a region overloaded after it lost capacity: a share of
+// attempts fails and every failure asks for a retry, which may fail as well. The cause would
+// be a budget that counts requests instead of successes, or doesn't shrink with the success
+// rate.
+func TestRetriesShrinkWithTheSquareOfTheSuccessRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := BudgetConfig{Ratio: rapid.Float64Range(0.05, 0.5).Draw(t, "ratio"), MinPerSecond: 0.1, Window: 10 * time.Second}
-		rate := rapid.IntRange(0, 10).Draw(t, "success in ten")
+		successTenths := rapid.IntRange(0, 10).Draw(t, "success in ten")
 		b := NewBudget(start, cfg)
 		now, retries, successes, n := start, 0, 0, 0
 		attempt := func() bool {
 			n++
-			if n%10 < rate {
+			if n%10 < successTenths {
 				successes++
 				b.Succeeded(now)
 				return true
@@ -37,39 +36,37 @@
 				retries++
 			}
 		}
-		share := float64(rate) / 10
-		// What the start saved while the success rate was not known yet.
-		saved := minSaved + cfg.Ratio*10
-		most := 1.1*(cfg.Ratio*share*float64(successes)+cfg.MinPerSecond*60*share) + saved
-		if float64(retries) > most {
-			t.Fatalf("%d retries at %d successes, at most %v", retries, successes, most)
+		share := float64(successTenths) / 10
+		// Saved at the start, while the success rate was not known yet.
+		initial := minMaxTokens + cfg.Ratio*10
+		maxRetries := 1.1*(cfg.Ratio*share*float64(successes)+cfg.MinPerSecond*60*share) + initial
+		if float64(retries) > maxRetries {
+			t.Fatalf("%d retries at %d successes, want at most %v", retries, successes, maxRetries)
 		}
-		if least := 0.8*min(cfg.Ratio*share*float64(successes), float64(n-successes)) - saved; float64(retries) < least {
-			t.Fatalf("%d retries of %v paid for", retries, least)
+		if minRetries := 0.8*min(cfg.Ratio*share*float64(successes), float64(n-successes)) - initial; float64(retries) < minRetries {
+			t.Fatalf("%d retries, want at least the %v paid for", retries, minRetries)
 		}
 	})
 }
 
-// Symptom: callers that failed together come back together, or never.
-// Events: any number of failures in a row.
-// Cause: a pause without jitter, without a ceiling, or one that overflows.
+// Guards against callers that failed together and retry together, or never: a delay without
+// jitter, without an upper bound, or that overflows after many failures.
 func TestBackoffStaysInItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := BackoffConfig{Base: 100 * time.Millisecond, Max: 5 * time.Second}
 		n := rapid.IntRange(1, 1000).Draw(t, "retry")
 		u := rapid.Float64Range(0, 0.999).Draw(t, "u")
-		whole := min(cfg.Max, cfg.Base<<min(n-1, 20))
+		maxDelay := min(cfg.Max, cfg.Base<<min(n-1, 20))
 		got := Backoff(cfg, n, u)
-		if got < whole/10 || got > whole {
-			t.Fatalf("pause %v of %v", got, whole)
+		if got < maxDelay/10 || got > maxDelay {
+			t.Fatalf("delay %v of %v", got, maxDelay)
 		}
 	})
 }
 
-// Symptom: a booking runs twice, an answer is mixed of two, or hedges double
-// the load while all targets are slow.
-// Events: hedges are asked for at random.
-// Cause: a gate that does not look at what was passed on, or has no bound.
+// Guards against a non-idempotent request that runs twice, a response mixed from two
+// attempts, and hedges that double the load while all targets are slow: a gate that ignores
+// whether the response has started, or has no bound.
 func TestHedgesOnlyWhereSafeAndFew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(start, BudgetConfig{Ratio: 1, Window: 10 * time.Second})
@@ -94,12 +91,10 @@
 	})
 }
 
-// Symptom: a service has no target left although all are alive, or a target
-// that is well again stays out for ever.
-// Events: targets fail, get slow alone or all together, and recover.
-// Cause: no bound on those out, slowness judged without peers, a trial that
-// is never made.
-func TestBreakerKeepsEnoughTargetsAndLetsThemBack(t *testing.T) {
+// Guards against a service without targets although all are alive, and a recovered target
+// that never closes. Targets fail, slow down alone or together, and recover. Causes: no
+// bound on open targets, slowness judged without peers, or a trial that is never made.
+func TestBreakerKeepsEnoughTargetsAndClosesRecoveredOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "targets")
 		names := make([]string, n)
@@ -128,32 +123,32 @@
 					}
 				}
 				if float64(out) > cfg.MaxOpenShare*float64(n) {
-					t.Fatalf("%d of %d targets are out", out, n)
+					t.Fatalf("%d of %d targets are open or half-open", out, n)
 				}
 			}
 		}
 		drive(100, func(int) Outcome {
 			return Outcome{OK: rapid.IntRange(0, 9).Draw(t, "ok") > 0, Slowness: rapid.Float64Range(0.3, 30).Draw(t, "slowness")}
 		})
-		well := func(int) Outcome { return Outcome{OK: true, Slowness: 1} }
-		drive(1000, well)
+		healthy := func(int) Outcome { return Outcome{OK: true, Slowness: 1} }
+		drive(1000, healthy)
 		for _, name := range names {
 			if b.State(now, name) != Closed || b.Weight(now, name) != 1 {
-				t.Fatalf("%s is %v at weight %v while all is well", name, b.State(now, name), b.Weight(now, name))
+				t.Fatalf("%s is %v at weight %v while all targets are healthy", name, b.State(now, name), b.Weight(now, name))
 			}
 		}
 		opened, _ := b.Counts()
 		drive(200, func(int) Outcome { return Outcome{OK: true, Slowness: 20} })
 		if again, _ := b.Counts(); again != opened {
-			t.Fatal("a slowness of all targets opened some")
+			t.Fatal("a slowdown of all targets opened some")
 		}
-		drive(1000, well)
+		drive(1000, healthy)
 		grey := rapid.IntRange(0, n-1).Draw(t, "grey")
 		drive(200, func(i int) Outcome {
 			if i == grey {
 				return Outcome{OK: true, Slowness: 10}
 			}
-			return well(i)
+			return healthy(i)
 		})
 		if n >= 3 && b.State(now, names[grey]) == Closed {
 			t.Fatal("a target ten times as slow as its peers stays closed")
@@ -161,9 +156,8 @@
 	})
 }
 
-// Symptom: a target that has just loaded its model is overrun at once.
-// Events: it loads, and is chosen by weight from then on.
-// Cause: a weight that doesn't begin low, or never gets back to 1.
+// Guards against a target that is overloaded right after it has loaded its model: a weight
+// that doesn't start low, or never returns to 1.
 func TestSlowStartAfterALoad(t *testing.T) {
 	b := NewBreaker(DefaultBreakerConfig())
 	b.SetTargets(start, []string{"a"})
--- a/coord/retry/window.go
+++ b/coord/retry/window.go
@@ -5,111 +5,112 @@
 	"time"
 )
 
-// windowParts is how many parts a span is counted in: the error of the sliding sums is one
-// part.
-const windowParts = 10
+// windowSlots is how many slots a span is counted in: the error of the sliding sums is one
+// slot.
+const windowSlots = 10
 
-// Window bounds what one of several senders sends beyond first sendings, so that the sum over
-// all of them keeps a common bound without a word between them. Unlike a Budget it does not
-// depend on successes. It is not safe for several goroutines.
+// Window bounds the retries of one of several senders so that the sum over all of them keeps a
+// common bound without communication. Unlike a Budget it does not depend on successes. It is not
+// safe for concurrent use.
 //
-// For each moment a in the span that ends now, the extras since a are at most share times the
-// first sendings since a span before a, and the allowance. So the extras in any span are earned
-// by the first sendings of that span and of the one before it, at all senders alike, and sums
+// For each moment a in the span that ends now, the retries since a are at most share times the
+// first attempts since a span before a, plus the allowance. So the retries in any span are earned
+// by the first attempts of that span and of the one before it, at each sender alike, and sums
 // over senders keep
 //
-//	extras(span) <= share * (firsts(span) + firsts(span before)) + allowances
+//	retries(span) <= share * (first(span) + first(span before)) + allowances
 //
-// also where the load moves between senders. A bound by the first sendings of the span that
-// ends now would not add up: each sender would allow by the span in which it was busiest.
+// where first counts first attempts, also where the load moves between senders. A bound by the
+// first attempts of the span that ends now would not add up: each sender would allow by the span
+// in which it was busiest.
 //
-// A sender that starts anew has forgotten what it sent, and what that was earned by. Its last
-// life and this one still earn each first sending once, so the sum above holds for them too,
-// but for the allowance: that has to be smaller until a span has passed.
+// A sender that restarts has lost its counts of retries and of first attempts. Its previous
+// incarnation and this one still count each first attempt once, so the sum above holds for them
+// too, except for the allowance: that has to be smaller until a span has passed.
 type Window struct {
 	share, allowance float64
-	part             time.Duration
+	slotLength       time.Duration
 	start            time.Time
-	// at is the number of the newest part since start.
-	at     int64
-	firsts [2 * windowParts]int
-	extras [windowParts + 1]int
+	// current is the number of the newest slot since start.
+	current       int64
+	firstAttempts [2 * windowSlots]int
+	retries       [windowSlots + 1]int
 }
 
-// NewWindow makes a Window of the length span. share is how many extras each first sending
-// allows in each of the two spans that it counts in, allowance how many are allowed beside.
+// NewWindow returns a Window of length span. share is how many retries each first attempt
+// allows in each of the two spans that it counts in; allowance is how many more are allowed.
 func NewWindow(now time.Time, span time.Duration, share, allowance float64) *Window {
-	return &Window{share: share, allowance: allowance, part: max(1, span/windowParts), start: now}
+	return &Window{share: share, allowance: allowance, slotLength: max(1, span/windowSlots), start: now}
 }
 
-// SetAllowance replaces the allowance, as when the number of senders changes or a span
+// SetAllowance replaces the allowance, for example when the number of senders changes or a span
 // has passed since this one started.
 func (w *Window) SetAllowance(allowance float64) { w.allowance = allowance }
 
-// CountFirstAttempt counts a first sending.
+// CountFirstAttempt counts the first attempt of a request.
 func (w *Window) CountFirstAttempt(now time.Time) {
-	w.move(now)
-	w.firsts[w.at%int64(len(w.firsts))]++
+	w.advance(now)
+	w.firstAttempts[w.current%int64(len(w.firstAttempts))]++
 }
 
-// Use is what a Window holds.
+// Use is the state of a Window.
 type Use struct {
-	// FirstAttempts and Retries are counted in the span that ends now.
+	// FirstAttempts and Retries in the span that ends now.
 	FirstAttempts, Retries int
-	// Remaining is how many extras are allowed now.
+	// Remaining is how many retries are allowed now.
 	Remaining float64
 }
 
-// Use returns what is counted now.
+// Use returns the counts at now.
 func (w *Window) Use(now time.Time) Use {
-	w.move(now)
+	w.advance(now)
 	use := Use{Remaining: math.Inf(1)}
-	firsts := 0
-	for back := range int64(windowParts) {
-		firsts += w.firstsIn(w.at - back)
+	earning := 0
+	for back := range int64(windowSlots) {
+		earning += w.firstAttemptsIn(w.current - back)
 	}
-	use.FirstAttempts = firsts
-	for back := range int64(len(w.extras)) {
-		use.Retries += w.extrasIn(w.at - back)
-		use.Remaining = min(use.Remaining, w.share*float64(firsts)+w.allowance-float64(use.Retries))
-		firsts += w.firstsIn(w.at - back - windowParts)
+	use.FirstAttempts = earning
+	for back := range int64(len(w.retries)) {
+		use.Retries += w.retriesIn(w.current - back)
+		use.Remaining = min(use.Remaining, w.share*float64(earning)+w.allowance-float64(use.Retries))
+		earning += w.firstAttemptsIn(w.current - back - windowSlots)
 	}
 	return use
 }
 
-// TryRetry counts a further sending in and reports whether it is allowed.
+// TryRetry counts a retry if it is allowed, and reports whether it is.
 func (w *Window) TryRetry(now time.Time) bool {
 	if w.Use(now).Remaining < 1 {
 		return false
 	}
-	w.extras[w.at%int64(len(w.extras))]++
+	w.retries[w.current%int64(len(w.retries))]++
 	return true
 }
 
-// firstsIn and extrasIn are the counts of a part that is still kept; none before the start.
-func (w *Window) firstsIn(part int64) int {
-	if part < 0 || part <= w.at-int64(len(w.firsts)) {
+// firstAttemptsIn and retriesIn return the counts of a slot that is kept; 0 before the start.
+func (w *Window) firstAttemptsIn(slot int64) int {
+	if slot < 0 || slot <= w.current-int64(len(w.firstAttempts)) {
 		return 0
 	}
-	return w.firsts[part%int64(len(w.firsts))]
+	return w.firstAttempts[slot%int64(len(w.firstAttempts))]
 }
 
-func (w *Window) extrasIn(part int64) int {
-	if part < 0 {
+func (w *Window) retriesIn(slot int64) int {
+	if slot < 0 {
 		return 0
 	}
-	return w.extras[part%int64(len(w.extras))]
+	return w.retries[slot%int64(len(w.retries))]
 }
 
-// move clears the parts that are not kept any more.
-func (w *Window) move(now time.Time) {
-	at := int64(now.Sub(w.start) / w.part)
-	for ; w.at < at; w.at++ {
-		if kept := int64(len(w.firsts)); at-w.at > kept {
-			w.at = at - kept
+// advance clears the slots that are no longer kept.
+func (w *Window) advance(now time.Time) {
+	at := int64(now.Sub(w.start) / w.slotLength)
+	for ; w.current < at; w.current++ {
+		if kept := int64(len(w.firstAttempts)); at-w.current > kept {
+			w.current = at - kept
 		}
-		next := w.at + 1
-		w.firsts[next%int64(len(w.firsts))] = 0
-		w.extras[next%int64(len(w.extras))] = 0
+		next := w.current + 1
+		w.firstAttempts[next%int64(len(w.firstAttempts))] = 0
+		w.retries[next%int64(len(w.retries))] = 0
 	}
 }
--- a/coord/retry/window_test.go
+++ b/coord/retry/window_test.go
@@ -9,9 +9,9 @@
 	"github.com/gullhaven/gullhaven/coord/retry"
 )
 
-// Guards against a burst at the end of one part and another at the beginning of the next, and
-// against extras that are earned by first sendings of more than this span and the one before.
-func TestWindowBoundsExtrasInAnySpan(t *testing.T) {
+// Guards against a burst at the end of one slot and another at the beginning of the next, and
+// against retries that are earned by first attempts of more than this span and the one before.
+func TestWindowBoundsRetriesInAnySpan(t *testing.T) {
 	const (
 		span      = 10 * time.Second
 		share     = 0.15
@@ -21,7 +21,7 @@
 		start := time.Unix(1000, 0)
 		w := retry.NewWindow(start, span, share, allowance)
 		now := start
-		var firsts, extras []time.Time
+		var firsts, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 40, 300, 2500, 11000, 400000}).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
@@ -30,13 +30,13 @@
 				continue
 			}
 			if w.TryRetry(now) {
-				extras = append(extras, now)
+				retries = append(retries, now)
 			}
 			for _, back := range []time.Duration{0, span / 4, span / 2, span} {
 				since := now.Add(-back)
-				sent, earned := countSince(extras, since), countSince(firsts, since.Add(-span))
-				if float64(sent) > share*float64(earned)+allowance {
-					t.Fatalf("%d extras within %v at %d firsts in a span more", sent, back, earned)
+				retried, first := countSince(retries, since), countSince(firsts, since.Add(-span))
+				if float64(retried) > share*float64(first)+allowance {
+					t.Fatalf("%d retries within %v at %d first attempts in that time and a span before", retried, back, first)
 				}
 			}
 		}
@@ -53,25 +53,25 @@
 	return n
 }
 
-// Guards against a bound that refuses, at an even load, what two spans earn together.
-func TestWindowAllowsTwiceItsShareAtAnEvenLoad(t *testing.T) {
+// Guards against a bound that refuses, at a steady load, what two spans earn together.
+func TestWindowAllowsTwiceItsShareAtSteadyLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := retry.NewWindow(now, 10*time.Second, 0.1, 0)
-	extras := 0
+	retries := 0
 	run := func(firsts int) {
 		for range firsts {
 			now = now.Add(50 * time.Millisecond)
 			w.CountFirstAttempt(now)
 			if w.TryRetry(now) {
-				extras++
+				retries++
 			}
 		}
 	}
 	run(400)
-	extras = 0
+	retries = 0
 	run(1000)
-	if extras < 170 || extras > 200 {
-		t.Fatalf("%d extras at 1000 firsts", extras)
+	if retries < 170 || retries > 200 {
+		t.Fatalf("%d retries at 1000 first attempts, want 170 to 200", retries)
 	}
 }
 
@@ -80,13 +80,13 @@
 	w := retry.NewWindow(now, 10*time.Second, 0.5, 2)
 	for k, want := range []bool{true, true, false} {
 		if got := w.TryRetry(now); got != want {
-			t.Fatalf("extra %d: %v", k, got)
+			t.Fatalf("retry %d: allowed %v", k, got)
 		}
 	}
 	w.CountFirstAttempt(now)
 	w.CountFirstAttempt(now)
 	if !w.TryRetry(now) {
-		t.Fatal("two first sendings allow one more at a share of a half")
+		t.Fatal("two first attempts allow one retry at a share of a half")
 	}
 	if w.TryRetry(now.Add(9 * time.Second)) {
 		t.Fatal("allowed again within the span")
--- a/pipeline/budget.go
+++ b/pipeline/budget.go
@@ -91,9 +91,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.of(x.Service.ID).gate.Allow(b.now(), retry.Attempt{
-		Idempotent: !x.Once,
+		Idempotent:      !x.Once,
 		ResponseStarted: x.headWritten,
-		Deadline:   x.Deadline,
-		Finish:     finish,
+		Deadline:        x.Deadline,
+		Finish:          finish,
 	})
 }
