--- a/coord/admit/admit.go
+++ b/coord/admit/admit.go
@@ -27,8 +27,8 @@
 	"github.com/gullhaven/gullhaven/coord/replog/confchange"
 )
 
-// Applicant asks to be a member.
-type Applicant struct {
+// JoinRequest asks to be a member.
+type JoinRequest struct {
 	Member replog.Member
 	// Region and Zone are where it stands.
 	Region, Zone string
@@ -41,34 +41,34 @@
 
 // Rules bound when a change is made. Zero values take the defaults.
 type Rules struct {
-	// SilentFor is how long a voter must have been silent before a newcomer of
+	// ReplaceAfter is how long a voter must have been silent before a newcomer of
 	// its zone may replace it; default 2 s, above a restart of its process.
-	SilentFor time.Duration
-	// AskedWithin is the age above which an application is void; default 2 s,
+	ReplaceAfter time.Duration
+	// RequestTTL is the age above which an application is void; default 2 s,
 	// a few of the intervals at which applicants ask.
-	AskedWithin time.Duration
+	RequestTTL time.Duration
 	// MaxMembers bounds the voters and learners of a group in which no voter is
 	// silent; default 9, which bears the loss of four.
 	MaxMembers int
-	// OutsideAfter is how long a voter must have been silent before an applicant
+	// StandbyAfter is how long a voter must have been silent before an applicant
 	// that is no newcomer takes its place; default 10 s, above a restart of its
 	// instance with an empty disk.
-	OutsideAfter time.Duration
+	StandbyAfter time.Duration
 }
 
 // Defaults of Rules.
 const (
-	DefaultSilentFor    = 2 * time.Second
-	DefaultAskedWithin  = 2 * time.Second
+	DefaultReplaceAfter = 2 * time.Second
+	DefaultRequestTTL   = 2 * time.Second
 	DefaultMaxMembers   = 9
-	DefaultOutsideAfter = 10 * time.Second
+	DefaultStandbyAfter = 10 * time.Second
 )
 
 // Group keeps who asked and which zone each member stands in. It belongs to one
 // goroutine.
 type Group struct {
 	rules      Rules
-	applicants map[string]Applicant
+	applicants map[string]JoinRequest
 	// zones and regions are those of all that ever asked.
 	zones, regions map[string]string
 	// quietSince is when a voter was first found silent by this leader.
@@ -77,26 +77,26 @@
 
 // New makes a Group without applicants.
 func New(r Rules) *Group {
-	if r.SilentFor <= 0 {
-		r.SilentFor = DefaultSilentFor
+	if r.ReplaceAfter <= 0 {
+		r.ReplaceAfter = DefaultReplaceAfter
 	}
-	if r.AskedWithin <= 0 {
-		r.AskedWithin = DefaultAskedWithin
+	if r.RequestTTL <= 0 {
+		r.RequestTTL = DefaultRequestTTL
 	}
 	if r.MaxMembers <= 0 {
 		r.MaxMembers = DefaultMaxMembers
 	}
-	if r.OutsideAfter <= 0 {
-		r.OutsideAfter = DefaultOutsideAfter
+	if r.StandbyAfter <= 0 {
+		r.StandbyAfter = DefaultStandbyAfter
 	}
 	return &Group{
-		rules: r, applicants: map[string]Applicant{}, zones: map[string]string{}, regions: map[string]string{},
+		rules: r, applicants: map[string]JoinRequest{}, zones: map[string]string{}, regions: map[string]string{},
 		quietSince: map[string]time.Time{},
 	}
 }
 
-// Asked takes in an application. Members ask too, which tells their zones.
-func (g *Group) Asked(a Applicant) {
+// RecordRequest takes in an application. Members ask too, which tells their zones.
+func (g *Group) RecordRequest(a JoinRequest) {
 	g.applicants[a.Member.ID] = a
 	g.zones[a.Member.ID], g.regions[a.Member.ID] = a.Zone, a.Region
 }
@@ -138,7 +138,7 @@
 func (g *Group) replaced(now time.Time, s replog.Status) (replog.Member, bool) {
 	for _, id := range g.successors(s) {
 		dead, ok := s.Config.Lookup(id)
-		if since, quiet := g.quietSince[id]; ok && quiet && now.Sub(since) >= g.rules.SilentFor {
+		if since, quiet := g.quietSince[id]; ok && quiet && now.Sub(since) >= g.rules.ReplaceAfter {
 			return dead, true
 		}
 	}
@@ -155,7 +155,7 @@
 	since := now
 	for _, m := range s.Config.Voters {
 		at, quiet := g.quietSince[m.ID]
-		if quiet && now.Sub(at) >= g.rules.OutsideAfter && at.Before(since) {
+		if quiet && now.Sub(at) >= g.rules.StandbyAfter && at.Before(since) {
 			longest, since = m, at
 		}
 	}
@@ -209,7 +209,7 @@
 }
 
 // Full reports whether an applicant that is no member stays outside for now.
-func (g *Group) Full(now time.Time, s replog.Status, a Applicant) bool {
+func (g *Group) Full(now time.Time, s replog.Status, a JoinRequest) bool {
 	if _, in := s.Config.Lookup(a.Member.ID); in {
 		return false
 	}
@@ -221,7 +221,7 @@
 // when the voter of its own zone is silent for long. A voter that never asked this
 // leader is of unknown zone and may be cut off with its region: only a newcomer
 // stands in for it.
-func (g *Group) standsIn(now time.Time, s replog.Status, a Applicant) bool {
+func (g *Group) standsIn(now time.Time, s replog.Status, a JoinRequest) bool {
 	if len(s.Config.Members()) > g.rules.MaxMembers {
 		return false
 	}
@@ -231,7 +231,7 @@
 		case !quiet:
 		case a.Newcomer && g.mayFollow(a.Zone, m.ID):
 			return true
-		case g.zones[m.ID] == a.Zone && now.Sub(since) >= g.rules.OutsideAfter:
+		case g.zones[m.ID] == a.Zone && now.Sub(since) >= g.rules.StandbyAfter:
 			return true
 		}
 	}
@@ -246,8 +246,8 @@
 		inRegion[g.regions[m.ID]]++
 		inZone[g.zones[m.ID]]++
 	}
-	var best *Applicant
-	less := func(a, b *Applicant) bool {
+	var best *JoinRequest
+	less := func(a, b *JoinRequest) bool {
 		return cmp.Or(
 			cmp.Compare(inRegion[a.Region], inRegion[b.Region]),
 			cmp.Compare(inZone[a.Zone], inZone[b.Zone]),
@@ -256,7 +256,7 @@
 	}
 	for id, a := range g.applicants {
 		_, in := s.Config.Lookup(id)
-		if in || now.Sub(a.At) > g.rules.AskedWithin || g.Full(now, s, a) {
+		if in || now.Sub(a.At) > g.rules.RequestTTL || g.Full(now, s, a) {
 			continue
 		}
 		if best == nil || less(&a, best) {
--- a/coord/admit/admit_test.go
+++ b/coord/admit/admit_test.go
@@ -51,7 +51,7 @@
 			for _, id := range newcomers {
 				fresh = fresh || id == m.ID
 			}
-			g.Asked(admit.Applicant{Member: m, Zone: v.zones[m.ID], Newcomer: fresh, At: now})
+			g.RecordRequest(admit.JoinRequest{Member: m, Zone: v.zones[m.ID], Newcomer: fresh, At: now})
 		}
 	}
 }
@@ -65,13 +65,13 @@
 		v.ask(g, now)
 		v.silent["c"] = true
 		v.zones["d"] = v.zones["c"]
-		g.Asked(admit.Applicant{Member: member("d"), Zone: v.zones["d"], Newcomer: true, At: now})
+		g.RecordRequest(admit.JoinRequest{Member: member("d"), Zone: v.zones["d"], Newcomer: true, At: now})
 		var kinds []confchange.Kind
 		for range 20 {
 			now = now.Add(300 * time.Millisecond)
 			v.ask(g, now, "d")
 			if _, in := v.config.Lookup("d"); !in {
-				g.Asked(admit.Applicant{Member: member("d"), Zone: v.zones["d"], Newcomer: true, At: now})
+				g.RecordRequest(admit.JoinRequest{Member: member("d"), Zone: v.zones["d"], Newcomer: true, At: now})
 			}
 			ch, ok := g.Next(now, v.status(), v.active)
 			if !ok {
@@ -148,7 +148,7 @@
 	v, g := newView("a", "b"), admit.New(admit.Rules{})
 	s := v.status()
 	s.Role = replog.Follower
-	g.Asked(admit.Applicant{Member: member("x"), Zone: "z", At: time.Unix(100, 0)})
+	g.RecordRequest(admit.JoinRequest{Member: member("x"), Zone: "z", At: time.Unix(100, 0)})
 	if ch, ok := g.Next(time.Unix(100, 0), s, v.active); ok {
 		t.Fatalf("a follower wants %v", ch)
 	}
@@ -156,7 +156,7 @@
 
 func TestOldApplicationIsVoid(t *testing.T) {
 	v, g := newView("a", "b"), admit.New(admit.Rules{})
-	g.Asked(admit.Applicant{Member: member("x"), Zone: "z", At: time.Unix(100, 0)})
+	g.RecordRequest(admit.JoinRequest{Member: member("x"), Zone: "z", At: time.Unix(100, 0)})
 	if ch, ok := g.Next(time.Unix(103, 0), v.status(), v.active); ok {
 		t.Fatalf("a member that asked three seconds ago is let in: %v", ch)
 	}
--- a/coord/admit/outside_test.go
+++ b/coord/admit/outside_test.go
@@ -50,7 +50,7 @@
 		c.now = c.now.Add(tick)
 		for _, id := range c.all {
 			if !c.silent[id] {
-				c.g.Asked(admit.Applicant{Member: memberOf(id), Region: c.regions[id], Zone: c.zones[id], At: c.now})
+				c.g.RecordRequest(admit.JoinRequest{Member: memberOf(id), Region: c.regions[id], Zone: c.zones[id], At: c.now})
 			}
 		}
 		ch, ok := c.g.Next(c.now, c.status(), c.active)
--- a/node/control/joining.go
+++ b/node/control/joining.go
@@ -170,8 +170,8 @@
 	}
 	i.membersMu.Lock()
 	defer i.membersMu.Unlock()
-	applicant := admit.Applicant{Member: a.Member, Region: a.Region, Zone: a.Zone, Newcomer: a.Newcomer, At: time.Now()}
-	i.members.Asked(applicant)
+	applicant := admit.JoinRequest{Member: a.Member, Region: a.Region, Zone: a.Zone, Newcomer: a.Newcomer, At: time.Now()}
+	i.members.RecordRequest(applicant)
 	_, known := s.Config.Lookup(a.Member.ID)
 	r := reception{Leader: i.o.Self.ID, Leads: true, Known: known, Settled: i.members.Settled(s, a.Member)}
 	if i.members.Full(applicant.At, s, applicant) {
