--- a/coord/admit/admit.go
+++ b/coord/admit/admit.go
@@ -1,22 +1,22 @@
-// Package admit decides how the members of a replicated group change by
-// themselves: who joins, who becomes a voter, and which voter a newcomer
+// Package admit decides how the membership of a replicated group changes
+// automatically: who joins, who becomes a voter, and which voter a newcomer
 // replaces.
 //
-// It has no input or output. The leader of the group hands in what it sees and
-// makes the change that Next returns, one at a time; package replog refuses what
-// is not settled yet, and then the next call decides anew.
+// It does no input or output. The leader of the group passes in what it observes and
+// makes the change that Next returns, one at a time; package replog refuses a change
+// while an earlier one is pending, and the next call decides again.
 //
-// What goes wrong without the rules below:
-//   - a machine is gone for good and its successor comes at another address. If
-//     the dead voter stays, each replacement raises the number of voters that must
-//     answer while the number that can does not rise, until no majority is left;
-//   - a cut-off voter is taken for dead. Removing it on silence alone would let a
-//     group shrink step by step. So a voter leaves only after a newcomer of its
-//     zone has become a voter, and the number of voters never falls;
-//   - a group of a hundred. Each member costs the leader a message at each
-//     heartbeat and each commit the answers of half of them. So at most MaxMembers
-//     are let in, spread over regions and zones; the others stay outside, and one
-//     of them takes the place of a voter of its zone that is silent for long.
+// Without the rules below:
+//   - A machine is lost for good and its successor starts at another address. If
+//     the lost voter stays, each replacement raises the number of voters that must
+//     answer while the number that can does not rise, until there is no majority.
+//   - A partitioned voter is taken for dead. Removing it on silence alone would let a
+//     group shrink step by step. So a voter is removed only after a newcomer of its
+//     zone has become a voter, and the number of voters never falls.
+//   - A group has a hundred members. Each member costs the leader a message at each
+//     heartbeat, and each commit needs the answers of half of them. So at most
+//     MaxMembers are admitted, spread over regions and zones. The others are standbys;
+//     one of them replaces a voter of its zone that has been silent for long.
 package admit
 
 import (
@@ -27,32 +27,32 @@
 	"github.com/gullhaven/gullhaven/coord/replog/confchange"
 )
 
-// JoinRequest asks to be a member.
+// JoinRequest is an instance's request for membership.
 type JoinRequest struct {
 	Member replog.Member
-	// Region and Zone are where it stands.
+	// Region and Zone of the instance.
 	Region, Zone string
 	// Newcomer says that its disk was new at its start, that the group did not
-	// know its id when it asked first, and that it is not Settled yet.
+	// know its id when it first asked, and that it is not Settled yet.
 	Newcomer bool
-	// At is when it asked last, by the leader's clock.
+	// At is when the leader received it, by the leader's clock.
 	At time.Time
 }
 
-// Rules bound when a change is made. Zero values take the defaults.
+// Rules configure when a change is made. Zero values take the defaults.
 type Rules struct {
-	// ReplaceAfter is how long a voter must have been silent before a newcomer of
-	// its zone may replace it; default 2 s, above a restart of its process.
+	// ReplaceAfter is how long a voter must have been silent before a newcomer of its
+	// zone may replace it; default 2 s, longer than a restart of its process.
 	ReplaceAfter time.Duration
-	// RequestTTL is the age above which an application is void; default 2 s,
-	// a few of the intervals at which applicants ask.
+	// RequestTTL is the age beyond which a join request is ignored; default 2 s,
+	// a few of the intervals at which instances ask.
 	RequestTTL time.Duration
-	// MaxMembers bounds the voters and learners of a group in which no voter is
-	// silent; default 9, which bears the loss of four.
+	// MaxMembers bounds the voters and learners of a group without silent voters;
+	// default 9, which tolerates the loss of four.
 	MaxMembers int
-	// StandbyAfter is how long a voter must have been silent before an applicant
-	// that is no newcomer takes its place; default 10 s, above a restart of its
-	// instance with an empty disk.
+	// StandbyAfter is how long a voter must have been silent before a standby that is
+	// not a newcomer replaces it; default 10 s, longer than a restart of its instance
+	// with an empty disk.
 	StandbyAfter time.Duration
 }
 
@@ -64,18 +64,18 @@
 	DefaultStandbyAfter = 10 * time.Second
 )
 
-// Group keeps who asked and which zone each member stands in. It belongs to one
-// goroutine.
+// Group keeps the join requests and the zone of each member. It is not safe for
+// concurrent use.
 type Group struct {
-	rules      Rules
-	applicants map[string]JoinRequest
-	// zones and regions are those of all that ever asked.
+	rules    Rules
+	requests map[string]JoinRequest
+	// zones and regions of all instances that ever asked, by id.
 	zones, regions map[string]string
-	// quietSince is when a voter was first found silent by this leader.
-	quietSince map[string]time.Time
+	// silentSince is when this leader first found a voter silent.
+	silentSince map[string]time.Time
 }
 
-// New makes a Group without applicants.
+// New returns a Group without join requests.
 func New(r Rules) *Group {
 	if r.ReplaceAfter <= 0 {
 		r.ReplaceAfter = DefaultReplaceAfter
@@ -90,27 +90,26 @@
 		r.StandbyAfter = DefaultStandbyAfter
 	}
 	return &Group{
-		rules: r, applicants: map[string]JoinRequest{}, zones: map[string]string{}, regions: map[string]string{},
-		quietSince: map[string]time.Time{},
+		rules: r, requests: map[string]JoinRequest{}, zones: map[string]string{}, regions: map[string]string{},
+		silentSince: map[string]time.Time{},
 	}
 }
 
-// RecordRequest takes in an application. Members ask too, which tells their zones.
+// RecordRequest records a join request. Members send them too, which tells their zones.
 func (g *Group) RecordRequest(a JoinRequest) {
-	g.applicants[a.Member.ID] = a
+	g.requests[a.Member.ID] = a
 	g.zones[a.Member.ID], g.regions[a.Member.ID] = a.Zone, a.Region
 }
 
-// Next returns the change that the group needs now, if it needs one. s is the
-// leader's status; active tells whether a member answered the leader within an
-// election timeout.
+// Next returns the change that the group needs now, or false. s is the leader's status;
+// active reports whether a member answered the leader within an election timeout.
 func (g *Group) Next(now time.Time, s replog.Status, active func(replog.Peer) bool) (replog.ConfChange, bool) {
 	if s.Role != replog.Leader {
-		clear(g.quietSince)
+		clear(g.silentSince)
 		return replog.ConfChange{}, false
 	}
-	g.watch(now, s, active)
-	if m, ok := g.replaced(now, s); ok {
+	g.trackSilence(now, s, active)
+	if m, ok := g.voterToRemove(now, s); ok {
 		return replog.ConfChange{Kind: confchange.Remove, Member: m}, true
 	}
 	for _, p := range s.Peers {
@@ -118,73 +117,74 @@
 			return replog.ConfChange{Kind: confchange.Promote, Member: p.Member}, true
 		}
 	}
-	return g.joining(now, s)
+	return g.nextLearner(now, s)
 }
 
-// watch notes since when each voter is silent.
-func (g *Group) watch(now time.Time, s replog.Status, active func(replog.Peer) bool) {
+// trackSilence records since when each voter is silent.
+func (g *Group) trackSilence(now time.Time, s replog.Status, active func(replog.Peer) bool) {
 	for _, p := range s.Peers {
 		if !p.Voter || p.Member.ID == s.Self.ID || active(p) {
-			delete(g.quietSince, p.Member.ID)
+			delete(g.silentSince, p.Member.ID)
 			continue
 		}
-		if _, ok := g.quietSince[p.Member.ID]; !ok {
-			g.quietSince[p.Member.ID] = now
+		if _, ok := g.silentSince[p.Member.ID]; !ok {
+			g.silentSince[p.Member.ID] = now
 		}
 	}
 }
 
-// replaced is a silent voter for which a newcomer stands.
-func (g *Group) replaced(now time.Time, s replog.Status) (replog.Member, bool) {
-	for _, id := range g.successors(s) {
-		dead, ok := s.Config.Lookup(id)
-		if since, quiet := g.quietSince[id]; ok && quiet && now.Sub(since) >= g.rules.ReplaceAfter {
-			return dead, true
+// voterToRemove returns a silent voter that a newcomer has replaced, or else the
+// surplusVoter.
+func (g *Group) voterToRemove(now time.Time, s replog.Status) (replog.Member, bool) {
+	for _, id := range g.replacedVoters(s) {
+		voter, ok := s.Config.Lookup(id)
+		if since, silent := g.silentSince[id]; ok && silent && now.Sub(since) >= g.rules.ReplaceAfter {
+			return voter, true
 		}
 	}
-	return g.surplus(now, s)
+	return g.surplusVoter(now, s)
 }
 
-// surplus is the voter that is silent for longest where an applicant from outside
-// has taken the place of one: the group has more members than its rules allow.
-func (g *Group) surplus(now time.Time, s replog.Status) (replog.Member, bool) {
+// surplusVoter returns the voter that has been silent for longest if the group has more
+// voters than its rules allow, because a standby has been added in place of one.
+func (g *Group) surplusVoter(now time.Time, s replog.Status) (replog.Member, bool) {
 	var longest replog.Member
 	if len(s.Config.Voters) <= g.rules.MaxMembers {
 		return longest, false
 	}
 	since := now
 	for _, m := range s.Config.Voters {
-		at, quiet := g.quietSince[m.ID]
-		if quiet && now.Sub(at) >= g.rules.StandbyAfter && at.Before(since) {
+		at, silent := g.silentSince[m.ID]
+		if silent && now.Sub(at) >= g.rules.StandbyAfter && at.Before(since) {
 			longest, since = m, at
 		}
 	}
 	return longest, since.Before(now)
 }
 
-// mayFollow reports whether a newcomer of a zone may be the successor of a voter: it is
-// of the same zone, or its zone is unknown to this leader.
-func (g *Group) mayFollow(zone, voter string) bool {
-	of := g.zones[voter]
-	return of == "" || of == zone
+// canReplace reports whether a newcomer of requestZone may replace a voter: the voter
+// is of the same zone, or its zone is unknown to this leader.
+func (g *Group) canReplace(requestZone, voterID string) bool {
+	voterZone := g.zones[voterID]
+	return voterZone == "" || voterZone == requestZone
 }
 
-// successors are the silent voters for which a newcomer that votes stands, each
-// newcomer for one, in the order of ids. A voter that never asked this leader is
-// of unknown zone: it was silent all the time that the leader led, and any
-// newcomer may stand for it.
-func (g *Group) successors(s replog.Status) []string {
+// replacedVoters returns the silent voters for which a newcomer has become a voter, each
+// newcomer counted for one, in the order of ids. A voter that never asked this leader is
+// of unknown zone: it has been silent for as long as the leader has led, and any newcomer
+// may replace it.
+func (g *Group) replacedVoters(s replog.Status) []string {
 	var out []string
-	taken := map[string]bool{}
-	for _, dead := range s.Config.Voters {
-		if _, quiet := g.quietSince[dead.ID]; !quiet {
+	assigned := map[string]bool{}
+	for _, voter := range s.Config.Voters {
+		if _, silent := g.silentSince[voter.ID]; !silent {
 			continue
 		}
 		for _, m := range s.Config.Voters {
-			a := g.applicants[m.ID]
-			if a.Newcomer && a.Member == m && !taken[m.ID] && g.mayFollow(a.Zone, dead.ID) {
-				taken[m.ID] = true
-				out = append(out, dead.ID)
+			a := g.requests[m.ID]
+			if a.Newcomer && a.Member == m && !assigned[m.ID] && g.canReplace(a.Zone, voter.ID) {
+				assigned[m.ID] = true
+				out = append(out, voter.ID)
 				break
 			}
 		}
@@ -192,44 +192,43 @@
 	return out
 }
 
-// Settled reports whether a member is no newcomer any more: it votes, and no
-// other voter that it could stand for is silent. Without this a newcomer of old
-// would stand for each voter of its zone that restarts.
+// Settled reports whether a member is no longer a newcomer: it is a voter, and no other
+// voter that it could replace is silent. Without this an old newcomer would replace each
+// voter of its zone that restarts.
 func (g *Group) Settled(s replog.Status, m replog.Member) bool {
 	if s.Role != replog.Leader || !s.Config.IsVoter(m) {
 		return false
 	}
 	for _, other := range s.Config.Voters {
-		_, quiet := g.quietSince[other.ID]
-		if quiet && g.mayFollow(g.zones[m.ID], other.ID) {
+		_, silent := g.silentSince[other.ID]
+		if silent && g.canReplace(g.zones[m.ID], other.ID) {
 			return false
 		}
 	}
 	return true
 }
 
-// Full reports whether an applicant that is no member stays outside for now.
+// Full reports whether an instance that isn't a member must remain a standby for now.
 func (g *Group) Full(now time.Time, s replog.Status, a JoinRequest) bool {
 	if _, in := s.Config.Lookup(a.Member.ID); in {
 		return false
 	}
-	return len(s.Config.Members()) >= g.rules.MaxMembers && !g.standsIn(now, s, a)
+	return len(s.Config.Members()) >= g.rules.MaxMembers && !g.canSubstitute(now, s, a)
 }
 
-// standsIn reports whether an applicant may take the place of a voter that is
-// silent: a newcomer at once, as the successor of an instance, and one from outside
-// when the voter of its own zone is silent for long. A voter that never asked this
-// leader is of unknown zone and may be cut off with its region: only a newcomer
-// stands in for it.
-func (g *Group) standsIn(now time.Time, s replog.Status, a JoinRequest) bool {
+// canSubstitute reports whether an instance may take the place of a silent voter: a
+// newcomer at once, as the successor of an instance, and a standby when the voter of its
+// own zone has been silent for StandbyAfter. A voter that never asked this leader is of
+// unknown zone and may be partitioned with its region: only a newcomer may replace it.
+func (g *Group) canSubstitute(now time.Time, s replog.Status, a JoinRequest) bool {
 	if len(s.Config.Members()) > g.rules.MaxMembers {
 		return false
 	}
 	for _, m := range s.Config.Voters {
-		since, quiet := g.quietSince[m.ID]
+		since, silent := g.silentSince[m.ID]
 		switch {
-		case !quiet:
-		case a.Newcomer && g.mayFollow(a.Zone, m.ID):
+		case !silent:
+		case a.Newcomer && g.canReplace(a.Zone, m.ID):
 			return true
 		case g.zones[m.ID] == a.Zone && now.Sub(since) >= g.rules.StandbyAfter:
 			return true
@@ -238,9 +237,9 @@
 	return false
 }
 
-// joining is the applicant to let in next: that of the region, then of the zone,
-// with the fewest members.
-func (g *Group) joining(now time.Time, s replog.Status) (replog.ConfChange, bool) {
+// nextLearner returns the instance to add next: of the region, then of the zone, with the
+// fewest members.
+func (g *Group) nextLearner(now time.Time, s replog.Status) (replog.ConfChange, bool) {
 	inRegion, inZone := map[string]int{}, map[string]int{}
 	for _, m := range s.Config.Members() {
 		inRegion[g.regions[m.ID]]++
@@ -254,7 +253,7 @@
 			cmp.Compare(a.Member.ID, b.Member.ID),
 		) < 0
 	}
-	for id, a := range g.applicants {
+	for id, a := range g.requests {
 		_, in := s.Config.Lookup(id)
 		if in || now.Sub(a.At) > g.rules.RequestTTL || g.Full(now, s, a) {
 			continue
--- a/coord/admit/admit_test.go
+++ b/coord/admit/admit_test.go
@@ -43,33 +43,32 @@
 
 func (v *view) active(p replog.Peer) bool { return !v.silent[p.Member.ID] }
 
-// ask has each member that is not silent ask.
-func (v *view) ask(g *admit.Group, now time.Time, newcomers ...string) {
+// sendRequests sends a join request of each member that is not silent.
+func (v *view) sendRequests(g *admit.Group, now time.Time, newcomers ...string) {
 	for _, m := range v.config.Members() {
 		if !v.silent[m.ID] {
-			fresh := false
+			newcomer := false
 			for _, id := range newcomers {
-				fresh = fresh || id == m.ID
+				newcomer = newcomer || id == m.ID
 			}
-			g.RecordRequest(admit.JoinRequest{Member: m, Zone: v.zones[m.ID], Newcomer: fresh, At: now})
+			g.RecordRequest(admit.JoinRequest{Member: m, Zone: v.zones[m.ID], Newcomer: newcomer, At: now})
 		}
 	}
 }
 
-// Symptom: after a few replacements of machines the group has no majority.
-// Events: a machine is gone for good, another one comes at a new address.
-// Cause: the voter that is gone stays in the group.
+// Guards against a group that loses its majority after a few replacements of machines: a
+// machine is lost for good, another one starts at a new address, and the lost voter stays.
 func TestNewcomerReplacesSilentVoterOfItsZone(t *testing.T) {
 	Convey("a voter is gone and a newcomer of its zone asks", t, func() {
 		v, g, now := newView("a", "b", "c"), admit.New(admit.Rules{}), time.Unix(100, 0)
-		v.ask(g, now)
+		v.sendRequests(g, now)
 		v.silent["c"] = true
 		v.zones["d"] = v.zones["c"]
 		g.RecordRequest(admit.JoinRequest{Member: member("d"), Zone: v.zones["d"], Newcomer: true, At: now})
 		var kinds []confchange.Kind
 		for range 20 {
 			now = now.Add(300 * time.Millisecond)
-			v.ask(g, now, "d")
+			v.sendRequests(g, now, "d")
 			if _, in := v.config.Lookup("d"); !in {
 				g.RecordRequest(admit.JoinRequest{Member: member("d"), Zone: v.zones["d"], Newcomer: true, At: now})
 			}
@@ -90,9 +89,9 @@
 	})
 }
 
-// Symptom: a group of five shrinks to two while voters are only cut off.
-// Events: voters fall silent and return, in any order; no machine is replaced.
-// Cause: silence alone is taken for death.
+// Guards against a group of five that shrinks to two while voters are only partitioned:
+// voters become silent and return in any order, no machine is replaced, and silence alone
+// is taken for death.
 func TestSilenceAloneRemovesNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, g, now := newView("a", "b", "c", "d", "e"), admit.New(admit.Rules{}), time.Unix(100, 0)
@@ -103,7 +102,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(100, 3000).Draw(t, "pause")) * time.Millisecond)
 			id := rapid.SampledFrom([]string{"b", "c", "d", "e"}).Draw(t, "who")
 			v.silent[id] = rapid.Bool().Draw(t, "silent")
-			v.ask(g, now)
+			v.sendRequests(g, now)
 			if ch, ok := g.Next(now, v.status(), v.active); ok {
 				t.Fatalf("change %v %v", ch.Kind, ch.Member)
 			}
@@ -111,18 +110,17 @@
 	})
 }
 
-// Symptom: two voters are taken out for one newcomer.
-// Events: two voters of a zone are silent when one newcomer has become a voter.
-// Cause: the newcomer stands for each silent voter of its zone.
-func TestOneNewcomerReplacesOne(t *testing.T) {
+// Guards against two voters removed for one newcomer: two voters of a zone are silent when
+// one newcomer has become a voter, and it replaces each of them.
+func TestOneNewcomerReplacesOneVoter(t *testing.T) {
 	v, g, now := newView("a", "b", "c", "d", "e"), admit.New(admit.Rules{}), time.Unix(100, 0)
 	v.zones["c"], v.zones["d"], v.zones["e"] = "z", "z", "z"
-	v.ask(g, now)
+	v.sendRequests(g, now)
 	v.silent["c"], v.silent["d"] = true, true
 	removed := 0
 	for range 20 {
 		now = now.Add(time.Second)
-		v.ask(g, now, "e")
+		v.sendRequests(g, now, "e")
 		ch, ok := g.Next(now, v.status(), v.active)
 		if !ok {
 			continue
@@ -137,8 +135,8 @@
 			break
 		}
 	}
-	// The second one may go only for another newcomer; the instance clears its flag
-	// when it is told that it is settled, which is not while a zone-mate is silent.
+	// The second one may be removed only for another newcomer; the instance clears its flag
+	// when it learns that it is settled, which it isn't while a voter of its zone is silent.
 	if removed > 2 || len(v.config.Voters) < 3 {
 		t.Fatalf("%d removed, %d voters left", removed, len(v.config.Voters))
 	}
@@ -154,10 +152,10 @@
 	}
 }
 
-func TestOldApplicationIsVoid(t *testing.T) {
+func TestExpiredJoinRequestIsIgnored(t *testing.T) {
 	v, g := newView("a", "b"), admit.New(admit.Rules{})
 	g.RecordRequest(admit.JoinRequest{Member: member("x"), Zone: "z", At: time.Unix(100, 0)})
 	if ch, ok := g.Next(time.Unix(103, 0), v.status(), v.active); ok {
-		t.Fatalf("a member that asked three seconds ago is let in: %v", ch)
+		t.Fatalf("an instance that asked three seconds ago is added: %v", ch)
 	}
 }
