--- a/coord/suspect/finished.go
+++ b/coord/suspect/finished.go
@@ -31,8 +31,8 @@
 	return at, ok
 }
 
-// finishedLately reports whether a digest finished here within FinishedLife.
+// finishedLately reports whether a digest finished here within FinishedTTL.
 func (t *Table) finishedLately(now time.Time, d Digest) bool {
 	at, ok := t.finished.at(d)
-	return ok && now.Sub(at) < t.cfg.FinishedLife
+	return ok && now.Sub(at) < t.cfg.FinishedTTL
 }
--- a/coord/suspect/table.go
+++ b/coord/suspect/table.go
@@ -13,7 +13,7 @@
 // quarantined: it is refused until its entry expires.
 //
 //   - A digest that finishes anywhere is cleared: a killer never finishes. For
-//     FinishedLife it is not suspected of any other crash either, here or by
+//     FinishedTTL it is not suspected of any other crash either, here or by
 //     what others tell here.
 //   - A crash with a quarantined digest in it is explained, and its other
 //     suspects are cleared of it: they shared the batch by chance.
@@ -57,8 +57,8 @@
 // Crash names the end of one life of a target, alike at all instances.
 type Crash struct {
 	Target string `cbor:"1,keyasint"`
-	// Life is the target's start as the region's poller numbers it.
-	Life uint64 `cbor:"2,keyasint"`
+	// Incarnation is the target's start as the region's poller numbers it.
+	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
 // Attempt names one sending at this instance.
@@ -76,12 +76,12 @@
 	Refuse
 )
 
-// Standing is how a digest stands to a crash. It only rises.
-type Standing uint8
+// Status is how a digest stands to a crash. It only rises.
+type Status uint8
 
 const (
 	// Suspected of the crash, among others.
-	Suspected Standing = iota
+	Suspected Status = iota
 	// Alone in the crash: it is the cause.
 	Alone
 	// Cleared of the crash.
@@ -90,10 +90,10 @@
 
 // Entry is what instances tell each other about one digest and one crash.
 type Entry struct {
-	Digest   Digest    `cbor:"1,keyasint"`
-	Crash    Crash     `cbor:"2,keyasint"`
-	Standing Standing  `cbor:"3,keyasint,omitempty"`
-	Until    time.Time `cbor:"4,keyasint"`
+	Digest Digest    `cbor:"1,keyasint"`
+	Crash  Crash     `cbor:"2,keyasint"`
+	Status Status    `cbor:"3,keyasint,omitempty"`
+	Until  time.Time `cbor:"4,keyasint"`
 }
 
 // Config bounds a Table.
@@ -103,8 +103,8 @@
 	// MaxEntries held; beyond that cleared ones go first, and of equals the one
 	// that expires first.
 	MaxEntries int
-	// FinishedLife is how long a digest is remembered that has finished here.
-	FinishedLife time.Duration
+	// FinishedTTL is how long a digest is remembered that has finished here.
+	FinishedTTL time.Duration
 	// MaxFinished is how many of them are remembered at least; beyond twice as
 	// many the oldest are forgotten.
 	MaxFinished int
@@ -112,7 +112,7 @@
 
 // DefaultConfig keeps a day of entries in about a megabyte.
 func DefaultConfig() Config {
-	return Config{Lifetime: 24 * time.Hour, MaxEntries: 8192, FinishedLife: 10 * time.Minute, MaxFinished: 1024}
+	return Config{Lifetime: 24 * time.Hour, MaxEntries: 8192, FinishedTTL: 10 * time.Minute, MaxFinished: 1024}
 }
 
 // Table is one instance's knowledge of suspects. The one of the region's owner
@@ -138,7 +138,7 @@
 }
 
 type entry struct {
-	standing Standing
+	standing Status
 	until    time.Time
 }
 
@@ -233,7 +233,7 @@
 	for _, s := range t.takeFrom(c.Target) {
 		e := Entry{Digest: s.digest, Crash: c, Until: now.Add(t.cfg.Lifetime)}
 		if s.alone {
-			e.Standing = Alone
+			e.Status = Alone
 		}
 		out = append(out, e)
 	}
@@ -266,7 +266,7 @@
 			continue
 		}
 		news = append(news, e)
-		if innocent := (Entry{e.Digest, e.Crash, Cleared, e.Until}); e.Standing == Suspected && t.finishedLately(now, e.Digest) && t.raise(innocent) {
+		if innocent := (Entry{e.Digest, e.Crash, Cleared, e.Until}); e.Status == Suspected && t.finishedLately(now, e.Digest) && t.raise(innocent) {
 			news = append(news, innocent)
 		}
 	}
@@ -289,14 +289,14 @@
 		t.digests[e.Digest] = held
 	}
 	if old := held[e.Crash]; old != nil {
-		if e.Standing <= old.standing {
+		if e.Status <= old.standing {
 			return false
 		}
-		old.standing = e.Standing
+		old.standing = e.Status
 		old.until = later(old.until, e.Until)
 		return true
 	}
-	held[e.Crash] = &entry{standing: e.Standing, until: e.Until}
+	held[e.Crash] = &entry{standing: e.Status, until: e.Until}
 	t.crashes[e.Crash] = append(t.crashes[e.Crash], e.Digest)
 	t.count++
 	return true
@@ -341,7 +341,7 @@
 	return cmp.Or(
 		slices.Compare(a.Digest[:], b.Digest[:]),
 		cmp.Compare(a.Crash.Target, b.Crash.Target),
-		cmp.Compare(a.Crash.Life, b.Crash.Life),
+		cmp.Compare(a.Crash.Incarnation, b.Crash.Incarnation),
 	)
 }
 
@@ -379,7 +379,7 @@
 }
 
 func evictionRank(e Entry) int {
-	if e.Standing == Cleared {
+	if e.Status == Cleared {
 		return 0
 	}
 	return 1
--- a/coord/suspect/table_test.go
+++ b/coord/suspect/table_test.go
@@ -295,7 +295,7 @@
 	t.Run("too long ago", func(t *testing.T) {
 		one := New(DefaultConfig())
 		one.Sent(100, popular, "c", false)
-		one.Ended(start.Add(-DefaultConfig().FinishedLife), 100, true)
+		one.Ended(start.Add(-DefaultConfig().FinishedTTL), 100, true)
 		crash(one)
 		if got := one.Decide(popular); got != Refuse {
 			t.Errorf("decision %v", got)
--- a/experiment/suspects.go
+++ b/experiment/suspects.go
@@ -64,7 +64,7 @@
 	var entries []suspect.Entry
 	for _, in := range t.region.instances {
 		if in.table != nil {
-			entries = append(entries, in.table.Crashed(w.now, suspect.Crash{Target: string(t.spec.ID), Life: t.life})...)
+			entries = append(entries, in.table.Crashed(w.now, suspect.Crash{Target: string(t.spec.ID), Incarnation: t.life})...)
 		}
 	}
 	t.region.publish(w.now, entries)
--- a/node/suspects/suspects.go
+++ b/node/suspects/suspects.go
@@ -141,7 +141,7 @@
 	}
 	var entries []suspect.Entry
 	if e == ports.AttemptCrashed {
-		crash := suspect.Crash{Target: a.target, Life: s.o.Region.Life(a.target)}
+		crash := suspect.Crash{Target: a.target, Incarnation: s.o.Region.Life(a.target)}
 		entries = s.table.Crashed(now, crash)
 	}
 	entries = append(entries, s.table.Ended(now, a.number, e == ports.AttemptFinished)...)
