--- a/coord/suspect/finished.go
+++ b/coord/suspect/finished.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// finished remembers when digests finished, the newest at least: in two halves, of which the
-// older one is dropped when the newer one is full.
+// finished remembers when digests finished, in two halves: when the newer one is full the
+// older one is dropped, so at least the newest digests are kept.
 //
-// What goes wrong without it: a request that many callers send at once is in flight at two
-// targets that crash within seconds for other reasons, and is refused everywhere from then on.
-// As no copy of it runs any more, none can clear it by finishing.
+// Without it, a request that many callers send at once and that is in flight at two targets
+// which crash within seconds for other reasons is refused everywhere from then on. As no
+// copy of it runs any more, none can clear it by finishing.
 type finished struct {
 	newer, older map[Digest]time.Time
 }
 
-func (f *finished) add(now time.Time, d Digest, most int) {
-	if len(f.newer) >= most {
+func (f *finished) add(now time.Time, d Digest, maxNewer int) {
+	if len(f.newer) >= maxNewer {
 		f.older, f.newer = f.newer, nil
 	}
 	if f.newer == nil {
@@ -22,7 +22,7 @@
 	f.newer[d] = now
 }
 
-// at returns when a digest finished last.
+// at returns when a digest last finished.
 func (f *finished) at(d Digest) (time.Time, bool) {
 	if at, ok := f.newer[d]; ok {
 		return at, true
@@ -31,8 +31,8 @@
 	return at, ok
 }
 
-// finishedLately reports whether a digest finished here within FinishedTTL.
-func (t *Table) finishedLately(now time.Time, d Digest) bool {
+// finishedRecently reports whether a digest finished here within FinishedTTL.
+func (t *Table) finishedRecently(now time.Time, d Digest) bool {
 	at, ok := t.finished.at(d)
 	return ok && now.Sub(at) < t.cfg.FinishedTTL
 }
--- a/coord/suspect/table_test.go
+++ b/coord/suspect/table_test.go
@@ -10,50 +10,50 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// region is a few instances before targets of which one request kills each
-// that runs it. Instances publish before requests end, as the package asks.
+// region is several instances and targets, and poison requests that crash each target
+// that runs them. Instances publish before requests end, as the package requires.
 type region struct {
-	t       *rapid.T
-	now     time.Time
-	tables  []*Table
-	killers map[Digest]int
-	targets []map[Attempt]int
-	digest  map[Attempt]Digest
-	life    uint64
-	next    Attempt
-	aloneAt map[int]bool
+	t             *rapid.T
+	now           time.Time
+	tables        []*Table
+	poisonCrashes map[Digest]int
+	targets       []map[Attempt]int
+	digests       map[Attempt]Digest
+	incarnation   uint64
+	next          Attempt
+	aloneAt       map[int]bool
 }
 
-func newRegion(t *rapid.T, killers ...Digest) *region {
-	r := &region{t: t, now: start, killers: map[Digest]int{}, digest: map[Attempt]Digest{}, aloneAt: map[int]bool{}}
+func newRegion(t *rapid.T, poisons ...Digest) *region {
+	r := &region{t: t, now: start, poisonCrashes: map[Digest]int{}, digests: map[Attempt]Digest{}, aloneAt: map[int]bool{}}
 	for range rapid.IntRange(1, 4).Draw(t, "instances") {
 		r.tables = append(r.tables, New(DefaultConfig()))
 	}
 	for range rapid.IntRange(2, 5).Draw(t, "targets") {
 		r.targets = append(r.targets, map[Attempt]int{})
 	}
-	for _, k := range killers {
-		r.killers[k] = 0
+	for _, k := range poisons {
+		r.poisonCrashes[k] = 0
 	}
 	return r
 }
 
-// publish merges news at all instances, doubled and in an order of its own, and what
-// follows from them after that.
-func (r *region) publish(news []Entry) {
+// publish merges updates at all instances, duplicated and reordered, and then what
+// follows from them.
+func (r *region) publish(updates []Entry) {
 	var more []Entry
 	for _, t := range r.tables {
-		for i := range news {
-			more = append(more, t.Merge(r.now, news[len(news)-1-i:])...)
+		for i := range updates {
+			more = append(more, t.Merge(r.now, updates[len(updates)-1-i:])...)
 		}
-		more = append(more, t.Merge(r.now, news)...)
+		more = append(more, t.Merge(r.now, updates)...)
 	}
 	if len(more) > 0 {
 		r.publish(more)
 	}
 }
 
-// send takes a request at a random instance, and runs it if it may.
+// send takes a request at a random instance, and runs it if allowed.
 func (r *region) send(d Digest) bool {
 	i := rapid.IntRange(0, len(r.tables)-1).Draw(r.t, "instance")
 	target := rapid.IntRange(0, len(r.targets)-1).Draw(r.t, "target")
@@ -74,29 +74,29 @@
 	r.aloneAt[target] = alone
 	r.tables[i].Sent(r.next, d, fmt.Sprint(target), alone)
 	r.targets[target][r.next] = i
-	r.digest[r.next] = d
+	r.digests[r.next] = d
 	return true
 }
 
-// run ends what a target has: by a crash if a killer is among it.
+// run ends what a target has in flight: with a crash if a poison request is among it.
 func (r *region) run(target int, planned bool) {
 	batch := r.targets[target]
 	r.targets[target] = map[Attempt]int{}
 	r.aloneAt[target] = false
 	crash := false
 	for a := range batch {
-		if _, killer := r.killers[r.digest[a]]; killer && !planned {
-			r.killers[r.digest[a]]++
+		if _, poison := r.poisonCrashes[r.digests[a]]; poison && !planned {
+			r.poisonCrashes[r.digests[a]]++
 			crash = true
 		}
 	}
-	r.life++
+	r.incarnation++
 	if planned || crash {
 		for _, t := range r.tables {
 			if planned {
 				t.Stopped(fmt.Sprint(target))
 			} else {
-				r.publish(t.Crashed(r.now, Crash{fmt.Sprint(target), r.life}))
+				r.publish(t.Crashed(r.now, Crash{fmt.Sprint(target), r.incarnation}))
 			}
 		}
 	}
@@ -104,15 +104,15 @@
 		if !planned && !crash {
 			r.publish(r.tables[i].Ended(r.now, a, true))
 		}
-		r.tables[0].Release(r.digest[a])
+		r.tables[0].Release(r.digests[a])
 	}
 }
 
-// inFlight says whether a digest runs anywhere.
+// inFlight reports whether a digest runs anywhere.
 func (r *region) inFlight(d Digest) bool {
 	for _, batch := range r.targets {
 		for a := range batch {
-			if r.digest[a] == d {
+			if r.digests[a] == d {
 				return true
 			}
 		}
@@ -120,7 +120,7 @@
 	return false
 }
 
-func (r *region) checkAlike() {
+func (r *region) checkDecisionsMatch() {
 	for _, t := range r.tables {
 		for _, e := range r.tables[0].Entries() {
 			if t.Decide(e.Digest) != r.tables[0].Decide(e.Digest) {
@@ -130,13 +130,13 @@
 	}
 }
 
-// drive sends requests in random order and ends batches, with planned stops.
+// drive sends requests in random order and ends batches, some by planned stops.
 func (r *region) drive(requests []Digest) {
 	for range rapid.IntRange(20, 80).Draw(r.t, "steps") {
 		if rapid.IntRange(0, 3).Draw(r.t, "step") > 0 {
 			d := requests[rapid.IntRange(0, len(requests)-1).Draw(r.t, "request")]
-			// A caller waits for the end before it sends again. Copies of a
-			// known suspect come from many callers at once.
+			// A caller waits for the end before it resends. Copies of a known suspect come
+			// from many callers at once.
 			if !r.inFlight(d) || r.tables[0].Decide(d) != Run {
 				r.send(d)
 			}
@@ -144,26 +144,25 @@
 		}
 		target := rapid.IntRange(0, len(r.targets)-1).Draw(r.t, "ended")
 		r.run(target, rapid.IntRange(0, 4).Draw(r.t, "planned") == 0)
-		r.checkAlike()
+		r.checkDecisionsMatch()
 	}
 }
 
-// Symptom: target after target dies, or requests that only shared a batch with
-// the cause are refused for good.
-// Events: one request crashes each target that runs it and is sent again under
-// new ids through any instance, among innocent ones; planned stops between.
-// Cause: suspects that aren't told on, run in a batch, run twice at once, or
-// are never cleared; planned stops taken for crashes.
-func TestOneKillerLosesTwoTargetsAndInnocentsAreCleared(t *testing.T) {
+// Guards against targets that crash one after the other, and requests refused for good
+// because they shared a batch with the cause. One request crashes each target that runs it
+// and is resent under new ids through any instance, among innocent ones and planned stops.
+// Causes: suspects that aren't published, run in a batch, run twice at once or are never
+// cleared, or planned stops taken for crashes.
+func TestPoisonRequestLosesTwoTargetsAndInnocentsAreCleared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		killer := Digest{0xff}
-		r := newRegion(t, killer)
-		requests := []Digest{killer}
+		poison := Digest{0xff}
+		r := newRegion(t, poison)
+		requests := []Digest{poison}
 		for i := range rapid.IntRange(0, 8).Draw(t, "innocents") {
 			requests = append(requests, Digest{byte(i)})
 		}
 		r.drive(requests)
-		if lost := r.killers[killer]; lost > 2 {
+		if lost := r.poisonCrashes[poison]; lost > 2 {
 			t.Fatalf("%d targets lost", lost)
 		}
 		for target := range r.targets {
@@ -179,7 +178,7 @@
 				r.run(target, false)
 			}
 			if got := r.tables[0].Decide(d); got != Run {
-				t.Fatalf("an innocent request stands at %d", got)
+				t.Fatalf("an innocent request has decision %d", got)
 			}
 		}
 		r.checkExpiry()
@@ -195,37 +194,35 @@
 	}
 }
 
-// Symptom: with two killers more targets are lost than the package says.
-// Events: two killers among innocent requests, in one batch or apart.
-// Cause: the first one found explains the crash that both were in.
-func TestTwoKillersLoseAtMostThreeTargetsEach(t *testing.T) {
+// Guards against more lost targets than documented with two poison requests among innocent
+// ones, in one batch or apart: the first one found explains the crash that both were in.
+func TestTwoPoisonRequestsLoseAtMostThreeTargetsEach(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := Digest{0xff}, Digest{0xfe}
 		r := newRegion(t, one, two)
 		r.drive([]Digest{one, two, {1}, {2}})
-		if r.killers[one] > 3 || r.killers[two] > 3 {
-			t.Fatalf("%d and %d targets lost", r.killers[one], r.killers[two])
+		if r.poisonCrashes[one] > 3 || r.poisonCrashes[two] > 3 {
+			t.Fatalf("%d and %d targets lost", r.poisonCrashes[one], r.poisonCrashes[two])
 		}
 	})
 }
 
-// Symptom: innocents of an explained crash go on waiting for lone runs; a
-// request that was alone in a crash may kill once more.
-// Events: a batch crashes, then one of it alone; another crashes alone at once.
-// Cause: a quarantine that clears nobody, a lone crash that counts as shared.
-func TestLoneCrashIsProof(t *testing.T) {
+// Guards against innocent requests of an explained crash that still wait for lone runs, and a
+// request that was alone in a crash and may crash another target: a quarantine that clears
+// nobody, or a lone crash that counts as shared.
+func TestCrashOfLoneRunIsProof(t *testing.T) {
 	table := New(DefaultConfig())
-	killer, innocent, other := Digest{1}, Digest{2}, Digest{3}
-	table.Sent(1, killer, "a", false)
+	poison, innocent, other := Digest{1}, Digest{2}, Digest{3}
+	table.Sent(1, poison, "a", false)
 	table.Sent(2, innocent, "a", false)
 	table.Crashed(start, Crash{"a", 1})
-	if table.Decide(killer) != RunAlone || table.Decide(innocent) != RunAlone {
+	if table.Decide(poison) != RunAlone || table.Decide(innocent) != RunAlone {
 		t.Fatal("a crash made no suspects")
 	}
-	table.Sent(3, killer, "b", true)
+	table.Sent(3, poison, "b", true)
 	table.Crashed(start, Crash{"b", 1})
-	if table.Decide(killer) != Refuse || table.Decide(innocent) != Run {
-		t.Fatal("the second crash did not tell the killer from the innocent")
+	if table.Decide(poison) != Refuse || table.Decide(innocent) != Run {
+		t.Fatal("the second crash did not separate the poison request from the innocent one")
 	}
 	table.Sent(4, other, "c", true)
 	table.Crashed(start, Crash{"c", 1})
@@ -234,11 +231,9 @@
 	}
 }
 
-// Symptom: memory grows with the crashes, or a suspect is forgotten while
-// entries that say nothing any more are kept.
-// Events: more requests than the bound are in flight at a crash; one is cleared;
-// another target crashes.
-// Cause: no bound, or entries given up whatever their standing.
+// Guards against memory that grows with the crashes, and a suspect that is evicted while
+// cleared entries are kept: more requests than the bound are in flight at a crash, one is
+// cleared, and another target crashes.
 func TestEntriesAreBoundedClearedOnesFirst(t *testing.T) {
 	table := New(Config{Lifetime: time.Hour, MaxEntries: 10})
 	for i := range 30 {
@@ -253,24 +248,24 @@
 	table.Sent(99, Digest{99}, "b", false)
 	table.Crashed(start, Crash{"b", 1})
 	if table.Decide(Digest{99}) != RunAlone || table.Decide(kept[1].Digest) != RunAlone || table.Len() != 10 {
-		t.Fatal("a suspect went before a cleared entry")
+		t.Fatal("a suspect was evicted before a cleared entry")
 	}
 }
 
-// Guards against a popular request that is refused for the crashes of others: it runs at two
+// Guards against a popular request that is refused because of others' crashes: it runs at two
 // targets that crash before a copy of it has finished, and none may run after that.
-func TestWhatHasFinishedLatelyIsNoSuspect(t *testing.T) {
+func TestRecentlyFinishedDigestIsNoSuspect(t *testing.T) {
 	popular, crashes := Digest{1}, []Crash{{"a", 1}, {"b", 1}}
 	finishedAt := func(where *Table) {
 		where.Sent(100, popular, "c", false)
 		where.Ended(start, 100, true)
 	}
-	crash := func(where *Table) (news []Entry) {
+	crash := func(where *Table) (updates []Entry) {
 		for n, c := range crashes {
 			where.Sent(Attempt(n), popular, c.Target, false)
-			news = append(news, where.Crashed(start.Add(time.Minute), c)...)
+			updates = append(updates, where.Crashed(start.Add(time.Minute), c)...)
 		}
-		return news
+		return updates
 	}
 	t.Run("at the instance itself", func(t *testing.T) {
 		one := New(DefaultConfig())
@@ -283,11 +278,11 @@
 	t.Run("at another instance", func(t *testing.T) {
 		one, other := New(DefaultConfig()), New(DefaultConfig())
 		finishedAt(other)
-		news := crash(one)
+		updates := crash(one)
 		if got := one.Decide(popular); got != Refuse {
-			t.Fatalf("decision %v before the other instance is heard", got)
+			t.Fatalf("decision %v before the other instance's entries are merged", got)
 		}
-		one.Merge(start, other.Merge(start.Add(time.Minute), news))
+		one.Merge(start, other.Merge(start.Add(time.Minute), updates))
 		if a, b := one.Decide(popular), other.Decide(popular); a != Run || b != Run {
 			t.Errorf("decisions %v and %v", a, b)
 		}
@@ -303,25 +298,25 @@
 	})
 }
 
-// Guards against memory that grows with each request, and against newer digests forgotten
-// before older ones.
+// Guards against memory that grows with each request, and newer digests dropped before older
+// ones.
 func TestFinishedDigestsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 8
+		const maxFinished = 8
 		var f finished
 		var order []Digest
 		for n := range rapid.IntRange(1, 100).Draw(t, "finished") {
 			d := Digest{byte(rapid.IntRange(0, 40).Draw(t, "digest"))}
-			f.add(start.Add(time.Duration(n)*time.Second), d, most)
+			f.add(start.Add(time.Duration(n)*time.Second), d, maxFinished)
 			order = append(order, d)
-			if kept := len(f.newer) + len(f.older); kept > 2*most {
+			if kept := len(f.newer) + len(f.older); kept > 2*maxFinished {
 				t.Fatalf("%d kept", kept)
 			}
 			distinct := map[Digest]bool{}
-			for k := len(order) - 1; k >= 0 && len(distinct) < most; k-- {
+			for k := len(order) - 1; k >= 0 && len(distinct) < maxFinished; k-- {
 				distinct[order[k]] = true
 				if _, ok := f.at(order[k]); !ok {
-					t.Fatalf("one of the newest %d is forgotten", most)
+					t.Fatalf("one of the newest %d was dropped", maxFinished)
 				}
 			}
 		}
