--- a/coord/lease/example_test.go
+++ b/coord/lease/example_test.go
@@ -12,7 +12,7 @@
 // number refuses its late order; for one that ignores the number, the successor
 // waits until no order of the former leader can arrive any more.
 func Example() {
-	cfg := lease.Config{Duration: 10 * time.Second, Drift: 0.01}
+	cfg := lease.Config{Duration: 10 * time.Second, MaxDrift: 0.01}
 	now := time.Unix(1_800_000_000, 0)
 
 	former := lease.NewHolder(cfg)
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -43,17 +43,17 @@
 var (
 	// ErrNotHeld: the lease has ended or was never held.
 	ErrNotHeld = errors.New("lease is not held")
-	// ErrOutlives: the order's expiry would come after the lease's end.
-	ErrOutlives = errors.New("order would outlive the lease")
+	// ErrOutlivesLease: the order's expiry would come after the lease's end.
+	ErrOutlivesLease = errors.New("order would outlive the lease")
 )
 
 // Config is agreed by all instances.
 type Config struct {
 	// Duration of a lease, on its holder's clock.
 	Duration time.Duration
-	// Drift bounds how wrong the rate of any clock is, as a share from 0 to
+	// MaxDrift bounds how wrong the rate of any clock is, as a share from 0 to
 	// below 1, for example 0.001. It is not checked.
-	Drift float64
+	MaxDrift float64
 }
 
 // Order is the envelope of an order to a target.
@@ -108,14 +108,14 @@
 func (h *Holder) Held(now time.Time) bool { return now.Before(h.end) }
 
 // Issue makes an order that must be written within expiry, the target's order
-// expiry. The error is ErrNotHeld or ErrOutlives, wrapped.
+// expiry. The error is ErrNotHeld or ErrOutlivesLease, wrapped.
 func (h *Holder) Issue(now time.Time, expiry time.Duration) (Order, error) {
 	if !h.Held(now) {
 		return Order{}, fmt.Errorf("order under fence %d: %w", h.fence, ErrNotHeld)
 	}
 	at := now.Add(expiry)
 	if at.After(h.end) {
-		return Order{}, fmt.Errorf("order of %v with %v left: %w", expiry, h.end.Sub(now), ErrOutlives)
+		return Order{}, fmt.Errorf("order of %v with %v left: %w", expiry, h.end.Sub(now), ErrOutlivesLease)
 	}
 	h.seq++
 	return Order{Fence: h.fence, Seq: h.seq, Expiry: at}, nil
@@ -149,8 +149,8 @@
 	if !s.former || t.ChecksFence {
 		return 0
 	}
-	longest := float64(s.cfg.Duration)/(1-s.cfg.Drift) + float64(t.OrderExpiry)
-	return time.Duration(math.Ceil(longest * (1 + s.cfg.Drift)))
+	longest := float64(s.cfg.Duration)/(1-s.cfg.MaxDrift) + float64(t.OrderExpiry)
+	return time.Duration(math.Ceil(longest * (1 + s.cfg.MaxDrift)))
 }
 
 // Ready reports whether the first order may be given, and if not how long to wait.
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -10,7 +10,7 @@
 
 var (
 	start = time.Unix(1_800_000_000, 0)
-	cfg   = Config{Duration: 10 * time.Second, Drift: 0.05}
+	cfg   = Config{Duration: 10 * time.Second, MaxDrift: 0.05}
 )
 
 // clock is one instance's: it runs wrong by a constant rate within the bound.
@@ -18,7 +18,7 @@
 
 func drawClock(t *rapid.T, label string) clock {
 	return clock{
-		rate:   1 + rapid.SampledFrom([]float64{-1, -0.5, 0, 0.5, 1}).Draw(t, label+" drift")*cfg.Drift,
+		rate:   1 + rapid.SampledFrom([]float64{-1, -0.5, 0, 0.5, 1}).Draw(t, label+" drift")*cfg.MaxDrift,
 		offset: rapid.Float64Range(-1e4, 1e4).Draw(t, label+" offset"),
 	}
 }
@@ -144,7 +144,7 @@
 	}
 	h.Renewed(3, start)
 	late := start.Add(9500 * time.Millisecond)
-	if _, err := h.Issue(late, time.Second); !errors.Is(err, ErrOutlives) {
+	if _, err := h.Issue(late, time.Second); !errors.Is(err, ErrOutlivesLease) {
 		t.Fatalf("near the end: %v", err)
 	}
 	h.Renewed(3, start.Add(-time.Minute))
--- a/coord/replhost/example_test.go
+++ b/coord/replhost/example_test.go
@@ -47,7 +47,7 @@
 	for {
 		result, err := n.Propose(ctx, []byte(data))
 		var e *verdict.Error
-		if !errors.As(err, &e) || !e.Verdict.Safe() {
+		if !errors.As(err, &e) || !e.Verdict.SafeToRetry() {
 			return string(result), err
 		}
 		select {
--- a/coord/verdict/verdict.go
+++ b/coord/verdict/verdict.go
@@ -31,8 +31,8 @@
 // Join returns the higher of two verdicts.
 func (v Verdict) Join(o Verdict) Verdict { return max(v, o) }
 
-// Safe reports whether a non-idempotent request may be sent again.
-func (v Verdict) Safe() bool { return v == NotRun }
+// SafeToRetry reports whether a non-idempotent request may be sent again.
+func (v Verdict) SafeToRetry() bool { return v == NotRun }
 
 // String returns the wire name: not_run, may_have_run or ran.
 func (v Verdict) String() string {
--- a/node/placing/placing_test.go
+++ b/node/placing/placing_test.go
@@ -121,7 +121,7 @@
 func (f *fleet) service(t *testing.T) *placing.Service {
 	ms := time.Millisecond
 	o := placement.Options{ReportLag: 20 * ms, SpreadTime: 20 * ms, PollInterval: 10 * ms, RetryBase: 50 * ms}
-	o.Lease.Duration, o.Lease.Drift = 500*ms, 0.005
+	o.Lease.Duration, o.Lease.MaxDrift = 500*ms, 0.005
 	s := placing.New(placing.Options{
 		Region: "r", Engines: f.set, Leadership: leads{}, Log: zap.NewNop(), Planner: o, Tick: 10 * ms,
 	})
--- a/pipeline/attempts.go
+++ b/pipeline/attempts.go
@@ -133,7 +133,7 @@
 	f.start(x, a)
 	err := s(x, a)
 	x.raise(verdictOf(err))
-	if x.claim != nil && x.Verdict.Safe() {
+	if x.claim != nil && x.Verdict.SafeToRetry() {
 		x.claim.unsent()
 	}
 	return err
@@ -227,7 +227,7 @@
 	if x.headWritten || x.Ctx.Err() != nil || x.bodyUsed() {
 		return false
 	}
-	if !retryable(e.Code) || (x.Once && !x.Verdict.Safe()) {
+	if !retryable(e.Code) || (x.Once && !x.Verdict.SafeToRetry()) {
 		return false
 	}
 	q.Attempt++
@@ -273,7 +273,7 @@
 // withRetryAfter says when to come back with what was refused unrun for want of
 // a target or of a region, neither of which lasts.
 func withRetryAfter(e *verdict.Error) *verdict.Error {
-	passing := StatusOf(e.Code) == http.StatusServiceUnavailable || (e.Code == CodeRegionUnreached && e.Verdict.Safe())
+	passing := StatusOf(e.Code) == http.StatusServiceUnavailable || (e.Code == CodeRegionUnreached && e.Verdict.SafeToRetry())
 	if e.RetryAfter == 0 && passing {
 		c := *e
 		c.RetryAfter = retryLater
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -42,7 +42,7 @@
 
 func (o Options) withDefaults() Options {
 	if o.Lease.Duration <= 0 {
-		o.Lease = lease.Config{Duration: 10 * time.Second, Drift: 0.005}
+		o.Lease = lease.Config{Duration: 10 * time.Second, MaxDrift: 0.005}
 	}
 	if o.MaxOutShare <= 0 {
 		o.MaxOutShare = 0.25
--- a/placement/world_test.go
+++ b/placement/world_test.go
@@ -25,7 +25,7 @@
 func worldOptions() Options {
 	return Options{
 		Region:      "r",
-		Lease:       lease.Config{Duration: 4 * time.Second, Drift: 0.005},
+		Lease:       lease.Config{Duration: 4 * time.Second, MaxDrift: 0.005},
 		MaxOutShare: 0.4,
 		ReportLag:   time.Second,
 		SpreadTime:  time.Second,
