--- a/coord/lease/example_test.go
+++ b/coord/lease/example_test.go
@@ -8,16 +8,16 @@
 	"github.com/gullhaven/gullhaven/coord/lease"
 )
 
-// A leader is replaced while it is cut off. A target that checks the fencing
+// A leader is replaced while it is partitioned. A target that checks the fencing
 // number refuses its late order; for one that ignores the number, the successor
-// waits until no order of the former leader can arrive any more.
+// waits until no order of the previous leader can arrive any more.
 func Example() {
 	cfg := lease.Config{Duration: 10 * time.Second, MaxDrift: 0.01}
 	now := time.Unix(1_800_000_000, 0)
 
-	former := lease.NewHolder(cfg)
-	former.Renewed(1, now)
-	late, err := former.Issue(now, 2*time.Second)
+	previous := lease.NewHolder(cfg)
+	previous.Renewed(1, now)
+	late, err := previous.Issue(now, 2*time.Second)
 	fmt.Println("issued:", err)
 
 	next := lease.NewHolder(cfg)
@@ -25,8 +25,8 @@
 	order, _ := next.Issue(now.Add(11*time.Second), 2*time.Second)
 	var target lease.Fence
 	fmt.Println("new leader:", target.Accept(order))
-	fmt.Println("former leader:", target.Accept(late))
-	_, err = former.Issue(now.Add(11*time.Second), 2*time.Second)
+	fmt.Println("previous leader:", target.Accept(late))
+	_, err = previous.Issue(now.Add(11*time.Second), 2*time.Second)
 	fmt.Println("lease held:", !errors.Is(err, lease.ErrNotHeld))
 
 	successor := lease.NewSuccessor(cfg, now, true)
@@ -37,7 +37,7 @@
 	// Output:
 	// issued: <nil>
 	// new leader: <nil>
-	// former leader: order 1/1 after 2/1
+	// previous leader: order 1/1 after 2/1
 	// lease held: false
 	// wait, number checked: 0s
 	// wait, number ignored: 12.22s
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -13,7 +13,7 @@
 	cfg   = Config{Duration: 10 * time.Second, MaxDrift: 0.05}
 )
 
-// clock is one instance's: it runs wrong by a constant rate within the bound.
+// clock is one instance's clock: its rate is wrong by a constant within the bound.
 type clock struct{ rate, offset float64 }
 
 func drawClock(t *rapid.T, label string) clock {
@@ -27,7 +27,7 @@
 	return start.Add(time.Duration(c.offset*1e9 + float64(elapsed)*c.rate))
 }
 
-// arrival is an order at the target, in true time since the start.
+// arrival is an order that arrives at the target, in true time since the start.
 type arrival struct {
 	at    time.Duration
 	order Order
@@ -37,20 +37,20 @@
 	return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, label))
 }
 
-// atEdge is the edge half of the time, for the worst case is there.
-func atEdge(t *rapid.T, label string, edge, most time.Duration) time.Duration {
+// drawTimeOrEdge returns the edge half of the time, as the worst case is there.
+func drawTimeOrEdge(t *rapid.T, label string, edge, most time.Duration) time.Duration {
 	if rapid.Bool().Draw(t, label+" at the edge") {
 		return edge
 	}
 	return drawTime(t, label, most)
 }
 
-// formerOrders are the arrivals of a leader whose last renewal was proposed
-// before term, and which does not learn that it was replaced then.
-func formerOrders(t *rapid.T, term time.Duration, target Target) []arrival {
-	c := drawClock(t, "former")
+// previousOrders returns the arrivals of a leader whose last renewal was proposed
+// before term, and which does not learn then that it was replaced.
+func previousOrders(t *rapid.T, term time.Duration, target Target) []arrival {
+	c := drawClock(t, "previous")
 	h := NewHolder(cfg)
-	renewed := term - atEdge(t, "renewed before", 0, cfg.Duration)
+	renewed := term - drawTimeOrEdge(t, "renewed before", 0, cfg.Duration)
 	h.Renewed(1, c.at(renewed))
 	last := renewed + time.Duration(float64(cfg.Duration-target.OrderExpiry)/c.rate) - time.Microsecond
 	var out []arrival
@@ -65,20 +65,19 @@
 			continue
 		}
 		left := time.Duration(float64(o.Expiry.Sub(c.at(now))) / c.rate)
-		write := now + atEdge(t, "freeze", max(0, left-time.Microsecond), 2*cfg.Duration)
+		write := now + drawTimeOrEdge(t, "freeze", max(0, left-time.Microsecond), 2*cfg.Duration)
 		if o.MaySend(c.at(write)) {
-			out = append(out, arrival{write + atEdge(t, "under way", target.OrderExpiry, target.OrderExpiry), o})
+			out = append(out, arrival{write + drawTimeOrEdge(t, "in flight", target.OrderExpiry, target.OrderExpiry), o})
 		}
 	}
 	return out
 }
 
-// Symptom: a target that ignores the fencing number loads one model for the
-// old leader after it began to follow the new one.
-// Events: a leader is cut off or frozen, its clock runs slow, its orders are
-// under way for long; a successor takes over and its clock runs fast.
-// Cause: a successor that starts before the last order has arrived, or a
-// holder that sends after its lease.
+// Guards against a target that ignores the fencing number and runs an order of the old leader
+// after it began to follow the new one. A leader is partitioned or frozen, its clock runs
+// slow and its orders are in flight for long; a successor takes over and its clock runs fast.
+// Causes: a successor that starts before the last order has arrived, or a holder that sends
+// after its lease.
 func TestOrdersOfTwoLeadersDoNotInterleave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		target := Target{
@@ -86,7 +85,7 @@
 			OrderExpiry: drawTime(t, "expiry", cfg.Duration/2),
 		}
 		const term = time.Hour
-		former := formerOrders(t, term, target)
+		previous := previousOrders(t, term, target)
 		c := drawClock(t, "successor")
 		s := NewSuccessor(cfg, c.at(term), true)
 		first := term
@@ -99,10 +98,10 @@
 			}
 		}
 		if target.ChecksFence {
-			checkFence(t, former, arrival{first, Order{Fence: 2, Seq: 1}})
+			checkFence(t, previous, arrival{first, Order{Fence: 2, Seq: 1}})
 			return
 		}
-		for _, a := range former {
+		for _, a := range previous {
 			if a.at >= first {
 				t.Fatalf("order %+v arrives %v after the successor began", a.order, a.at-first)
 			}
@@ -110,14 +109,14 @@
 	})
 }
 
-// checkFence gives the target all orders by arrival: none of the former leader
+// checkFence gives the target all orders by arrival: none of the previous leader
 // is accepted after the successor's.
-func checkFence(t *rapid.T, former []arrival, next arrival) {
+func checkFence(t *rapid.T, previous []arrival, next arrival) {
 	if next.at != time.Hour {
 		t.Fatalf("a successor waited %v for a target that checks", next.at-time.Hour)
 	}
 	var f Fence
-	for _, a := range former {
+	for _, a := range previous {
 		if a.at < next.at {
 			_ = f.Accept(a.order)
 		}
@@ -125,7 +124,7 @@
 	if err := f.Accept(next.order); err != nil {
 		t.Fatal(err)
 	}
-	for _, a := range append(former, next) {
+	for _, a := range append(previous, next) {
 		var stale *StaleError
 		if err := f.Accept(a.order); !errors.As(err, &stale) {
 			t.Fatalf("order %+v was accepted after the successor's", a.order)
@@ -133,11 +132,10 @@
 	}
 }
 
-// Symptom: a leader that was replaced gives orders again.
-// Events: a renewal that was committed long ago is heard of late; a newer
-// leader is heard of; an order is asked for near the end.
-// Cause: a lease counted from when its renewal was heard of.
-func TestHolderRefusesWhatItCantKeep(t *testing.T) {
+// Guards against orders of a replaced leader: a renewal that was committed long ago is learned
+// late, a newer leader is known, or an order is requested near the end. The cause would be a
+// lease counted from when its renewal was learned.
+func TestHolderRefusesOrdersOutsideItsLease(t *testing.T) {
 	h := NewHolder(cfg)
 	if _, err := h.Issue(start, time.Second); !errors.Is(err, ErrNotHeld) {
 		t.Fatalf("without a lease: %v", err)
@@ -155,6 +153,6 @@
 	h.Lost(4)
 	h.Renewed(3, late)
 	if h.Held(start) {
-		t.Fatal("a late renewal brought the lease back")
+		t.Fatal("a late renewal restored the lease")
 	}
 }
