--- a/coord/verdict/verdict.go
+++ b/coord/verdict/verdict.go
@@ -1,11 +1,10 @@
 // Package verdict says whether a request may have run.
 //
-// A request can be sent more than once: by retries of one instance, by a
-// hedge, by a resend of its caller to another instance. Each sending ends in a
-// Verdict, and the verdict of the request is the join over all of them. The
-// order is NotRun < MayHaveRun < Ran and a joined verdict only rises, so that
-// "not run" is never told to a caller while any one sending can have reached a
-// target.
+// A request can have several attempts: retries of one instance, a hedge, a resend
+// of its caller to another instance. Each attempt ends with a Verdict, and the
+// verdict of the request is the join over all of them. The order is NotRun <
+// MayHaveRun < Ran and a joined verdict only rises, so that "not run" is never
+// reported to a caller while any attempt can have reached a target.
 package verdict
 
 import (
@@ -13,13 +12,13 @@
 	"time"
 )
 
-// Verdict tells whether a request may have run at a target.
+// Verdict says whether a request may have run at a target.
 type Verdict uint8
 
 const (
-	// NotRun: no sending reached a target. The caller may send it again freely.
+	// NotRun: no attempt reached a target. The caller may safely send it again.
 	NotRun Verdict = iota
-	// MayHaveRun: at least one sending can have reached a target and its end
+	// MayHaveRun: at least one attempt can have reached a target and its outcome
 	// is not known.
 	MayHaveRun
 	// Ran: a target is known to have run the request.
@@ -42,7 +41,7 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// MarshalText writes the wire name; an unknown value is an error.
+// MarshalText returns the wire name; an unknown value is an error.
 func (v Verdict) MarshalText() ([]byte, error) {
 	if int(v) >= len(names) {
 		return nil, fmt.Errorf("unknown verdict %d", uint8(v))
@@ -50,7 +49,7 @@
 	return []byte(names[v]), nil
 }
 
-// UnmarshalText reads a wire name; any other text is an error.
+// UnmarshalText parses a wire name; any other text is an error.
 func (v *Verdict) UnmarshalText(b []byte) error {
 	for i, n := range names {
 		if n == string(b) {
@@ -61,26 +60,26 @@
 	return fmt.Errorf("unknown verdict %q", b)
 }
 
-// Code names the cause of a refusal or failure in a form that programs read,
-// for example "deadline_unmeetable".
+// Code is the machine-readable cause of a refusal or failure, for example
+// "deadline_unmeetable".
 type Code string
 
-// Error is a refusal or failure of a request together with its verdict.
+// Error is a refusal or failure of a request with its verdict.
 type Error struct {
-	// Verdict is joined over all sendings known where the error was made.
+	// Verdict is joined over all attempts known where the error was created.
 	Verdict Verdict
-	// Code is the cause, stable across releases.
+	// Code is the cause; it is stable across releases.
 	Code Code
-	// Message is for people.
+	// Message is a human-readable explanation.
 	Message string
-	// RetryAfter says when to come back; zero means that coming back earlier
-	// or later makes no difference.
+	// RetryAfter is the time until a retry may succeed; zero means that waiting makes
+	// no difference.
 	RetryAfter time.Duration
-	// Err is the underlying error, if any. It is never shown to callers.
+	// Err is the underlying error, if any. It must never be shown to callers.
 	Err error
 }
 
-// New returns an Error without an underlying one.
+// New returns an Error without an underlying error.
 func New(v Verdict, code Code, message string) *Error {
 	return &Error{Verdict: v, Code: code, Message: message}
 }
@@ -93,7 +92,7 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Raise returns a copy of the error whose verdict is joined with v.
+// Raise returns a copy of the error with the verdict joined with v; e is unchanged.
 func (e *Error) Raise(v Verdict) *Error {
 	c := *e
 	c.Verdict = e.Verdict.Join(v)
--- a/coord/verdict/verdict_test.go
+++ b/coord/verdict/verdict_test.go
@@ -11,9 +11,8 @@
 	return rapid.SampledFrom([]Verdict{NotRun, MayHaveRun, Ran}).Draw(t, label)
 }
 
-// Symptom: a caller is told "not run" although an earlier sending ran.
-// Events: one sending ends Ran, a later one NotRun.
-// Cause: a join that takes the last verdict, or one that can fall.
+// Guards against a caller that is told "not run" although an earlier attempt ran: one attempt
+// ends as Ran, a later one as NotRun, and the join takes the last verdict or can fall.
 func TestJoinIsALatticeThatOnlyRises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := anyVerdict(t, "a"), anyVerdict(t, "b"), anyVerdict(t, "c")
@@ -29,9 +28,8 @@
 	})
 }
 
-// Symptom: a caller reads another verdict than was meant, or one from nowhere.
-// Events: each verdict is written and read; unknown ones and texts come in.
-// Cause: names out of step with the constants, an unknown name read as NotRun.
+// Guards against a caller that reads a wrong or invented verdict: names that don't match the
+// constants, or an unknown name that is read as NotRun.
 func TestTextRoundTrip(t *testing.T) {
 	for _, v := range []Verdict{NotRun, MayHaveRun, Ran} {
 		b, err := v.MarshalText()
@@ -52,9 +50,8 @@
 	}
 }
 
-// Symptom: the verdict of one sending changes with that of another.
-// Events: one error is raised for a second use.
-// Cause: Raise changes the error that it was called on.
+// Guards against a verdict that changes with that of another attempt: Raise must not change
+// the error that it is called on, as one error may be used twice.
 func TestRaiseKeepsTheOriginal(t *testing.T) {
 	cause := errors.New("refused")
 	e := &Error{Verdict: NotRun, Code: "overloaded", Err: cause}
