--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -90,10 +90,10 @@
 	b.tokens = min(b.tokens, b.floor.Burst+s.Limit.Burst)
 }
 
-// take consumes n units and reports whether it could; if not, nothing is consumed and
-// wait is when to retry at the current rate. Any request passes while tokens are left,
-// and what it costs beyond them is debt: shares are small, and one request may well cost
-// more than a share's whole burst. The bound includes the debt, one request for each instance.
+// take consumes n units and reports whether it could; if not, nothing is consumed and wait
+// is the time until a retry may succeed at the current rate. Any request passes while tokens
+// are left, and what it costs beyond them is debt: shares are small, and one request may well
+// cost more than a share's whole burst. The bound includes the debt, one request for each instance.
 func (b *Bucket) take(now time.Time, n float64) (ok bool, wait time.Duration) {
 	if n <= 0 {
 		return true, 0
@@ -130,7 +130,7 @@
 	return b.floor.Burst
 }
 
-// maxWait bounds the wait that a caller is told where the rate is nearly zero.
+// maxWait bounds the wait reported to a caller where the rate is nearly zero.
 const maxWait = time.Minute
 
 func waitFor(units, rate float64) time.Duration {
@@ -181,7 +181,7 @@
 
 // updateDormant updates whether a bucket is dormant: its limit is another instance's and no
 // share of it is in force here. It reports whether the bucket became dormant, which the
-// Allocator must be told.
+// Allocator must then learn.
 //
 // Without this, each instance gets requests for a while after a start for limits that others
 // are responsible for; the Allocator counts the floor of each and has nothing left to grant.
@@ -211,8 +211,8 @@
 }
 
 // SetFloorDelay sets how long new buckets have no rate before they use their floors without a
-// share; the default is a lease. Until then another instance may use a share that includes
-// this floor, unless that is known to have ended.
+// share; the default is a lease. Within a lease another holder for the same instance (see the
+// package comment) may still use a share, unless that is known to have ended.
 func (l *Limiter) SetFloorDelay(d time.Duration) { l.floorDelay = d }
 
 // SetTimeScale multiplies the time constants with which demand is followed; 1, the default,
