--- a/node/deciding/named_test.go
+++ b/node/deciding/named_test.go
@@ -27,10 +27,10 @@
 		decider, other := split(start(t, 2))
 		d := other.ask(t, call(1))
 		So(d.Limit, ShouldResemble, pick.NamedLimit{})
-		other.s.Named(d, pick.NamedLimit{Limited: true, PerSecond: 2})
+		other.s.ReportLimit(d, pick.NamedLimit{Limited: true, PerSecond: 2})
 		So(decider.knows(1), ShouldEqual, 1)
 		Convey("and names none in a later one", func() {
-			other.s.Named(d, pick.NamedLimit{})
+			other.s.ReportLimit(d, pick.NamedLimit{})
 			So(decider.knows(0), ShouldEqual, 0)
 		})
 	})
@@ -67,7 +67,7 @@
 			}
 			c.Heard(now, pick.NamedLimit{Limited: true, PerSecond: 0})
 		}
-		_, ok := other.s.Decide(context.Background(), call(1), "id", time.Minute)
+		_, ok := other.s.Choose(context.Background(), call(1), "id", time.Minute)
 		So(ok, ShouldBeFalse)
 		So(len(other.pool.KnownLimits(time.Now(), "s")), ShouldEqual, 5)
 	})
--- a/node/deciding/service.go
+++ b/node/deciding/service.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// Decide implements exchange.Decider.
-func (s *Service) Decide(ctx context.Context, c pick.Call, id string, left time.Duration) (exchange.Decision, bool) {
+// Choose implements exchange.GroupOwner.
+func (s *Service) Choose(ctx context.Context, c pick.Call, id string, left time.Duration) (exchange.Decision, bool) {
 	decider := s.pool.Decider(c)
 	if decider == s.self || s.avoided(decider) {
 		return exchange.Decision{}, false
@@ -144,7 +144,7 @@
 	}
 	s.pool.LearnLimits(time.Now(), d.Known)
 	out := exchange.Decision{
-		Target: d.Target, Source: d.Source, Cost: d.Cost, Wait: d.Wait, Front: d.Front, Tokens: d.Tokens, Ticket: ticket, By: decider,
+		Target: d.Target, Source: d.Source, Cost: d.Cost, Wait: d.Wait, Front: d.Front, Tokens: d.Tokens, Ticket: ticket, Owner: decider,
 	}
 	if d.Limit != nil {
 		out.Limit = *d.Limit
@@ -152,17 +152,17 @@
 	return out, d.Target != ""
 }
 
-// Named implements exchange.Decider.
-func (s *Service) Named(d exchange.Decision, n pick.NamedLimit) {
-	s.tell(d.By, news{Ticket: d.Ticket, Named: &n})
+// ReportLimit implements exchange.GroupOwner.
+func (s *Service) ReportLimit(d exchange.Decision, n pick.NamedLimit) {
+	s.tell(d.Owner, news{Ticket: d.Ticket, Named: &n})
 }
 
-// Began implements exchange.Decider.
-func (s *Service) Began(d exchange.Decision) { s.tell(d.By, news{Ticket: d.Ticket}) }
+// ReportFirstEvent implements exchange.GroupOwner.
+func (s *Service) ReportFirstEvent(d exchange.Decision) { s.tell(d.Owner, news{Ticket: d.Ticket}) }
 
-// Ended implements exchange.Decider.
-func (s *Service) Ended(d exchange.Decision, r pick.Result) {
-	s.tell(d.By, news{Ticket: d.Ticket, Ended: true, Result: r})
+// ReportEnd implements exchange.GroupOwner.
+func (s *Service) ReportEnd(d exchange.Decision, r pick.Result) {
+	s.tell(d.Owner, news{Ticket: d.Ticket, Ended: true, Result: r})
 }
 
 func (s *Service) tell(decider string, n news) {
--- a/node/deciding/service_test.go
+++ b/node/deciding/service_test.go
@@ -88,14 +88,14 @@
 func (i *instance) decide(t *testing.T, c pick.Call) (target string, end func()) {
 	t.Helper()
 	d := i.ask(t, c)
-	return d.Target, func() { i.s.Ended(d, pick.Good) }
+	return d.Target, func() { i.s.ReportEnd(d, pick.Good) }
 }
 
 // ask is decide with all that was decided.
 func (i *instance) ask(t *testing.T, c pick.Call) exchange.Decision {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if d, ok := i.s.Decide(context.Background(), c, "id", time.Minute); ok {
+		if d, ok := i.s.Choose(context.Background(), c, "id", time.Minute); ok {
 			return d
 		}
 	}
@@ -147,13 +147,13 @@
 		decider, other := split(start(t, 2))
 		decider.hub.Close()
 		for range 3 {
-			_, ok := other.s.Decide(context.Background(), call(1), "id", time.Minute)
+			_, ok := other.s.Choose(context.Background(), call(1), "id", time.Minute)
 			So(ok, ShouldBeFalse)
 		}
 	})
 	Convey("an instance does not ask itself", t, func() {
 		decider, _ := split(start(t, 2))
-		_, ok := decider.s.Decide(context.Background(), call(1), "id", time.Minute)
+		_, ok := decider.s.Choose(context.Background(), call(1), "id", time.Minute)
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -114,9 +114,9 @@
 		Self: o.Self.ID, Region: o.Self.Region, Regions: len(o.Regions), Tolerance: o.Tolerance, Hub: hub, Core: i.followed, Log: o.Log,
 	})
 	i.gateway = exchange.New(exchange.Options{
-		Self: o.Self.ID, Region: o.Self.Region, Dialect: o.Dialect, Pool: i.pool, Decider: i.deciding, Killers: i.killers, Limits: i.limits, Targets: i.targets, Peers: i.peers,
+		Self: o.Self.ID, Region: o.Self.Region, Dialect: o.Dialect, Pool: i.pool, GroupOwner: i.deciding, PoisonRequests: i.killers, Limits: i.limits, Targets: i.targets, Peers: i.peers,
 		Retries: o.Retries, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Log: o.Log,
-		Ordinary: o.Ordinary, Metrics: i.metrics,
+		AccessLog: o.Ordinary, Metrics: i.metrics,
 	})
 	return i, nil
 }
@@ -126,7 +126,7 @@
 
 // Peers serves the links and the requests of other instances.
 func (i *Instance) Peers() http.Handler {
-	links, passed := i.hub.Handler(), i.gateway.PassedOn()
+	links, passed := i.hub.Handler(), i.gateway.ForwardedHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == link.DefaultPath {
 			links.ServeHTTP(w, r)
--- a/node/entry/killers.go
+++ b/node/entry/killers.go
@@ -53,15 +53,15 @@
 	return suspect.Digest(h.Sum(nil)[:len(suspect.Digest{})])
 }
 
-// Refused implements exchange.Killers.
-func (k *killers) Refused(r *rawhttp.Request) bool {
+// IsPoison implements exchange.PoisonRequests.
+func (k *killers) IsPoison(r *rawhttp.Request) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Len() > 0 && k.table.Decide(digestOf(r)) == suspect.Refuse
 }
 
-// Crashed implements exchange.Killers.
-func (k *killers) Crashed(r *rawhttp.Request, target string) {
+// ReportCrash implements exchange.PoisonRequests.
+func (k *killers) ReportCrash(r *rawhttp.Request, target string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now, d := time.Now(), digestOf(r)
@@ -74,8 +74,8 @@
 	}
 }
 
-// Answered implements exchange.Killers.
-func (k *killers) Answered(r *rawhttp.Request, _ string) {
+// ReportAnswer implements exchange.PoisonRequests.
+func (k *killers) ReportAnswer(r *rawhttp.Request, _ string) {
 	d := digestOf(r)
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/node/entry/learn.go
+++ b/node/entry/learn.go
@@ -90,14 +90,14 @@
 		return
 	}
 	next := &exchange.View{
-		Index: k.index, Regions: map[exchange.RegionService]pick.RegionLoad{}, Entries: len(k.entries.Entries) + 1, ListAt: k.list.ReadAt,
+		Index: k.index, Regions: map[exchange.RegionService]pick.RegionLoad{}, EntryInstances: len(k.entries.Entries) + 1, TargetsReadAt: k.list.ReadAt,
 	}
 	i.showRegions(next)
 	if current := i.currentBasis(); i.last.basis != current {
 		i.last = lastView{basis: current, peers: i.currentPeers()}
 		snapshot := i.snapshot(next.Index)
 		i.pool.Update(now, snapshot)
-		i.limits.SetView(next.Index, snapshot.Entries, next.Entries)
+		i.limits.SetView(next.Index, snapshot.Entries, next.EntryInstances)
 	} else {
 		i.pool.UpdateLoads(now, k.poolLoads())
 	}
--- a/node/quota/service.go
+++ b/node/quota/service.go
@@ -114,14 +114,14 @@
 	return best
 }
 
-// Take implements exchange.Limits.
-func (s *Service) Take(ctx context.Context, w *routes.Workspace, units float64) exchange.LimitAnswer {
+// Consume implements exchange.Limits.
+func (s *Service) Consume(ctx context.Context, w *routes.Workspace, units float64) exchange.LimitDecision {
 	began := s.clock.Now()
 	for {
 		v, by := s.ask(ctx, w.Name, units)
 		if v.OK || !v.New || s.clock.Now().Sub(began) > newWait || duty.Pause(ctx, newStep) != nil {
-			return exchange.LimitAnswer{
-				OK: v.OK, Wait: time.Duration(v.WaitMillis) * time.Millisecond, By: by, Rate: v.Rate, Leased: v.Leased, Version: v.Version,
+			return exchange.LimitDecision{
+				Allowed: v.OK, RetryAfter: time.Duration(v.WaitMillis) * time.Millisecond, DecidedBy: by, Rate: v.Rate, Leased: v.Leased, Version: v.Version,
 			}
 		}
 	}
@@ -190,9 +190,9 @@
 	s.avoid[id] = s.clock.Now().Add(avoidFor)
 }
 
-// Return implements exchange.Limits.
-func (s *Service) Return(w *routes.Workspace, units float64, a exchange.LimitAnswer) {
-	switch a.By {
+// Refund implements exchange.Limits.
+func (s *Service) Refund(w *routes.Workspace, units float64, a exchange.LimitDecision) {
+	switch a.DecidedBy {
 	case "":
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -208,7 +208,7 @@
 		return
 	}
 	// A lost message costs the workspace a request.
-	s.o.Hub.Send(a.By, channelBack, payload)
+	s.o.Hub.Send(a.DecidedBy, channelBack, payload)
 }
 
 func (s *Service) back(workspace string, units float64) {
--- a/node/quota/service_test.go
+++ b/node/quota/service_test.go
@@ -112,11 +112,11 @@
 // asked last.
 func passes(all []*instance, requests int) (passed int, by string) {
 	for n := range requests {
-		a := all[n%len(all)].s.Take(context.Background(), &limited, 1)
-		if a.OK {
+		a := all[n%len(all)].s.Consume(context.Background(), &limited, 1)
+		if a.Allowed {
 			passed++
 		} else {
-			by = a.By
+			by = a.DecidedBy
 		}
 	}
 	return passed, by
@@ -171,7 +171,7 @@
 	run(t, all)
 	_, by := passes(all, 3*lent)
 	for _, i := range all {
-		i.s.Return(&limited, 3, exchange.LimitAnswer{OK: true, By: by})
+		i.s.Refund(&limited, 3, exchange.LimitDecision{Allowed: true, DecidedBy: by})
 	}
 	// A message to the other instance takes a moment.
 	deadline := time.Now().Add(20 * time.Second)
@@ -211,7 +211,7 @@
 		lags, other = other, lags
 	}
 	lags.s.SetView(table(), []string{lags.id, other.id}, 60)
-	if a := other.s.Take(context.Background(), &limited, 0.01); !a.OK || a.By == by {
+	if a := other.s.Consume(context.Background(), &limited, 0.01); !a.Allowed || a.DecidedBy == by {
 		t.Errorf("%+v", a)
 	}
 }
@@ -222,7 +222,7 @@
 	free := limited
 	free.Limit = routes.UseLimit{}
 	know(all, table(free))
-	if a := all[0].s.Take(context.Background(), &limited, 1); !a.OK {
+	if a := all[0].s.Consume(context.Background(), &limited, 1); !a.Allowed {
 		t.Errorf("refused: %+v", a)
 	}
 }
--- a/pipeline/exchange/accept.go
+++ b/pipeline/exchange/accept.go
@@ -36,7 +36,7 @@
 	workspace *routes.Workspace
 	// units are what it took of the workspace's limit, and limit the answer that allowed it.
 	units float64
-	limit LimitAnswer
+	limit LimitDecision
 
 	ctx      context.Context
 	began    time.Time
@@ -91,8 +91,8 @@
 		q.refuse(refusal)
 		return
 	}
-	if g.o.Killers != nil && g.o.Killers.Refused(&q.raw) {
-		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: CodeKiller, retry: place.Return(place.Killing, 0)})
+	if g.o.PoisonRequests != nil && g.o.PoisonRequests.IsPoison(&q.raw) {
+		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: CodePoison, retry: place.Return(place.Killing, 0)})
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.until)
@@ -130,7 +130,7 @@
 	if refusal := q.identify(); refusal != nil {
 		return refusal
 	}
-	q.last, q.has = call.After, call.HasAfter
+	q.last, q.has = call.LastEventID, call.HasLastEventID
 	q.service = q.route.Pick(xxhash.Sum64String(call.ID))
 	q.attempts = max(1, q.route.Attempts)
 	q.until = q.began.Add(q.route.Timeout)
--- a/pipeline/exchange/begin_test.go
+++ b/pipeline/exchange/begin_test.go
@@ -30,7 +30,7 @@
 		x := newTarget(t, "near", whole(200, "near"))
 		r, g := starting(t, x)
 		Convey("serves what came before its first view", func() {
-			g.WaitAtStart(time.Minute)
+			g.SetStartWait(time.Minute)
 			answers := make(chan int, 20)
 			for range cap(answers) {
 				go func() { answers <- r.call("/unsafe/x", "b").status }()
@@ -45,7 +45,7 @@
 			}
 		})
 		Convey("refuses what has waited for too long, and says when to come back", func() {
-			g.WaitAtStart(time.Millisecond)
+			g.SetStartWait(time.Millisecond)
 			got := r.call("/unsafe/x", "b")
 			So(got.status, ShouldEqual, 503)
 			So(got.header.Get("Retry-After"), ShouldNotEqual, "")
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -25,14 +25,14 @@
 	wait float64
 	// decided is set where another instance chose, which is told of the request.
 	decided Decision
-	by      Decider
+	by      GroupOwner
 }
 
 // began notes that the target has begun to answer.
 func (p *destination) began(now time.Time) {
 	p.choice.First(now)
 	if p.by != nil {
-		p.by.Began(p.decided)
+		p.by.ReportFirstEvent(p.decided)
 	}
 }
 
@@ -40,7 +40,7 @@
 func (p *destination) done(now time.Time, r pick.Result) {
 	p.choice.Done(now, r)
 	if p.by != nil {
-		p.by.Ended(p.decided, r)
+		p.by.ReportEnd(p.decided, r)
 	}
 }
 
@@ -87,14 +87,14 @@
 // chooseTarget chooses among the targets of the own region, or has the instance that
 // decides for them choose.
 func (q *request) chooseTarget(now time.Time, c pick.Call) *destination {
-	if q.g.o.Decider != nil {
-		if d, ok := q.g.o.Decider.Decide(q.ctx, c, q.call.ID, q.until.Sub(now)); ok {
+	if q.g.o.GroupOwner != nil {
+		if d, ok := q.g.o.GroupOwner.Choose(q.ctx, c, q.call.ID, q.until.Sub(now)); ok {
 			if choice := q.g.o.Pool.PickAt(now, c, d.Target); choice != nil {
 				q.g.o.Metrics.Decided.Inc(1)
 				choice.Source, choice.Cost, choice.Wait, choice.Front, choice.Tokens = d.Source, d.Cost, d.Wait, d.Front, d.Tokens
-				return &destination{choice: choice, decided: d, by: q.g.o.Decider}
+				return &destination{choice: choice, decided: d, by: q.g.o.GroupOwner}
 			}
-			q.g.o.Decider.Ended(d, pick.Neutral)
+			q.g.o.GroupOwner.ReportEnd(d, pick.Neutral)
 		}
 	}
 	if choice, _ := q.g.o.Pool.Pick(now, c); choice != nil {
@@ -155,9 +155,9 @@
 func (q *request) toTarget(choice *pick.Choice, now time.Time) *rawhttp.Request {
 	raw := q.raw
 	raw.Header = forwardable(q.r.Header)
-	q.g.o.Dialect.Prepare(raw.Header, Sending{
-		Left: q.until.Sub(now), Target: choice.ID, Rank: q.rank(), Streaming: len(q.call.Parts) > 0,
-		After: q.last, HasAfter: q.has, Source: choice.Source, Keyed: q.view.Index.Table.Keyed, Workspace: q.workspaceName(),
+	q.g.o.Dialect.Prepare(raw.Header, Attempt{
+		Timeout: q.until.Sub(now), Target: choice.ID, Rank: q.rank(), QueueByRank: len(q.call.Parts) > 0,
+		LastEventID: q.last, HasLastEventID: q.has, Source: choice.Source, Keyed: q.view.Index.Table.Keyed, Workspace: q.workspaceName(),
 	})
 	return &raw
 }
--- a/pipeline/exchange/exchange_test.go
+++ b/pipeline/exchange/exchange_test.go
@@ -311,11 +311,15 @@
 	refuse            bool
 }
 
-func (c *crashes) Refused(*rawhttp.Request) bool { return c.refuse }
+func (c *crashes) IsPoison(*rawhttp.Request) bool { return c.refuse }
 
-func (c *crashes) Crashed(_ *rawhttp.Request, target string) { c.crashed = append(c.crashed, target) }
+func (c *crashes) ReportCrash(_ *rawhttp.Request, target string) {
+	c.crashed = append(c.crashed, target)
+}
 
-func (c *crashes) Answered(_ *rawhttp.Request, place string) { c.answered = append(c.answered, place) }
+func (c *crashes) ReportAnswer(_ *rawhttp.Request, place string) {
+	c.answered = append(c.answered, place)
+}
 
 // Symptom: a request that crashes its targets is sent on and on, or an innocent one is
 // taken for such.
--- a/pipeline/exchange/finish.go
+++ b/pipeline/exchange/finish.go
@@ -91,13 +91,13 @@
 		return m.RefusedNoView
 	case CodeLeaving:
 		return m.RefusedLeaving
-	case CodeKiller:
+	case CodePoison:
 		return m.RefusedKiller
 	case CodeOverloaded:
 		return m.RefusedOverloaded
-	case CodeKey:
+	case CodeUnknownKey:
 		return m.RefusedKey
-	case CodeLimit:
+	case CodeOverLimit:
 		return m.RefusedLimit
 	case CodeNoHome:
 		return m.RefusedNoHome
--- a/pipeline/exchange/gateway.go
+++ b/pipeline/exchange/gateway.go
@@ -25,9 +25,9 @@
 	Dialect Dialect
 	Pool    *pick.Pool
 	// Decider, if set, is asked before Pool.
-	Decider Decider
+	GroupOwner GroupOwner
 	// Killers, if set, has requests refused that crash their targets.
-	Killers Killers
+	PoisonRequests PoisonRequests
 	// Limits, if set, has requests refused that are beyond their workspace's limit.
 	Limits Limits
 	// Targets and Peers send to targets and to instances of other regions.
@@ -36,7 +36,7 @@
 	Rand           *rand.Rand
 	Metrics        *metrics.SiteEntry
 	// Log tells of failures and changes, Ordinary of each request that was answered.
-	Log, Ordinary *zap.Logger
+	Log, AccessLog *zap.Logger
 }
 
 // Gateway serves requests.
@@ -179,7 +179,7 @@
 }
 
 // PassedOn serves requests of entry instances of other regions.
-func (g *Gateway) PassedOn() http.Handler {
+func (g *Gateway) ForwardedHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.o.Metrics.PassedOn.Inc(1)
 		p, err := readPassed(r.Header)
--- a/pipeline/exchange/identify.go
+++ b/pipeline/exchange/identify.go
@@ -29,10 +29,10 @@
 	if q.from != nil {
 		c = q.from.Credential
 	}
-	if !c.Given {
+	if !c.Present {
 		return nil, q.route.Open
 	}
-	w := v.Index.Workspace(c.Key)
+	w := v.Index.Workspace(c.Digest)
 	return w, w != nil
 }
 
@@ -46,7 +46,7 @@
 	return !ok
 }
 
-func refuseKey() *refusal { return &refusal{status: http.StatusUnauthorized, code: CodeKey} }
+func refuseKey() *refusal { return &refusal{status: http.StatusUnauthorized, code: CodeUnknownKey} }
 
 // allows reports whether a region may serve the request.
 func (q *request) allows(region string) bool {
--- a/pipeline/exchange/identify_test.go
+++ b/pipeline/exchange/identify_test.go
@@ -132,7 +132,7 @@
 		// The region that is behind leaves it to others.
 		So(a.as("key-new", "/safe/x").status, ShouldEqual, 503)
 		b.keyed(workspace("a", "key-a", "key-new"))
-		a.gateway.PassOnAfterRefusals()
+		a.gateway.ForwardAfterRefusals()
 		So(a.as("key-new", "/safe/x").status, ShouldEqual, 200)
 		So(sent(x), ShouldEqual, 1)
 	})
--- a/pipeline/exchange/limits.go
+++ b/pipeline/exchange/limits.go
@@ -11,7 +11,7 @@
 
 // judged is what a request beyond its workspace's limit was judged by.
 type judged struct {
-	LimitAnswer
+	LimitDecision
 	units float64
 }
 
@@ -20,9 +20,9 @@
 	e.AddFloat64("units", j.units)
 	e.AddFloat64("rate", j.Rate)
 	e.AddBool("leased", j.Leased)
-	e.AddString("by", j.By)
+	e.AddString("by", j.DecidedBy)
 	e.AddUint64("version", j.Version)
-	e.AddDuration("wait", j.Wait)
+	e.AddDuration("wait", j.RetryAfter)
 	return nil
 }
 
@@ -33,18 +33,18 @@
 	if limits == nil || w == nil || w.Limit.Rate <= 0 || q.from != nil {
 		return nil
 	}
-	units := w.Limit.Cost(q.call.PromptTokens, q.call.OutputTokens, q.call.Counted)
-	a := limits.Take(q.ctx, w, units)
-	if a.OK {
+	units := w.Limit.Cost(q.call.PromptTokens, q.call.OutputTokens, q.call.HasTokenCounts)
+	a := limits.Consume(q.ctx, w, units)
+	if a.Allowed {
 		q.units, q.limit = units, a
 		return nil
 	}
-	return &refusal{status: http.StatusTooManyRequests, code: CodeLimit, retry: place.ReturnAfter(a.Wait), limit: &judged{LimitAnswer: a, units: units}}
+	return &refusal{status: http.StatusTooManyRequests, code: CodeOverLimit, retry: place.ReturnAfter(a.RetryAfter), limit: &judged{LimitDecision: a, units: units}}
 }
 
 // settleLimit gives back what a request took that has not run.
 func (q *request) settleLimit() {
 	if q.units > 0 && q.verdict == verdict.NotRun {
-		q.g.o.Limits.Return(q.workspace, q.units, q.limit)
+		q.g.o.Limits.Refund(q.workspace, q.units, q.limit)
 	}
 }
--- a/pipeline/exchange/limits_test.go
+++ b/pipeline/exchange/limits_test.go
@@ -19,17 +19,17 @@
 	left, back float64
 }
 
-func (c *counted) Take(_ context.Context, _ *routes.Workspace, units float64) exchange.LimitAnswer {
+func (c *counted) Consume(_ context.Context, _ *routes.Workspace, units float64) exchange.LimitDecision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if units > c.left {
-		return exchange.LimitAnswer{Wait: 1500 * time.Millisecond}
+		return exchange.LimitDecision{RetryAfter: 1500 * time.Millisecond}
 	}
 	c.left -= units
-	return exchange.LimitAnswer{OK: true}
+	return exchange.LimitDecision{Allowed: true}
 }
 
-func (c *counted) Return(_ *routes.Workspace, units float64, _ exchange.LimitAnswer) {
+func (c *counted) Refund(_ *routes.Workspace, units float64, _ exchange.LimitDecision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.left += units
@@ -58,7 +58,7 @@
 		So(r.as("key-a", "/safe/x").status, ShouldEqual, 200)
 		got := r.as("key-a", "/safe/x")
 		So(got.status, ShouldEqual, http.StatusTooManyRequests)
-		So(got.body, ShouldEqual, string(exchange.CodeLimit)+"\n")
+		So(got.body, ShouldEqual, string(exchange.CodeOverLimit)+"\n")
 		So(got.header.Get("Retry-After"), ShouldEqual, "1.50")
 		So(r.as("key-free", "/safe/x").status, ShouldEqual, 200)
 		So(sent(x), ShouldEqual, 3)
@@ -107,7 +107,7 @@
 		next := *view
 		next.Index = a.gateway.View().Index
 		a.gateway.SetView(&next)
-		b.peers.Config.Handler = b.gateway.PassedOn()
+		b.peers.Config.Handler = b.gateway.ForwardedHandler()
 		So(a.as("key-a", "/safe/x").body, ShouldEqual, "far")
 		So(here.left, ShouldEqual, 8)
 		So(there.left, ShouldEqual, 9)
--- a/pipeline/exchange/passed.go
+++ b/pipeline/exchange/passed.go
@@ -54,17 +54,17 @@
 	h.Set(headerLeft, strconv.FormatInt(p.Left.Milliseconds(), 10))
 	h.Set(headerAttempts, strconv.Itoa(p.Attempts))
 	h.Del(headerKey)
-	if p.Credential.Given {
-		h.Set(headerKey, hex.EncodeToString(p.Credential.Key[:]))
+	if p.Credential.Present {
+		h.Set(headerKey, hex.EncodeToString(p.Credential.Digest[:]))
 	}
 }
 
 func readCredential(text string) (Credential, error) {
-	c := Credential{Given: text != ""}
+	c := Credential{Present: text != ""}
 	key, err := hex.DecodeString(text)
-	if err == nil && c.Given && len(key) != len(c.Key) {
+	if err == nil && c.Present && len(key) != len(c.Digest) {
 		err = errors.NotValidf("%d bytes", len(key))
 	}
-	copy(c.Key[:], key)
+	copy(c.Digest[:], key)
 	return c, errors.Annotate(err, headerKey)
 }
--- a/pipeline/exchange/regions_test.go
+++ b/pipeline/exchange/regions_test.go
@@ -21,7 +21,7 @@
 	Convey("100 requests of another region, each turned away by two targets", t, func() {
 		x, y := newTarget(t, "t1", notRun), newTarget(t, "t2", notRun)
 		a, b := pair(t, nil, []*target{x, y})
-		b.gateway.BeganBefore(time.Minute)
+		b.gateway.SetUptime(time.Minute)
 		for range 100 {
 			So(a.call("/safe/x", "").status, ShouldEqual, 503)
 		}
@@ -39,7 +39,7 @@
 	Convey("100 requests that the other region turns away, one target here", t, func() {
 		x, y := newTarget(t, "near", whole(200, "near")), newTarget(t, "far", notRun)
 		a, _ := pair(t, []*target{x}, []*target{y})
-		a.gateway.PassOnAfterRefusals()
+		a.gateway.ForwardAfterRefusals()
 		for range 30 {
 			// The other region looks better.
 			a.pool.PickAt(time.Now(), pick.Call{Service: "s"}, "near")
@@ -168,7 +168,7 @@
 		view := *a.gateway.View()
 		view.Peers = nil
 		for range 30 {
-			l := httptest.NewServer(b.gateway.PassedOn())
+			l := httptest.NewServer(b.gateway.ForwardedHandler())
 			t.Cleanup(l.Close)
 			view.Peers = append(view.Peers, exchange.Peer{Address: l.Listener.Addr().String(), Region: "other"})
 		}
@@ -184,7 +184,7 @@
 	Convey("the way to another region is learned from what crosses", t, func() {
 		y := newTarget(t, "far", whole(200, "far"))
 		a, _ := pair(t, nil, []*target{y})
-		before := a.gateway.TripTo("other")
+		before := a.gateway.TripMillis("other")
 		for range 50 {
 			got := a.call("/unsafe/x", "b")
 			So(got.status, ShouldEqual, 200)
@@ -192,8 +192,8 @@
 				So(name, ShouldNotStartWith, "Gullhaven-")
 			}
 		}
-		So(a.gateway.TripTo("other"), ShouldBeLessThan, before)
-		So(a.gateway.TripTo("elsewhere"), ShouldEqual, before)
+		So(a.gateway.TripMillis("other"), ShouldBeLessThan, before)
+		So(a.gateway.TripMillis("elsewhere"), ShouldEqual, before)
 	})
 	// Symptom: requests wait for connections to one instance after the other of a region.
 	// Events: a region is cut off; its summary still says that it is idle.
--- a/pipeline/exchange/rig_test.go
+++ b/pipeline/exchange/rig_test.go
@@ -40,11 +40,11 @@
 		c.Deadline = d
 	}
 	if text := h.Get("After"); text != "" {
-		c.After, _ = strconv.ParseInt(text, 10, 64)
-		c.HasAfter = true
+		c.LastEventID, _ = strconv.ParseInt(text, 10, 64)
+		c.HasLastEventID = true
 	}
 	if key := h.Get("Key"); key != "" {
-		c.Credential = exchange.Credential{Given: true, Key: routes.DigestKey(key)}
+		c.Credential = exchange.Credential{Present: true, Digest: routes.DigestKey(key)}
 	}
 	return c, nil
 }
@@ -54,7 +54,7 @@
 	h.Del("Workspace")
 }
 
-func (p plain) Prepare(h http.Header, s exchange.Sending) {
+func (p plain) Prepare(h http.Header, s exchange.Attempt) {
 	if s.Keyed {
 		p.Conceal(h)
 	}
@@ -63,16 +63,16 @@
 	}
 	h.Set("Rank", strconv.Itoa(s.Rank))
 	h.Set("Meant", s.Target)
-	h.Set("Left", s.Left.String())
-	if s.HasAfter {
-		h.Set("After", strconv.FormatInt(s.After, 10))
+	h.Set("Left", s.Timeout.String())
+	if s.HasLastEventID {
+		h.Set("After", strconv.FormatInt(s.LastEventID, 10))
 	}
 }
 
 func (plain) Reply(status int, h http.Header) exchange.Reply {
 	r := exchange.Reply{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "", Gone: status == 421}
 	if perSecond, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
-		r.Named = pick.NamedLimit{Limited: true, PerSecond: perSecond}
+		r.Limit = pick.NamedLimit{Limited: true, PerSecond: perSecond}
 	}
 	return r
 }
@@ -242,7 +242,7 @@
 	return newRigWith(t, region, nil, targets...)
 }
 
-func newRigWith(t testing.TB, region string, killers exchange.Killers, targets ...*target) *rig {
+func newRigWith(t testing.TB, region string, killers exchange.PoisonRequests, targets ...*target) *rig {
 	t.Helper()
 	r := &rig{pool: pick.New("self"), table: &routes.Table{
 		Version: 3, Services: []routes.Service{{Name: "s"}}, Limits: routes.Limits{MaxBodyBytes: 1000},
@@ -266,17 +266,17 @@
 	r.list(targets...)
 	r.metrics = metrics.NewSiteEntry(func() metrics.EntryState { return metrics.EntryState{} })
 	r.options = exchange.Options{
-		Region: region, Dialect: plain{}, Pool: r.pool, Killers: killers, Targets: rawhttp.NewClient(rawhttp.Options{}),
+		Region: region, Dialect: plain{}, Pool: r.pool, PoisonRequests: killers, Targets: rawhttp.NewClient(rawhttp.Options{}),
 		Peers:   rawhttp.NewClient(rawhttp.Options{}),
 		Retries: exchange.RetryLimits{Span: 10 * time.Second, Share: 0.2, Allowance: 100},
 		Rand:    rand.New(rand.NewPCG(1, 2)), Log: zap.NewNop(),
-		Ordinary: zap.NewNop(), Metrics: r.metrics,
+		AccessLog: zap.NewNop(), Metrics: r.metrics,
 	}
 	r.gateway = exchange.New(r.options)
-	r.view = &exchange.View{Index: routes.NewIndex(r.table), Entries: 1}
+	r.view = &exchange.View{Index: routes.NewIndex(r.table), EntryInstances: 1}
 	r.gateway.SetView(r.view)
 	r.server = httptest.NewServer(r.gateway)
-	r.peers = httptest.NewServer(r.gateway.PassedOn())
+	r.peers = httptest.NewServer(r.gateway.ForwardedHandler())
 	t.Cleanup(r.server.Close)
 	t.Cleanup(r.peers.Close)
 	return r
@@ -293,7 +293,7 @@
 
 // log makes the gateway anew with a logger for requests that are answered.
 func (r *rig) log(ordinary *zap.Logger) {
-	r.options.Ordinary = ordinary
+	r.options.AccessLog = ordinary
 	r.renew()
 }
 
--- a/pipeline/exchange/send.go
+++ b/pipeline/exchange/send.go
@@ -22,7 +22,7 @@
 	if q.from == nil {
 		// One that was passed on counts where it came in: the budget is of all instances
 		// together, and each first sending allows repeats once.
-		q.g.repeats.first(q.began, q.service, q.view.Entries)
+		q.g.repeats.first(q.began, q.service, q.view.EntryInstances)
 	}
 	q.g.countRoute(q.route.Name)
 	for {
@@ -57,18 +57,18 @@
 	m.Answered.Inc(1)
 	m.FirstByteTime.Update(q.first.Sub(q.began))
 	m.WholeTime.Update(now.Sub(q.began))
-	if q.g.o.Killers != nil {
-		q.g.o.Killers.Answered(&q.raw, q.place)
+	if q.g.o.PoisonRequests != nil {
+		q.g.o.PoisonRequests.ReportAnswer(&q.raw, q.place)
 	}
 	// The fields are made only if the budget of lines lets the line through.
-	line := q.g.o.Ordinary.Check(zap.InfoLevel, "served")
+	line := q.g.o.AccessLog.Check(zap.InfoLevel, "served")
 	if line == nil {
 		return
 	}
 	line.Write(zap.String("id", q.call.ID), zap.String("place", q.place), zap.String("service", q.service),
 		zap.Int("sends", q.sends), zap.Float64("wait_ms", q.wait), zap.Float64("cost_ms", q.cost), zap.String("decided_by", q.decidedBy),
 		zap.Duration("left", q.until.Sub(q.began)),
-		zap.Uint64("version", q.view.Index.Table.Version), zap.Duration("list_age", now.Sub(q.view.ListAt)),
+		zap.Uint64("version", q.view.Index.Table.Version), zap.Duration("list_age", now.Sub(q.view.TargetsReadAt)),
 		zap.Duration("first", q.first.Sub(q.began)), zap.Duration("after", now.Sub(q.began)), zap.Duration("pause", q.pause),
 		zap.Int("prompt_tokens", q.call.PromptTokens), zap.String("source", q.source), zap.Bool("passed", q.from != nil))
 }
@@ -92,10 +92,10 @@
 
 // mayRepeat reports whether the budget of the service allows one more sending, and counts it.
 func (q *request) mayRepeat(now time.Time) bool {
-	d := q.g.repeats.try(now, q.service, q.view.Entries)
+	d := q.g.repeats.try(now, q.service, q.view.EntryInstances)
 	if d.tell {
 		q.g.o.Log.Info("repeats", zap.String("service", q.service), zap.Bool("allowed", d.allowed), zap.Int("firsts", d.use.Firsts),
-			zap.Int("extras", d.use.Extras), zap.Float64("left", d.use.Left), zap.Int("entries", q.view.Entries), zap.Duration("age", d.age))
+			zap.Int("extras", d.use.Extras), zap.Float64("left", d.use.Left), zap.Int("entries", q.view.EntryInstances), zap.Duration("age", d.age))
 	}
 	if !d.allowed {
 		q.g.o.Metrics.RetriesDenied.Inc(1)
@@ -118,7 +118,7 @@
 		return q.attemptPeer(p, now)
 	}
 	q.tried = append(q.tried, p.choice.ID)
-	q.place, q.source, q.decidedBy = p.choice.ID, p.choice.Source, p.decided.By
+	q.place, q.source, q.decidedBy = p.choice.ID, p.choice.Source, p.decided.Owner
 	q.sentAt, q.wait, q.cost = now, p.choice.Wait, p.choice.Cost
 	ctx, cancel := context.WithCancelCause(q.ctx)
 	defer cancel(nil)
@@ -240,8 +240,8 @@
 // noteCrash tells of a target that ended the connection in place of an answer.
 func (q *request) noteCrash(target string, err error) {
 	ended := errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
-	if ended && q.g.o.Killers != nil && q.ctx.Err() == nil {
-		q.g.o.Killers.Crashed(&q.raw, target)
+	if ended && q.g.o.PoisonRequests != nil && q.ctx.Err() == nil {
+		q.g.o.PoisonRequests.ReportCrash(&q.raw, target)
 	}
 }
 
@@ -250,7 +250,7 @@
 func (q *request) take(a *rawhttp.Answer, p *destination) (done bool, result pick.Result) {
 	reply := q.g.o.Dialect.Reply(a.StatusCode, a.Header)
 	if p != nil && (reply.ID == q.call.ID || reply.NotRun) && !reply.Gone {
-		q.noteLimit(p, reply.Named)
+		q.noteLimit(p, reply.Limit)
 	}
 	switch {
 	case reply.Gone:
@@ -276,7 +276,7 @@
 func (q *request) noteLimit(p *destination, n pick.NamedLimit) {
 	news := p.choice.Heard(time.Now(), n)
 	if p.by != nil && p.decided.Limit != n {
-		p.by.Named(p.decided, n)
+		p.by.ReportLimit(p.decided, n)
 	}
 	if !news {
 		return
--- a/pipeline/exchange/types.go
+++ b/pipeline/exchange/types.go
@@ -31,34 +31,34 @@
 	// OutputTokens is the most that the answer may have.
 	OutputTokens int
 	// Counted says that the request tells its tokens.
-	Counted bool
+	HasTokenCounts bool
 	// Credential is what the caller has shown.
 	Credential Credential
 	// After is the id of the last event that the caller has; HasAfter says that it
 	// gave one.
-	After    int64
-	HasAfter bool
+	LastEventID    int64
+	HasLastEventID bool
 }
 
 // Credential is a caller's key. One that is given and cannot be read has no digest.
 type Credential struct {
-	Given bool
-	Key   routes.KeyDigest
+	Present bool
+	Digest  routes.KeyDigest
 }
 
 // Sending is what the headers towards a target carry.
-type Sending struct {
+type Attempt struct {
 	// Left is how long the target may take.
-	Left time.Duration
+	Timeout time.Duration
 	// Target is the id of the one that is meant; another one must not run it.
 	Target string
 	// Rank is the route's priority.
 	Rank int
 	// Streaming says that Rank orders the engine's queue.
-	Streaming bool
+	QueueByRank bool
 	// After and HasAfter ask for the events after an id.
-	After    int64
-	HasAfter bool
+	LastEventID    int64
+	HasLastEventID bool
 	// Source is the address of a target that keeps more of the prompt, from where this
 	// one is to fetch it; empty for none.
 	Source string
@@ -78,7 +78,7 @@
 	// has its address.
 	NotRun, Gone bool
 	// Named is the limit that the target names.
-	Named pick.NamedLimit
+	Limit pick.NamedLimit
 }
 
 // Dialect translates between headers and these types. It decides nothing.
@@ -87,7 +87,7 @@
 	Call(h http.Header) (Call, error)
 	// Prepare sets the headers of a sending on a copy of the caller's, without those
 	// that only the system may set.
-	Prepare(h http.Header, s Sending)
+	Prepare(h http.Header, s Attempt)
 	// Conceal takes off a caller's key, and what it says of its workspace.
 	Conceal(h http.Header)
 	// Reply reads the headers of a target's answer.
@@ -95,46 +95,46 @@
 }
 
 // Decider has another instance of the region choose the target of a request.
-type Decider interface {
+type GroupOwner interface {
 	// Decide asks for a target within left; false where this instance is to choose.
-	Decide(ctx context.Context, c pick.Call, id string, left time.Duration) (Decision, bool)
+	Choose(ctx context.Context, c pick.Call, id string, left time.Duration) (Decision, bool)
 	// Named tells of a limit that the target names, or names no more, Began that it has begun to
 	// answer, Ended how the request ended.
-	Named(d Decision, n pick.NamedLimit)
-	Began(d Decision)
-	Ended(d Decision, r pick.Result)
+	ReportLimit(d Decision, n pick.NamedLimit)
+	ReportFirstEvent(d Decision)
+	ReportEnd(d Decision, r pick.Result)
 }
 
 // Limits keeps workspaces within their limits, over all instances.
 type Limits interface {
 	// Take spends units of a workspace's limit.
-	Take(ctx context.Context, w *routes.Workspace, units float64) LimitAnswer
+	Consume(ctx context.Context, w *routes.Workspace, units float64) LimitDecision
 	// Return gives back what a request took, by an answer, that never ran.
-	Return(w *routes.Workspace, units float64, a LimitAnswer)
+	Refund(w *routes.Workspace, units float64, a LimitDecision)
 }
 
 // LimitAnswer says whether a request is within its workspace's limit.
-type LimitAnswer struct {
-	OK bool
+type LimitDecision struct {
+	Allowed bool
 	// By is the instance that stands for the workspace; empty where none was reached.
-	By string
+	DecidedBy string
 	// Wait is when there will be more, and the rest what the request was judged by, where not
 	// OK: the units per second that the workspace had there, leased from the leader or its own
 	// part of the limit; and the configuration.
-	Wait    time.Duration
-	Rate    float64
-	Leased  bool
-	Version uint64
+	RetryAfter time.Duration
+	Rate       float64
+	Leased     bool
+	Version    uint64
 }
 
 // Killers knows the requests that crash each target that runs them.
-type Killers interface {
+type PoisonRequests interface {
 	// Refused reports whether a request must not be sent any more.
-	Refused(r *rawhttp.Request) bool
+	IsPoison(r *rawhttp.Request) bool
 	// Crashed notes that a target broke off before it answered a request, Answered that
 	// one answered it.
-	Crashed(r *rawhttp.Request, target string)
-	Answered(r *rawhttp.Request, target string)
+	ReportCrash(r *rawhttp.Request, target string)
+	ReportAnswer(r *rawhttp.Request, target string)
 }
 
 // Decision is a target chosen by another instance.
@@ -146,7 +146,7 @@
 	// Limit is what the target named last, as far as was known there.
 	Limit pick.NamedLimit
 	// Ticket names the request at the instance By.
-	Ticket, By string
+	Ticket, Owner string
 }
 
 // View is what is known of the surroundings. It is replaced, never changed.
@@ -157,9 +157,9 @@
 	// Regions sums up the load of other regions by region and service.
 	Regions map[RegionService]pick.RegionLoad
 	// ListAt is when the list of targets was read.
-	ListAt time.Time
+	TargetsReadAt time.Time
 	// Entries is the number of entry instances in all regions.
-	Entries int
+	EntryInstances int
 }
 
 // Peer is an entry instance of another region.
@@ -183,15 +183,15 @@
 	CodeNoTime     verdict.Code = "no_time_left"
 	CodeTimeout    verdict.Code = "timeout"
 	CodeTargetLost verdict.Code = "target_lost"
-	CodeKiller     verdict.Code = "request_crashes_targets"
+	CodePoison     verdict.Code = "request_crashes_targets"
 	CodeLeaving    verdict.Code = "instance_leaving"
 	CodeBehind     verdict.Code = "configuration_behind"
 	// CodeKey: no key, or none that a workspace holds.
-	CodeKey verdict.Code = "unknown_key"
+	CodeUnknownKey verdict.Code = "unknown_key"
 	// CodeNoHome: the homes of route and workspace have no region in common.
 	CodeNoHome verdict.Code = "no_home_region"
 	// CodeLimit: the workspace's limit is used up.
-	CodeLimit verdict.Code = "workspace_over_limit"
+	CodeOverLimit verdict.Code = "workspace_over_limit"
 )
 
 // Headers between instances. They never leave the system.
