--- a/pipeline/exchange/accept.go
+++ b/pipeline/exchange/accept.go
@@ -17,74 +17,78 @@
 )
 
 const (
-	// smallBody is what is read at first of a body of unknown length, in bytes.
-	smallBody = 4 << 10
-	// defaultMaxBody bounds bodies before a configuration says so, in bytes.
-	defaultMaxBody = 4 << 20
+	// initialBodyBytes is the initial buffer size for a body of unknown length.
+	initialBodyBytes = 4 << 10
+	// defaultMaxBodyBytes bounds request bodies if the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
 )
 
-// request is one request on its way.
+// request is one request in progress.
 type request struct {
-	g     *Gateway
-	w     http.ResponseWriter
-	r     *http.Request
-	view  *View
-	route *routes.Route
-	call  Call
-	from  *passed
-	// workspace is the caller's; nil where it has shown no key.
+	g         *Gateway
+	w         http.ResponseWriter
+	r         *http.Request
+	view      *View
+	route     *routes.Route
+	call      Call
+	forwarded *forwardedRequest
+	// workspace is the caller's; nil for a caller without a key.
 	workspace *routes.Workspace
-	// units are what it took of the workspace's limit, and limit the answer that allowed it.
-	units float64
-	limit LimitDecision
+	// limitUnits are the units consumed from the workspace's limit, and limitDecision is what
+	// allowed them.
+	limitUnits    float64
+	limitDecision LimitDecision
 
-	ctx      context.Context
-	began    time.Time
-	until    time.Time
-	service  string
-	raw      rawhttp.Request
-	attempts int
+	ctx        context.Context
+	acceptedAt time.Time
+	deadline   time.Time
+	service    string
+	raw        rawhttp.Request
+	// maxRuns bounds the number of targets that may run the request.
+	maxRuns int
 
-	// state of the attempts
+	// The fields below change with each attempt.
 	verdict verdict.Verdict
-	// runs counts the targets that may have run it.
-	runs  int
-	sends int
-	tried []string
-	// place is the last one tried.
-	place, source, decidedBy string
-	// sentAt is when it was sent there. wait is how long its answer was expected to take to
-	// begin, and cost what the choice weighed, with what others pay and what failures cost;
-	// both in milliseconds.
-	sentAt     time.Time
-	wait, cost float64
-	// first is when the answer began.
-	first time.Time
-	// pause is the longest time between two events of the stream.
-	pause time.Duration
-	// turnedAway says that a target has refused it without running it.
-	turnedAway bool
-	// triedRegions were asked and turned it away.
+	// runs counts the targets that may have run the request.
+	runs         int
+	attemptCount int
+	triedTargets []string
+	// lastTried is the last target id or peer address; source and decidedBy belong to it.
+	lastTried, source, decidedBy string
+	// sentAt is when the request was sent to lastTried. expectedWaitMs is the expected time
+	// to the first byte. costMs is the cost that the choice weighed, which includes the
+	// delay to other requests and the cost of failures.
+	sentAt                 time.Time
+	expectedWaitMs, costMs float64
+	// firstByteAt is when the answer began.
+	firstByteAt time.Time
+	// longestGap is the longest time between two events of the stream.
+	longestGap time.Duration
+	// rejected says that a target has rejected the request without running it.
+	rejected bool
+	// triedRegions are the regions that the request was forwarded to.
 	triedRegions map[string]bool
-	// final is the refusal of another region that no attempt changes.
-	final *refusal
-	// held is a target's failure, kept while others are tried.
-	held *wholeAnswer
-	// stream state
-	begun bool
-	last  int64
-	has   bool
+	// finalRefusal is a refusal by another region that no further attempt can change.
+	finalRefusal *refusal
+	// failedAnswer is a target's failure, kept while other targets are tried.
+	failedAnswer *bufferedAnswer
+	// headWritten says that the head of the answer was written to the caller. lastEventID is
+	// the last event that the caller has, if hasLastEventID is set.
+	headWritten    bool
+	lastEventID    int64
+	hasLastEventID bool
 }
 
-// serve takes a request from its acceptance to its final answer.
-func (g *Gateway) serve(w http.ResponseWriter, r *http.Request, from *passed) {
+// serve handles a request from acceptance to the final answer. forwarded is nil for a request
+// that came from a caller.
+func (g *Gateway) serve(w http.ResponseWriter, r *http.Request, forwarded *forwardedRequest) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	q := &request{g: g, w: w, r: r, from: from, began: time.Now(), view: g.firstView(r.Context())}
+	q := &request{g: g, w: w, r: r, forwarded: forwarded, acceptedAt: time.Now(), view: g.firstView(r.Context())}
 	if g.draining.Load() || len(r.TransferEncoding) > 0 {
-		// A body in chunks may come with a length too, and what lies between the two
-		// ends would be read as a request that no caller has sent. So nothing more is
-		// read from such a connection.
+		// A chunked body may also have a Content-Length. The bytes between the two ends
+		// would be read as a request that no caller has sent, so nothing more is read from
+		// such a connection.
 		w.Header().Set("Connection", "close")
 	}
 	if refusal := q.accept(); refusal != nil {
@@ -92,34 +96,34 @@
 		return
 	}
 	if g.o.PoisonRequests != nil && g.o.PoisonRequests.IsPoison(&q.raw) {
-		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: CodePoison, retry: place.Return(place.Killing, 0)})
+		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: CodePoison, retryAfter: place.Return(place.Killing, 0)})
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), q.until)
+	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	q.ctx = ctx
-	if refusal := q.takeLimit(); refusal != nil {
+	if refusal := q.consumeLimit(); refusal != nil {
 		q.refuse(refusal)
 		return
 	}
-	defer q.settleLimit()
+	defer q.refundLimit()
 	q.run()
 }
 
-// accept finds the route and reads the request whole. What it refuses has not run.
+// accept finds the route and reads the whole request. A request that it refuses has not run.
 func (q *request) accept() *refusal {
 	if q.view == nil || q.view.Index == nil {
-		return &refusal{status: http.StatusServiceUnavailable, code: CodeNoView, retry: place.Return(place.Starting, 0)}
+		return &refusal{status: http.StatusServiceUnavailable, code: CodeNoView, retryAfter: place.Return(place.Starting, 0)}
 	}
-	if q.from != nil && q.from.Version > q.view.Index.Table.Version {
-		return &refusal{status: http.StatusServiceUnavailable, code: CodeBehind, retry: place.Return(place.Busy, 0)}
+	if q.forwarded != nil && q.forwarded.Version > q.view.Index.Table.Version {
+		return &refusal{status: http.StatusServiceUnavailable, code: CodeBehind, retryAfter: place.Return(place.Busy, 0)}
 	}
 	q.route = q.view.Index.Match(q.r.Host, q.r.URL.Path)
 	if q.route == nil {
 		return &refusal{status: http.StatusNotFound, code: CodeNoRoute}
 	}
-	if q.g.cutsOff(q) {
-		return &refusal{status: http.StatusServiceUnavailable, code: CodeLeaving, retry: place.Return(place.Leaving, 0)}
+	if q.g.mayCutOff(q) {
+		return &refusal{status: http.StatusServiceUnavailable, code: CodeLeaving, retryAfter: place.Return(place.Leaving, 0)}
 	}
 	call, err := q.g.o.Dialect.Call(q.r.Header)
 	if err != nil {
@@ -130,27 +134,27 @@
 	if refusal := q.identify(); refusal != nil {
 		return refusal
 	}
-	q.last, q.has = call.LastEventID, call.HasLastEventID
+	q.lastEventID, q.hasLastEventID = call.LastEventID, call.HasLastEventID
 	q.service = q.route.Pick(xxhash.Sum64String(call.ID))
-	q.attempts = max(1, q.route.Attempts)
-	q.until = q.began.Add(q.route.Timeout)
+	q.maxRuns = max(1, q.route.Attempts)
+	q.deadline = q.acceptedAt.Add(q.route.Timeout)
 	if call.Deadline > 0 && call.Deadline < q.route.Timeout {
-		q.until = q.began.Add(call.Deadline)
+		q.deadline = q.acceptedAt.Add(call.Deadline)
 	}
-	if q.from != nil {
-		q.until = q.began.Add(q.from.Left)
-		q.attempts = q.from.Attempts
-		if after, ok, err := takeAfter(q.r.Header); err != nil {
+	if q.forwarded != nil {
+		q.deadline = q.acceptedAt.Add(q.forwarded.Timeout)
+		q.maxRuns = q.forwarded.MaxRuns
+		if id, ok, err := readLastEventID(q.r.Header); err != nil {
 			return &refusal{status: http.StatusBadRequest, code: CodeMalformed, close: true}
 		} else if ok {
-			q.last, q.has = after, true
+			q.lastEventID, q.hasLastEventID = id, true
 		}
 	}
 	return q.readBody()
 }
 
-// readBody reads the body whole, so that it can be sent to another target and its
-// caller's leaving is noticed while a target works.
+// readBody reads the whole body, so that it can be sent to another target, and so that a
+// caller's disconnect is noticed while a target works.
 func (q *request) readBody() *refusal {
 	q.raw = rawhttp.Request{
 		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host,
@@ -159,33 +163,33 @@
 	if q.r.ContentLength == 0 {
 		return nil
 	}
-	most := q.view.Index.Table.Limits.MaxBodyBytes
-	if most <= 0 {
-		most = defaultMaxBody
+	maxBytes := q.view.Index.Table.Limits.MaxBodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if q.r.ContentLength > most {
+	if q.r.ContentLength > maxBytes {
 		return &refusal{status: http.StatusRequestEntityTooLarge, code: CodeTooLarge, close: true}
 	}
-	body, err := readAll(q.r.Body, q.r.ContentLength, most)
+	body, err := readAll(q.r.Body, q.r.ContentLength, maxBytes)
 	if err != nil {
-		// The caller broke off: nobody is there to answer.
+		// The caller disconnected: there is nobody to answer.
 		panic(http.ErrAbortHandler)
 	}
-	if int64(len(body)) > most {
+	if int64(len(body)) > maxBytes {
 		return &refusal{status: http.StatusRequestEntityTooLarge, code: CodeTooLarge, close: true}
 	}
 	q.raw.Body = body
 	return nil
 }
 
-// readAll reads a body of a known length, or of at most one byte more than most.
-func readAll(r io.Reader, length, most int64) ([]byte, error) {
+// readAll reads length bytes, or, if length is not above 0, up to maxBytes and one more.
+func readAll(r io.Reader, length, maxBytes int64) ([]byte, error) {
 	if length > 0 {
 		body := make([]byte, length)
 		_, err := io.ReadFull(r, body)
 		return body, err
 	}
-	buf := bytes.NewBuffer(make([]byte, 0, smallBody))
-	_, err := buf.ReadFrom(io.LimitReader(r, most+1))
+	buf := bytes.NewBuffer(make([]byte, 0, initialBodyBytes))
+	_, err := buf.ReadFrom(io.LimitReader(r, maxBytes+1))
 	return buf.Bytes(), err
 }
--- a/pipeline/exchange/bench_test.go
+++ b/pipeline/exchange/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/gullhaven/gullhaven/metrics/lines"
 )
 
-// processorTime is that of the process so far, in microseconds.
+// processorTime returns the CPU time of the process so far, in microseconds.
 func processorTime(b *testing.B) float64 {
 	b.Helper()
 	var u syscall.Rusage
@@ -23,16 +23,16 @@
 	return float64(u.Utime.Sec+u.Stime.Sec)*1e6 + float64(u.Utime.Usec+u.Stime.Usec)
 }
 
-// BenchmarkRequest measures the processor time of a plain request of 600 bytes and its
-// answer of 800, the target's share in it, with and without the line that tells of it.
+// BenchmarkRequest measures the CPU time of a plain request of 600 bytes with an answer of 800,
+// including the target's, with and without its access log line.
 func BenchmarkRequest(b *testing.B) {
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(io.Discard), zap.InfoLevel)
 	for name, log := range map[string]*zap.Logger{
 		"no lines": zap.NewNop(), "all lines": zap.New(core), "budget of 20": zap.New(lines.NewBudget(core, 20)),
 	} {
 		b.Run(name, func(b *testing.B) {
-			r := newRigWith(b, "r", nil, newTarget(b, "t1", whole(200, strings.Repeat("a", 800))))
-			r.log(log)
+			r := newRigWith(b, "r", nil, newTarget(b, "t1", respond(200, strings.Repeat("a", 800))))
+			r.setAccessLog(log)
 			body := strings.Repeat("q", 600)
 			b.ResetTimer()
 			before := processorTime(b)
@@ -46,16 +46,16 @@
 	}
 }
 
-// BenchmarkEvent measures the processor time of one event of a stream of 500, of about
-// 30 bytes each, the target's share in it.
+// BenchmarkEvent measures the CPU time per event of a stream of 500 events of about 30 bytes each,
+// including the target's.
 func BenchmarkEvent(b *testing.B) {
 	const length = 500
-	r := newRig(b, "r", newTarget(b, "t1", events(length, true)))
+	r := newRig(b, "r", newTarget(b, "t1", streamEvents(length, true)))
 	b.ResetTimer()
 	before := processorTime(b)
 	for range b.N {
-		if got := r.call("/stream/x", "b"); got.torn {
-			b.Fatal("torn")
+		if got := r.call("/stream/x", "b"); got.truncated {
+			b.Fatal("the stream was truncated")
 		}
 	}
 	b.ReportMetric((processorTime(b)-before)/float64(b.N*length), "us-cpu/event")
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -14,50 +14,51 @@
 	"github.com/gullhaven/gullhaven/route/place"
 )
 
-// mostSends bounds how often one request is sent or tried to be sent.
-const mostSends = 4
+// maxAttempts bounds the attempts to send one request, including failed connections.
+const maxAttempts = 4
 
-// destination is where one attempt goes: a target of the own region or a peer of another.
+// destination is where one attempt goes: a target of this region, or a peer of another one if
+// choice is nil.
 type destination struct {
 	choice *pick.Choice
 	peer   Peer
-	// wait is how long the answer of a peer is expected to take to begin, in milliseconds.
-	wait float64
-	// decided is set where another instance chose, which is told of the request.
-	decided Decision
-	by      GroupOwner
+	// waitMs is the expected time to the first byte of a peer's answer.
+	waitMs float64
+	// decision and owner are set if the group owner chose; it gets reports on the request.
+	decision Decision
+	owner    GroupOwner
 }
 
-// began notes that the target has begun to answer.
-func (p *destination) began(now time.Time) {
+// reportFirstEvent records that the target has begun to answer.
+func (p *destination) reportFirstEvent(now time.Time) {
 	p.choice.First(now)
-	if p.by != nil {
-		p.by.ReportFirstEvent(p.decided)
+	if p.owner != nil {
+		p.owner.ReportFirstEvent(p.decision)
 	}
 }
 
-// done notes the end of the request at the target.
-func (p *destination) done(now time.Time, r pick.Result) {
+// reportEnd records the end of the request at the target.
+func (p *destination) reportEnd(now time.Time, r pick.Result) {
 	p.choice.Done(now, r)
-	if p.by != nil {
-		p.by.ReportEnd(p.decided, r)
+	if p.owner != nil {
+		p.owner.ReportEnd(p.decision, r)
 	}
 }
 
-// pickCall is what the pool needs to know.
+// pickCall returns the request as the pool needs it.
 func (q *request) pickCall() pick.Call {
 	return pick.Call{
 		Service: q.service, Model: q.call.Model, Parts: q.call.Parts, PromptTokens: q.call.PromptTokens,
-		OutputTokens: q.call.OutputTokens, Rank: q.rank(), Tried: q.tried, Lot: xxhash.Sum64String(q.call.ID),
+		OutputTokens: q.call.OutputTokens, Rank: q.rank(), Tried: q.triedTargets, Lot: xxhash.Sum64String(q.call.ID),
 	}
 }
 
-// choose finds the next place, or says why there is none.
+// choose returns the next destination, or a refusal code if there is none.
 func (q *request) choose(now time.Time) (*destination, verdict.Code) {
 	c := q.pickCall()
 	if !q.allows(q.g.o.Region) {
-		if far := q.choosePeer(now, c, place.Nowhere); far != nil {
-			return far, ""
+		if remote := q.choosePeer(now, c, place.Nowhere); remote != nil {
+			return remote, ""
 		}
 		return nil, CodeNoTarget
 	}
@@ -66,33 +67,33 @@
 	if p != nil {
 		local = p.choice.Wait
 	}
-	if far := q.choosePeer(now, c, local); far != nil {
+	if remote := q.choosePeer(now, c, local); remote != nil {
 		if p != nil {
-			p.done(now, pick.Neutral)
+			p.reportEnd(now, pick.Neutral)
 		}
-		return far, ""
+		return remote, ""
 	}
 	if p == nil {
 		return nil, CodeNoTarget
 	}
-	// A request that another attempt may have run goes on.
-	fresh := q.verdict == verdict.NotRun && !q.begun
+	// A request that an earlier attempt may have run is not refused.
+	fresh := q.verdict == verdict.NotRun && !q.headWritten
 	if fresh && place.Overloaded(p.choice.Front, q.route.Aim) {
-		p.done(now, pick.Neutral)
+		p.reportEnd(now, pick.Neutral)
 		return nil, CodeOverloaded
 	}
 	return p, ""
 }
 
-// chooseTarget chooses among the targets of the own region, or has the instance that
-// decides for them choose.
+// chooseTarget chooses among the targets of this region, or has their group owner choose. It
+// returns nil if there is none.
 func (q *request) chooseTarget(now time.Time, c pick.Call) *destination {
 	if q.g.o.GroupOwner != nil {
-		if d, ok := q.g.o.GroupOwner.Choose(q.ctx, c, q.call.ID, q.until.Sub(now)); ok {
+		if d, ok := q.g.o.GroupOwner.Choose(q.ctx, c, q.call.ID, q.deadline.Sub(now)); ok {
 			if choice := q.g.o.Pool.PickAt(now, c, d.Target); choice != nil {
 				q.g.o.Metrics.Decided.Inc(1)
 				choice.Source, choice.Cost, choice.Wait, choice.Front, choice.Tokens = d.Source, d.Cost, d.Wait, d.Front, d.Tokens
-				return &destination{choice: choice, decided: d, by: q.g.o.GroupOwner}
+				return &destination{choice: choice, decision: d, owner: q.g.o.GroupOwner}
 			}
 			q.g.o.GroupOwner.ReportEnd(d, pick.Neutral)
 		}
@@ -106,29 +107,29 @@
 	return nil
 }
 
-// choosePeer finds an instance of another region where the request costs less than local;
-// nil for none. A request crosses regions once, and a stream that has begun stays.
+// choosePeer returns an instance of another region where the request costs less than local,
+// in milliseconds; nil for none. A request is forwarded at most once.
 func (q *request) choosePeer(now time.Time, c pick.Call, local float64) *destination {
-	if q.from != nil {
+	if q.forwarded != nil {
 		return nil
 	}
 	offer := place.Region(local, q.offers(now, c))
 	if offer == nil {
 		return nil
 	}
-	address := place.Way(q.g.o.Self, q.peersOf(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
-	return &destination{peer: Peer{Address: address, Region: offer.Region}, wait: offer.Wait()}
+	address := place.Way(q.g.o.Self, q.reachablePeers(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
+	return &destination{peer: Peer{Address: address, Region: offer.Region}, waitMs: offer.Wait()}
 }
 
-// offers are the regions that may serve the request and can be reached: one whose targets
-// are idle and whose instances all leave is no place.
+// offers returns the regions that may serve the request and can be reached. A region without
+// a reachable entry instance is left out, even if its targets are idle.
 func (q *request) offers(now time.Time, c pick.Call) []place.Offer {
 	var out []place.Offer
 	for key, load := range q.view.Regions {
 		if key.Service != q.service || load.Targets == 0 || !q.allows(key.Region) || q.triedRegions[key.Region] {
 			continue
 		}
-		if !q.g.reach.Open(now, key.Region) || len(q.peersOf(now, key.Region)) == 0 {
+		if !q.g.reach.Open(now, key.Region) || len(q.reachablePeers(now, key.Region)) == 0 {
 			continue
 		}
 		out = append(out, place.Offer{
@@ -139,59 +140,59 @@
 	return out
 }
 
-// peersOf are the addresses of a region's entry instances that can be reached as far as is
-// known.
-func (q *request) peersOf(now time.Time, region string) []string {
-	var of []string
+// reachablePeers returns the addresses of a region's entry instances that are not known to
+// be unreachable.
+func (q *request) reachablePeers(now time.Time, region string) []string {
+	var addresses []string
 	for _, p := range q.view.Peers {
-		if p.Region == region && !q.g.avoided(now, p.Address) {
-			of = append(of, p.Address)
+		if p.Region == region && !q.g.isUnreachable(now, p.Address) {
+			addresses = append(addresses, p.Address)
 		}
 	}
-	return of
+	return addresses
 }
 
-// toTarget is the request as a target gets it.
-func (q *request) toTarget(choice *pick.Choice, now time.Time) *rawhttp.Request {
+// targetRequest returns the request as it is sent to a target.
+func (q *request) targetRequest(choice *pick.Choice, now time.Time) *rawhttp.Request {
 	raw := q.raw
 	raw.Header = forwardable(q.r.Header)
 	q.g.o.Dialect.Prepare(raw.Header, Attempt{
-		Timeout: q.until.Sub(now), Target: choice.ID, Rank: q.rank(), QueueByRank: len(q.call.Parts) > 0,
-		LastEventID: q.last, HasLastEventID: q.has, Source: choice.Source, Keyed: q.view.Index.Table.Keyed, Workspace: q.workspaceName(),
+		Timeout: q.deadline.Sub(now), Target: choice.ID, Rank: q.rank(), QueueByRank: len(q.call.Parts) > 0,
+		LastEventID: q.lastEventID, HasLastEventID: q.hasLastEventID, Source: choice.Source, Keyed: q.view.Index.Table.Keyed, Workspace: q.workspaceName(),
 	})
 	return &raw
 }
 
-// toPeer is the request as an instance of another region gets it.
-func (q *request) toPeer(now time.Time) *rawhttp.Request {
+// peerRequest returns the request as it is sent to an instance of another region.
+func (q *request) peerRequest(now time.Time) *rawhttp.Request {
 	raw := q.raw
 	raw.Header = forwardable(q.r.Header)
-	p := passed{
-		From: q.g.o.Region, Version: q.view.Index.Table.Version, Left: q.until.Sub(now) - wideTrip,
-		// One: what the other instance repeats, this one cannot count.
-		Attempts: 1,
+	p := forwardedRequest{
+		SenderRegion: q.g.o.Region, Version: q.view.Index.Table.Version, Timeout: q.deadline.Sub(now) - regionReturnTrip,
+		// Only 1, because this instance cannot count the retries of the other one.
+		MaxRuns: 1,
 	}
 	if q.view.Index.Table.Keyed {
 		q.g.o.Dialect.Conceal(raw.Header)
 		p.Credential = q.call.Credential
 	}
 	p.write(raw.Header)
-	if q.has {
-		raw.Header.Set(headerAfter, strconv.FormatInt(q.last, 10))
+	if q.hasLastEventID {
+		raw.Header.Set(headerLastEventID, strconv.FormatInt(q.lastEventID, 10))
 	}
 	return &raw
 }
 
-// wideTrip is how long an answer takes from another region.
-const wideTrip = 80 * time.Millisecond
+// regionReturnTrip is how long an answer takes from another region.
+const regionReturnTrip = 80 * time.Millisecond
 
-// takeAfter reads from which event on another instance wants a stream.
-func takeAfter(h http.Header) (after int64, ok bool, err error) {
-	text := h.Get(headerAfter)
+// readLastEventID reads the last event id that another instance gives, and removes the header.
+func readLastEventID(h http.Header) (id int64, ok bool, err error) {
+	text := h.Get(headerLastEventID)
 	if text == "" {
 		return 0, false, nil
 	}
-	h.Del(headerAfter)
-	after, err = strconv.ParseInt(text, 10, 64)
-	return after, err == nil, err
+	h.Del(headerLastEventID)
+	id, err = strconv.ParseInt(text, 10, 64)
+	return id, err == nil, err
 }
--- a/pipeline/exchange/exchange_test.go
+++ b/pipeline/exchange/exchange_test.go
@@ -16,8 +16,8 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// sent is how often the targets were sent a request.
-func sent(targets ...*target) int {
+// requestCount returns how many requests the targets have received.
+func requestCount(targets ...*target) int {
 	n := 0
 	for _, x := range targets {
 		n += len(x.requests())
@@ -26,8 +26,8 @@
 }
 
 func TestAnswersAreRelayedUnchanged(t *testing.T) {
-	Convey("a sound target", t, func() {
-		x := newTarget(t, "t1", whole(201, "body"))
+	Convey("a target without faults", t, func() {
+		x := newTarget(t, "t1", respond(201, "body"))
 		r := newRig(t, "r", x)
 		req := r.request("/unsafe/a%2Fb?c=%20d", "question")
 		req.Header.Set("Own", "kept")
@@ -46,9 +46,8 @@
 	})
 }
 
-// Symptom: a booking is made twice, or a caller is told "not run" of one that ran.
-// Events: the first target fails in each way that there is.
-// Cause: a failure after the request was sent was taken for "not run".
+// Guards against running an unsafe request twice, and against telling a caller "not run" for one
+// that ran: a failure after the request was sent must not count as "not run".
 func TestUnsafeRequestsRunAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -56,52 +55,52 @@
 		status int
 		sent   int
 	}{
-		{"turned away", notRun, 200, 2},
+		{"rejected", notRun, 200, 2},
 		{"another target at the address", gone, 200, 2},
-		{"closed without an answer", closes, 502, 1},
-		{"a failure of its own", whole(500, "failed"), 500, 1},
-		{"the answer to another request", raw("HTTP/1.1 200 X\r\nId: other\r\nSigned: yes\r\nContent-Length: 1\r\n\r\nx", true), 502, 1},
-		{"an answer that nobody signed", raw("HTTP/1.1 200 X\r\nId: %ID%\r\nContent-Length: 1\r\n\r\nx", true), 502, 1},
-		{"a success that breaks off", raw("HTTP/1.1 200 X\r\nId: %ID%\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nx", false), 502, 1},
-		{"bytes that are no answer", raw("garbage\r\n\r\n", true), 502, 1},
-		{"an encoded body", raw("HTTP/1.1 200 X\r\nId: %ID%\r\nSigned: yes\r\nContent-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx", true), 502, 1},
+		{"connection closed without an answer", closes, 502, 1},
+		{"a failure by the target itself", respond(500, "failed"), 500, 1},
+		{"the answer to another request", respondRaw("HTTP/1.1 200 X\r\nId: other\r\nSigned: yes\r\nContent-Length: 1\r\n\r\nx", true), 502, 1},
+		{"an unsigned answer", respondRaw("HTTP/1.1 200 X\r\nId: %ID%\r\nContent-Length: 1\r\n\r\nx", true), 502, 1},
+		{"a truncated success", respondRaw("HTTP/1.1 200 X\r\nId: %ID%\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nx", false), 502, 1},
+		{"bytes that are not an answer", respondRaw("garbage\r\n\r\n", true), 502, 1},
+		{"an encoded body", respondRaw("HTTP/1.1 200 X\r\nId: %ID%\r\nSigned: yes\r\nContent-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx", true), 502, 1},
 	} {
 		Convey(c.name, t, func() {
-			// Either target may be the first: both fail once.
-			x, y := newTarget(t, "t1", c.first, whole(200, "done")), newTarget(t, "t2", c.first, whole(200, "done"))
+			// Either target may be tried first: both fail once.
+			x, y := newTarget(t, "t1", c.first, respond(200, "done")), newTarget(t, "t2", c.first, respond(200, "done"))
 			if c.sent == 2 {
-				y.scripts = []script{whole(200, "done")}
+				y.scripts = []script{respond(200, "done")}
 				x.scripts = []script{c.first}
 				y.id = "t2"
 			}
 			r := newRig(t, "r", x, y)
 			got := r.call("/unsafe/x", "book")
-			So(got.torn, ShouldBeFalse)
+			So(got.truncated, ShouldBeFalse)
 			if c.sent == 2 {
-				// The sound one may have been chosen at once.
+				// The good target may have been chosen first.
 				So(got.status, ShouldEqual, 200)
 				So(len(y.requests()), ShouldEqual, 1)
 				return
 			}
 			So(got.status, ShouldEqual, c.status)
-			So(sent(x, y), ShouldEqual, c.sent)
+			So(requestCount(x, y), ShouldEqual, c.sent)
 			So(got.header.Get("Signed") != "", ShouldEqual, c.status == 500)
 		})
 	}
 }
 
-func TestSafeRequestsAreRepeatedWithinTheirAttempts(t *testing.T) {
+func TestSafeRequestsAreRetriedWithinTheirAttempts(t *testing.T) {
 	for name, first := range map[string]script{
 		"closed":       closes,
-		"broke off":    raw("HTTP/1.1 200 X\r\nId: %ID%\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nx", false),
-		"failed":       whole(500, "failed"),
-		"other's":      raw("HTTP/1.1 200 X\r\nId: other\r\nSigned: yes\r\nContent-Length: 1\r\n\r\nx", true),
-		"nothing sent": raw("HTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nx", true),
+		"truncated":    respondRaw("HTTP/1.1 200 X\r\nId: %ID%\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nx", false),
+		"failed":       respond(500, "failed"),
+		"another's":    respondRaw("HTTP/1.1 200 X\r\nId: other\r\nSigned: yes\r\nContent-Length: 1\r\n\r\nx", true),
+		"nothing sent": respondRaw("HTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nx", true),
 	} {
 		Convey("first "+name, t, func() {
-			x, y := newTarget(t, "t1", first, whole(200, "done")), newTarget(t, "t2", whole(200, "done"))
+			x, y := newTarget(t, "t1", first, respond(200, "done")), newTarget(t, "t2", respond(200, "done"))
 			r := newRig(t, "r", x, y)
-			// Repeated so that both have been first.
+			// Several calls, so that each target is tried first.
 			for range 4 {
 				got := r.call("/safe/x", "")
 				So(got.status, ShouldEqual, 200)
@@ -109,35 +108,34 @@
 			}
 		})
 	}
-	Convey("both fail: the last target's own failure is relayed, and no third is asked", t, func() {
-		x, y, z := newTarget(t, "t1", whole(500, "one")), newTarget(t, "t2", whole(500, "one")), newTarget(t, "t3", whole(500, "one"))
+	Convey("both fail: the last target's failure is relayed, and no third target is tried", t, func() {
+		x, y, z := newTarget(t, "t1", respond(500, "one")), newTarget(t, "t2", respond(500, "one")), newTarget(t, "t3", respond(500, "one"))
 		r := newRig(t, "r", x, y, z)
 		got := r.call("/safe/x", "")
 		So(got.status, ShouldEqual, 500)
 		So(got.body, ShouldEqual, "one")
-		So(sent(x, y, z), ShouldEqual, 2)
+		So(requestCount(x, y, z), ShouldEqual, 2)
 	})
 }
 
-// Symptom: a service under failure gets many times its requests.
-// Events: all targets fail all requests.
-// Cause: each request is repeated as its route allows.
-func TestRepeatsKeepTheBudget(t *testing.T) {
+// Guards against retry storms: if all targets fail all requests, retries must stay within the
+// budget, even if the route allows more.
+func TestRetriesStayWithinTheBudget(t *testing.T) {
 	Convey("100 requests whose every answer fails", t, func() {
-		x, y := newTarget(t, "t1", whole(500, "one")), newTarget(t, "t2", whole(500, "one"))
+		x, y := newTarget(t, "t1", respond(500, "one")), newTarget(t, "t2", respond(500, "one"))
 		r := newRig(t, "r", x, y)
 		for range 100 {
 			So(r.call("/safe/x", "").status, ShouldEqual, 500)
 		}
-		// Half of 20 of 100, as each request earns in two spans, and the part of a process that
-		// has just started of an allowance of 100 for six.
-		So(sent(x, y), ShouldBeLessThanOrEqualTo, 100+10+3)
-		So(sent(x, y), ShouldBeGreaterThan, 105)
+		// 20 percent of 100 requests, halved because each request earns in two spans, plus the
+		// share of a process that has just started of an allowance of 100 for six instances.
+		So(requestCount(x, y), ShouldBeLessThanOrEqualTo, 100+10+3)
+		So(requestCount(x, y), ShouldBeGreaterThan, 105)
 	})
 }
 
 func TestRefusals(t *testing.T) {
-	Convey("before a configuration", t, func() {
+	Convey("without a configuration", t, func() {
 		r := newRig(t, "r")
 		r.gateway.SetView(nil)
 		got := r.call("/safe/x", "")
@@ -158,18 +156,18 @@
 		So(do(req).status, ShouldEqual, 400)
 	})
 	Convey("a body over the limit", t, func() {
-		x := newTarget(t, "t1", whole(200, "done"))
+		x := newTarget(t, "t1", respond(200, "done"))
 		r := newRig(t, "r", x)
 		So(r.call("/unsafe/x", strings.Repeat("b", 1001)).status, ShouldEqual, 413)
 		So(r.call("/unsafe/x", strings.Repeat("b", 1000)).status, ShouldEqual, 200)
 		req := r.request("/unsafe/x", strings.Repeat("b", 1001))
 		req.ContentLength = -1
 		So(do(req).status, ShouldEqual, 413)
-		So(sent(x), ShouldEqual, 1)
+		So(requestCount(x), ShouldEqual, 1)
 	})
 	Convey("a target that does not answer within the route's timeout", t, func() {
 		hold := make(chan struct{})
-		x := newTarget(t, "t1", func(net.Conn, seen) bool { <-hold; return false })
+		x := newTarget(t, "t1", func(net.Conn, receivedRequest) bool { <-hold; return false })
 		r := newRig(t, "r", x)
 		got := r.call("/quick/x", "b")
 		close(hold)
@@ -178,13 +176,11 @@
 	})
 }
 
-// Symptom: a request runs that no caller has sent.
-// Events: a body in chunks comes with a length too, and another request hides between
-// the two ends.
-// Cause: what follows the chunks is read as the next request.
+// Guards against request smuggling: a request has both a chunked body and a Content-Length, and
+// the bytes between the two ends must not be read as another request.
 func TestNothingIsReadAfterABodyInChunks(t *testing.T) {
-	Convey("a hidden request", t, func() {
-		x := newTarget(t, "t1", whole(200, "done"))
+	Convey("a smuggled request", t, func() {
+		x := newTarget(t, "t1", respond(200, "done"))
 		r := newRig(t, "r", x)
 		c, err := net.Dial("tcp", r.server.Listener.Addr().String())
 		So(err, ShouldBeNil)
@@ -204,68 +200,67 @@
 
 func TestStreams(t *testing.T) {
 	Convey("a whole stream", t, func() {
-		x := newTarget(t, "t1", events(5, true))
+		x := newTarget(t, "t1", streamEvents(5, true))
 		r := newRig(t, "r", x)
 		got := r.call("/stream/x", "b")
 		So(got.status, ShouldEqual, 200)
-		So(got.torn, ShouldBeFalse)
-		So(got.body, ShouldEqual, pieces(1, 5))
+		So(got.truncated, ShouldBeFalse)
+		So(got.body, ShouldEqual, eventText(1, 5))
 		So(got.header.Get("Signed"), ShouldEqual, "yes")
 	})
-	Convey("a stream that breaks off and may not be resumed does not look complete", t, func() {
-		x, y := newTarget(t, "t1", events(3, false)), newTarget(t, "t2", events(3, false))
+	Convey("a truncated stream that may not be resumed does not look complete", t, func() {
+		x, y := newTarget(t, "t1", streamEvents(3, false)), newTarget(t, "t2", streamEvents(3, false))
 		r := newRig(t, "r", x, y)
 		got := r.call("/stream/x", "b")
-		So(got.torn, ShouldBeTrue)
-		So(got.body, ShouldEqual, pieces(1, 3))
-		So(sent(x, y), ShouldEqual, 1)
+		So(got.truncated, ShouldBeTrue)
+		So(got.body, ShouldEqual, eventText(1, 3))
+		So(requestCount(x, y), ShouldEqual, 1)
 	})
-	Convey("a stream that breaks off and may be resumed goes on, each event once", t, func() {
-		first := inTurn(events(3, false), events(7, true))
+	Convey("a truncated stream that may be resumed continues, with each event once", t, func() {
+		first := sequence(streamEvents(3, false), streamEvents(7, true))
 		x, y := newTarget(t, "t1", first), newTarget(t, "t2", first)
 		got := newRig(t, "r", x, y).call("/resume/x", "b")
-		So(got.torn, ShouldBeFalse)
-		So(sent(x, y), ShouldEqual, 2)
-		So(got.body, ShouldEqual, pieces(1, 7))
+		So(got.truncated, ShouldBeFalse)
+		So(requestCount(x, y), ShouldEqual, 2)
+		So(got.body, ShouldEqual, eventText(1, 7))
 	})
-	Convey("without a target left to go on at it does not look complete", t, func() {
-		x := newTarget(t, "t1", events(3, false))
+	Convey("a truncated stream without another target does not look complete", t, func() {
+		x := newTarget(t, "t1", streamEvents(3, false))
 		got := newRig(t, "r", x).call("/resume/x", "b")
-		So(got.torn, ShouldBeTrue)
-		So(got.body, ShouldEqual, pieces(1, 3))
+		So(got.truncated, ShouldBeTrue)
+		So(got.body, ShouldEqual, eventText(1, 3))
 	})
-	Convey("a target that goes on before the asked event repeats nothing to the caller", t, func() {
-		back := func(c net.Conn, s seen) bool {
+	Convey("a target that resumes before the requested event causes no duplicate events", t, func() {
+		back := func(c net.Conn, s receivedRequest) bool {
 			s.header.Set("After", "1")
-			return events(6, true)(c, s)
+			return streamEvents(6, true)(c, s)
 		}
-		first := inTurn(events(3, false), back)
+		first := sequence(streamEvents(3, false), back)
 		got := newRig(t, "r", newTarget(t, "t1", first), newTarget(t, "t2", first)).call("/resume/x", "b")
-		So(got.torn, ShouldBeFalse)
-		So(got.body, ShouldEqual, pieces(1, 6))
+		So(got.truncated, ShouldBeFalse)
+		So(got.body, ShouldEqual, eventText(1, 6))
 	})
-	Convey("a caller's own resumption is passed on", t, func() {
-		x := newTarget(t, "t1", events(5, true))
+	Convey("a caller's own resumption is forwarded to the target", t, func() {
+		x := newTarget(t, "t1", streamEvents(5, true))
 		r := newRig(t, "r", x)
 		req := r.request("/resume/x", "b")
 		req.Header.Set("After", "3")
-		So(do(req).body, ShouldEqual, pieces(4, 5))
+		So(do(req).body, ShouldEqual, eventText(4, 5))
 	})
-	Convey("a failure in place of a stream is relayed", t, func() {
-		x := newTarget(t, "t1", whole(500, "failed"))
+	Convey("a failure instead of a stream is relayed", t, func() {
+		x := newTarget(t, "t1", respond(500, "failed"))
 		got := newRig(t, "r", x).call("/stream/x", "b")
 		So(got.status, ShouldEqual, 500)
 		So(got.body, ShouldEqual, "failed")
 	})
 }
 
-// Symptom: targets work on requests whose callers have left.
-// Events: a caller closes its connection while the target works.
-// Cause: the connection to the target stays open.
+// Guards against targets that work on requests whose callers have left: when a caller closes its
+// connection, the connection to the target must be closed.
 func TestLeavingCallerIsCancelledAtTheTarget(t *testing.T) {
 	Convey("the caller leaves", t, func() {
 		began := make(chan struct{})
-		x := newTarget(t, "t1", func(c net.Conn, s seen) bool {
+		x := newTarget(t, "t1", func(c net.Conn, s receivedRequest) bool {
 			close(began)
 			_, _ = c.Read(make([]byte, 1))
 			return false
@@ -276,15 +271,15 @@
 		go func() { ended <- do(r.request("/unsafe/x", "b").WithContext(ctx)) }()
 		<-began
 		cancel()
-		So((<-ended).torn, ShouldBeTrue)
-		// The target's read ends: the connection was closed.
-		So(sent(x), ShouldEqual, 1)
+		So((<-ended).truncated, ShouldBeTrue)
+		// The target's read has ended, so its connection was closed.
+		So(requestCount(x), ShouldEqual, 1)
 	})
 }
 
 func TestDrainingAnswersCloseTheirConnections(t *testing.T) {
-	Convey("an instance that leaves", t, func() {
-		x := newTarget(t, "t1", whole(200, "done"))
+	Convey("an instance that is leaving", t, func() {
+		x := newTarget(t, "t1", respond(200, "done"))
 		r := newRig(t, "r", x)
 		r.gateway.Drain()
 		res, err := http.DefaultTransport.RoundTrip(r.request("/safe/x", ""))
@@ -293,9 +288,9 @@
 		So(res.StatusCode, ShouldEqual, 200)
 		So(res.Close, ShouldBeTrue)
 
-		// Symptom: streams are cut off by the end of an instance that was told to
-		// leave seconds before they came. Cause: it took them in.
-		Convey("refuses streams at last, and takes what is short", func() {
+		// Guards against streams that are cut off because an instance accepts them seconds
+		// before it shuts down.
+		Convey("refuses streams after RefuseStreams, but accepts short requests", func() {
 			r.gateway.RefuseStreams(time.Now())
 			got := r.call("/stream/x", "b")
 			So(got.status, ShouldEqual, 503)
@@ -305,82 +300,80 @@
 	})
 }
 
-// crashes notes what the gateway tells.
-type crashes struct {
+// fakePoison records what the gateway reports.
+type fakePoison struct {
 	crashed, answered []string
-	refuse            bool
+	poison            bool
 }
 
-func (c *crashes) IsPoison(*rawhttp.Request) bool { return c.refuse }
+func (c *fakePoison) IsPoison(*rawhttp.Request) bool { return c.poison }
 
-func (c *crashes) ReportCrash(_ *rawhttp.Request, target string) {
+func (c *fakePoison) ReportCrash(_ *rawhttp.Request, target string) {
 	c.crashed = append(c.crashed, target)
 }
 
-func (c *crashes) ReportAnswer(_ *rawhttp.Request, place string) {
+func (c *fakePoison) ReportAnswer(_ *rawhttp.Request, place string) {
 	c.answered = append(c.answered, place)
 }
 
-// Symptom: a request that crashes its targets is sent on and on, or an innocent one is
-// taken for such.
-// Events: a target ends the connection; one fails; one is not there.
-// Cause: all of these were taken alike.
-func TestCrashesAreTold(t *testing.T) {
+// Guards against retrying a poison request without end, and against taking an innocent request
+// for one: only a connection that the target closes before its answer counts as a crash.
+func TestCrashesAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		first script
 		want  int
 	}{
-		"ends the connection": {closes, 1},
-		"fails":               {whole(500, "failed"), 0},
-		"turns away":          {notRun, 0},
-		"breaks off midway":   {raw("HTTP/1.1 200 X\r\nId: %ID%\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nx", false), 0},
+		"ends the connection":  {closes, 1},
+		"fails":                {respond(500, "failed"), 0},
+		"rejects":              {notRun, 0},
+		"truncates its answer": {respondRaw("HTTP/1.1 200 X\r\nId: %ID%\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nx", false), 0},
 	} {
 		Convey("a target that "+name, t, func() {
-			k := &crashes{}
+			k := &fakePoison{}
 			r := newRigWith(t, "r", k, newTarget(t, "t1", c.first))
 			r.call("/unsafe/x", "b")
 			So(len(k.crashed), ShouldEqual, c.want)
 		})
 	}
-	Convey("an answer clears, a refused one is not sent", t, func() {
-		k := &crashes{}
-		x := newTarget(t, "t1", whole(200, "done"))
+	Convey("an answer is reported, and a poison request is not sent", t, func() {
+		k := &fakePoison{}
+		x := newTarget(t, "t1", respond(200, "done"))
 		r := newRigWith(t, "r", k, x)
 		So(r.call("/unsafe/x", "b").status, ShouldEqual, 200)
 		So(k.answered, ShouldResemble, []string{"t1"})
-		k.refuse = true
+		k.poison = true
 		got := r.call("/unsafe/x", "b")
 		So(got.status, ShouldEqual, 503)
 		So(got.header.Get("Retry-After"), ShouldNotEqual, "")
-		So(sent(x), ShouldEqual, 1)
+		So(requestCount(x), ShouldEqual, 1)
 	})
 }
 
-// Symptom: requests that could run elsewhere wait seconds for a target that fell silent.
-// Events: a target has requests under way and falls silent; a new connection to it fails.
-// Cause: only the kernel's timeout ends the open connections.
-func TestRequestsLeaveATargetThatIsOutOfReach(t *testing.T) {
+// Guards against waiting seconds for a target that no longer responds. When a new connection to it
+// fails, requests in flight there that may be retried must move to another target; otherwise only
+// the kernel's timeout ends their connections.
+func TestRequestsLeaveAnUnreachableTarget(t *testing.T) {
 	for path, again := range map[string]bool{"/safe/x": true, "/resume/x": true, "/unsafe/x": false} {
 		Convey(path, t, func() {
 			began, hold := make(chan string, 2), make(chan struct{})
 			silent := func(id string) script {
-				return func(net.Conn, seen) bool { began <- id; <-hold; return false }
+				return func(net.Conn, receivedRequest) bool { began <- id; <-hold; return false }
 			}
-			answers := whole(200, "done")
+			answers := respond(200, "done")
 			if path == "/resume/x" {
-				answers = events(3, true)
+				answers = streamEvents(3, true)
 			}
 			x, y := newTarget(t, "t1", silent("t1"), answers), newTarget(t, "t2", silent("t2"), answers)
 			r := newRig(t, "r", x, y)
 			ended := make(chan reply, 1)
 			go func() { ended <- r.call(path, "b") }()
 			first := <-began
-			// The other one answers the next request.
+			// The other target answers the next request.
 			other := x
 			if first == "t1" {
 				other = y
 			}
-			other.next(seen{})
+			other.next(receivedRequest{})
 			r.pool.PickAt(time.Now(), pick.Call{Service: "s"}, first).Done(time.Now(), pick.Unreachable)
 			if !again {
 				close(hold)
--- a/pipeline/exchange/finish.go
+++ b/pipeline/exchange/finish.go
@@ -12,26 +12,26 @@
 	"github.com/gullhaven/gullhaven/route/place"
 )
 
-// refusal ends a request without a target's answer.
+// refusal is a final answer made by this system, not by a target.
 type refusal struct {
 	status int
 	code   verdict.Code
-	// retry says when to come back; only where the request has not run.
-	retry time.Duration
-	// close has the connection closed: what follows on it cannot be trusted.
+	// retryAfter is when the caller may retry; set only if the request has not run.
+	retryAfter time.Duration
+	// close closes the connection, because what follows on it cannot be trusted.
 	close bool
-	// limit is set where the workspace is over its limit.
-	limit *judged
+	// limit is set if the workspace is over its limit.
+	limit *limitRefusal
 }
 
-// refuse writes a final answer of the system's own. 429 and 503 promise that the
-// request has not run and never will.
+// refuse answers the caller with a refusal. The statuses 429 and 503 guarantee that the request
+// has not run and never will.
 func (q *request) refuse(f *refusal) {
 	h := q.w.Header()
-	if q.from != nil && q.verdict == verdict.NotRun {
+	if q.forwarded != nil && q.verdict == verdict.NotRun {
 		h.Set(headerRefused, string(f.code))
-		if q.arrived() {
-			h.Set(headerArrived, "1")
+		if q.reachedTarget() {
+			h.Set(headerReachedTarget, "1")
 		}
 	}
 	if f.status == http.StatusUnauthorized {
@@ -40,8 +40,8 @@
 	if f.close {
 		h.Set("Connection", "close")
 	}
-	if f.retry > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(f.retry.Seconds(), 'f', 2, 64))
+	if f.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 2, 64))
 	}
 	if q.call.ID != "" {
 		h.Set("X-Request-Id", q.call.ID)
@@ -50,25 +50,25 @@
 	body := string(f.code) + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	q.w.WriteHeader(f.status)
-	// The caller may have left; there is nothing more to tell it.
+	// The caller may have left; then there is nothing more to do.
 	_, _ = q.w.Write([]byte(body))
-	q.count(f)
-	q.tell(f)
+	q.countRefusal(f)
+	q.logRefusal(f)
 }
 
-// tell logs a final answer of the system's own, with what it was judged by.
-func (q *request) tell(f *refusal) {
+// logRefusal logs a refusal with what the decision was based on.
+func (q *request) logRefusal(f *refusal) {
 	more := zap.Skip()
 	if f.limit != nil {
 		more = zap.Object("limit", f.limit)
 	}
 	q.g.o.Log.Info("refused", zap.String("id", q.call.ID), zap.Int("status", f.status), zap.String("code", string(f.code)),
-		zap.Stringer("verdict", q.verdict), zap.Int("sends", q.sends), zap.Duration("after", time.Since(q.began)),
-		zap.String("service", q.service), zap.String("workspace", q.workspaceName()), zap.Bool("passed", q.from != nil), more)
+		zap.Stringer("verdict", q.verdict), zap.Int("sends", q.attemptCount), zap.Duration("after", time.Since(q.acceptedAt)),
+		zap.String("service", q.service), zap.String("workspace", q.workspaceName()), zap.Bool("passed", q.forwarded != nil), more)
 }
 
-// count counts a final answer of the system's own.
-func (q *request) count(f *refusal) {
+// countRefusal counts a refusal by verdict and code.
+func (q *request) countRefusal(f *refusal) {
 	m := q.g.o.Metrics
 	switch {
 	case q.verdict == verdict.Ran:
@@ -77,12 +77,12 @@
 		m.FailedMayHaveRun.Inc(1)
 	default:
 		m.Refused.Inc(1)
-		q.reason(f.code).Inc(1)
+		q.refusalCounter(f.code).Inc(1)
 	}
 }
 
-// reason is the counter of a refusal.
-func (q *request) reason(code verdict.Code) gometrics.Counter {
+// refusalCounter returns the counter of a refusal code.
+func (q *request) refusalCounter(code verdict.Code) gometrics.Counter {
 	m := q.g.o.Metrics
 	switch code {
 	case CodeNoTarget:
@@ -105,24 +105,25 @@
 	return m.RefusedOther
 }
 
-// giveUp gives the final answer when no attempt has ended in one.
+// giveUp ends a request whose attempts gave no final answer. It panics with
+// http.ErrAbortHandler if the caller has left or already has the head of an answer.
 func (q *request) giveUp(code verdict.Code) {
 	switch {
-	case q.begun:
+	case q.headWritten:
 		// The answer must not look complete.
 		q.g.o.Metrics.CutAnswers.Inc(1)
 		q.g.o.Log.Info("broke off", zap.String("id", q.call.ID), zap.String("code", string(code)),
-			zap.Duration("after", time.Since(q.began)), zap.Int("sends", q.sends))
+			zap.Duration("after", time.Since(q.acceptedAt)), zap.Int("sends", q.attemptCount))
 		panic(http.ErrAbortHandler)
 	case q.r.Context().Err() != nil:
 		q.g.o.Metrics.CallersGone.Inc(1)
-		q.g.o.Log.Debug("caller left", zap.String("id", q.call.ID), zap.Duration("after", time.Since(q.began)))
+		q.g.o.Log.Debug("caller left", zap.String("id", q.call.ID), zap.Duration("after", time.Since(q.acceptedAt)))
 		panic(http.ErrAbortHandler)
-	case q.held != nil:
-		q.deliver(q.held)
+	case q.failedAnswer != nil:
+		q.writeAnswer(q.failedAnswer)
 	case q.verdict == verdict.NotRun:
-		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: code, retry: place.Return(place.Busy, time.Until(q.until))})
-	case time.Now().Before(q.until):
+		q.refuse(&refusal{status: http.StatusServiceUnavailable, code: code, retryAfter: place.Return(place.Busy, time.Until(q.deadline))})
+	case time.Now().Before(q.deadline):
 		q.refuse(&refusal{status: http.StatusBadGateway, code: code})
 	default:
 		q.refuse(&refusal{status: http.StatusGatewayTimeout, code: code})
--- a/pipeline/exchange/gateway.go
+++ b/pipeline/exchange/gateway.go
@@ -19,71 +19,77 @@
 
 // Options of a Gateway.
 type Options struct {
-	// Self is the id of this instance.
+	// Self is the id of this instance, and Region its region.
 	Self    string
 	Region  string
 	Dialect Dialect
 	Pool    *pick.Pool
-	// Decider, if set, is asked before Pool.
+	// GroupOwner, if set, is asked before Pool.
 	GroupOwner GroupOwner
-	// Killers, if set, has requests refused that crash their targets.
+	// PoisonRequests, if set, refuses requests that crash their targets.
 	PoisonRequests PoisonRequests
-	// Limits, if set, has requests refused that are beyond their workspace's limit.
+	// Limits, if set, refuses requests that exceed their workspace's limit.
 	Limits Limits
 	// Targets and Peers send to targets and to instances of other regions.
 	Targets, Peers *rawhttp.Client
-	Retries        RetryLimits
-	Rand           *rand.Rand
-	Metrics        *metrics.SiteEntry
-	// Log tells of failures and changes, Ordinary of each request that was answered.
+	// Retries bounds the retries of all instances together.
+	Retries RetryLimits
+	// Rand must not be used elsewhere; the Gateway guards it with a mutex of its own.
+	Rand    *rand.Rand
+	Metrics *metrics.SiteEntry
+	// Log gets failures and changes, AccessLog a line for each answered request.
 	Log, AccessLog *zap.Logger
 }
 
-// Gateway serves requests.
+// Gateway serves the requests of callers and those that other regions forward. It is safe for
+// concurrent use.
 type Gateway struct {
 	o    Options
 	view atomic.Pointer[View]
-	// begun is closed at the first view.
-	begun     chan struct{}
-	beginOnce sync.Once
-	// startWait is place.StartWait but in tests.
+	// viewSet is closed when the first view is set.
+	viewSet     chan struct{}
+	viewSetOnce sync.Once
+	// startWait is place.StartWait, except in tests.
 	startWait time.Duration
 	draining  atomic.Bool
-	// ends is when this instance ends, by the steady clock; nil while it takes all.
-	ends     atomic.Pointer[time.Time]
+	// endsAt is when this instance will shut down, by the monotonic clock; nil while it
+	// accepts all requests.
+	endsAt   atomic.Pointer[time.Time]
 	inFlight atomic.Int64
 
-	// avoid holds until when each peer that could not be reached is left out.
-	avoid sync.Map
-	// refusing holds until when each service of a region is left out that has refused, and
-	// leaveOut for how long: place.RefusedFor but in tests.
-	refusing sync.Map
-	leaveOut time.Duration
-	// trips are those to other regions, and reach which of them can be reached.
+	// unreachableUntil holds, by peer address, until when a peer that could not be reached
+	// is skipped.
+	unreachableUntil sync.Map
+	// refusedUntil holds until when a region counts as having refused, by RegionService.
+	// refusalPause is for how long: place.RefusedFor, except in tests.
+	refusedUntil sync.Map
+	refusalPause time.Duration
+	// trips estimates the round trips to other regions; reach tracks which can be reached.
 	trips place.Trips
 	reach place.Reach
-	// asked counts the requests of each route by name.
-	asked sync.Map
+	// routeRequests counts requests by route name.
+	routeRequests sync.Map
 
-	repeats *repeats
+	retries *retryBudget
 
 	mu sync.Mutex // guards o.Rand
 }
 
-// New makes a Gateway that refuses all until it has a view.
+// New returns a Gateway that refuses all requests until SetView is called.
 func New(o Options) *Gateway {
 	return &Gateway{
-		o: o, begun: make(chan struct{}), startWait: place.StartWait, leaveOut: place.RefusedFor, repeats: newRepeats(o.Retries, time.Now()),
+		o: o, viewSet: make(chan struct{}), startWait: place.StartWait, refusalPause: place.RefusedFor, retries: newRetryBudget(o.Retries, time.Now()),
 	}
 }
 
 // SetView replaces the view.
 func (g *Gateway) SetView(v *View) {
 	g.view.Store(v)
-	g.beginOnce.Do(func() { close(g.begun) })
+	g.viewSetOnce.Do(func() { close(g.viewSet) })
 }
 
-// firstView is the view, which a request waits for at a start; nil if it does not come soon.
+// firstView returns the view. After a start it waits up to startWait for the first one, and
+// returns nil if there is none by then.
 func (g *Gateway) firstView(ctx context.Context) *View {
 	if v := g.View(); v != nil {
 		return v
@@ -91,98 +97,99 @@
 	timer := time.NewTimer(g.startWait)
 	defer timer.Stop()
 	select {
-	case <-g.begun:
+	case <-g.viewSet:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return g.View()
 }
 
-// View returns the view; nil before the first.
+// View returns the current view; nil before the first SetView.
 func (g *Gateway) View() *View { return g.view.Load() }
 
-// Drain has each further answer close its connection.
+// Drain closes the connection after each further answer.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// RefuseStreams has each further stream refused that may last beyond the end of this
-// instance. Callers are told to come back at once, to another instance.
-func (g *Gateway) RefuseStreams(end time.Time) { g.ends.Store(&end) }
+// RefuseStreams refuses each further stream that may last beyond end, when this instance
+// shuts down. Callers are told to retry at once, at another instance.
+func (g *Gateway) RefuseStreams(end time.Time) { g.endsAt.Store(&end) }
 
 // RefusesStreams reports whether RefuseStreams was called.
-func (g *Gateway) RefusesStreams() bool { return g.ends.Load() != nil }
+func (g *Gateway) RefusesStreams() bool { return g.endsAt.Load() != nil }
 
-// cutsOff reports whether the end of this instance may cut a request off.
-func (g *Gateway) cutsOff(q *request) bool {
-	ends := g.ends.Load()
+// mayCutOff reports whether the shutdown of this instance may cut off the request.
+func (g *Gateway) mayCutOff(q *request) bool {
+	ends := g.endsAt.Load()
 	if ends == nil || q.route.Kind != routes.Stream {
 		return false
 	}
-	return ends.Sub(q.began) < q.route.Timeout
+	return ends.Sub(q.acceptedAt) < q.route.Timeout
 }
 
 // InFlight is the number of requests in progress.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// RouteWeight is how much a route is used: 1 and the number of its requests here. Routes
-// that only stand in the configuration weigh little.
+// RouteWeight is 1 plus the number of requests of a route at this instance, so routes that
+// are configured but unused weigh little.
 func (g *Gateway) RouteWeight(route string) int {
-	if n, ok := g.asked.Load(route); ok {
+	if n, ok := g.routeRequests.Load(route); ok {
 		return 1 + int(n.(*atomic.Int64).Load())
 	}
 	return 1
 }
 
 func (g *Gateway) countRoute(route string) {
-	n, ok := g.asked.Load(route)
+	n, ok := g.routeRequests.Load(route)
 	if !ok {
-		n, _ = g.asked.LoadOrStore(route, &atomic.Int64{})
+		n, _ = g.routeRequests.LoadOrStore(route, &atomic.Int64{})
 	}
 	n.(*atomic.Int64).Add(1)
 }
 
-// avoidPeer is how long an instance of another region that could not be reached is left
-// out: about until the core instances know that it is gone. Without it each request that
-// has to cross waits for a connection to it.
-const avoidPeer = 2500 * time.Millisecond
+// unreachablePause is how long a peer that could not be reached is skipped: about as long as
+// the core instances take to detect that it is gone. Without it, each request forwarded to
+// that region waits for a connection to the peer.
+const unreachablePause = 2500 * time.Millisecond
 
-func (g *Gateway) avoided(now time.Time, address string) bool {
-	until, ok := g.avoid.Load(address)
+func (g *Gateway) isUnreachable(now time.Time, address string) bool {
+	until, ok := g.unreachableUntil.Load(address)
 	return ok && now.Before(until.(time.Time))
 }
 
-func (g *Gateway) unreachable(now time.Time, address string) {
-	g.avoid.Store(address, now.Add(avoidPeer))
+func (g *Gateway) markUnreachable(now time.Time, address string) {
+	g.unreachableUntil.Store(address, now.Add(unreachablePause))
 }
 
-// refused notes that a region has turned a request for a service away.
-func (g *Gateway) refused(now time.Time, by RegionService) {
-	g.refusing.Store(by, now.Add(g.leaveOut))
+// recordRefusal records that a region has refused a request for a service.
+func (g *Gateway) recordRefusal(now time.Time, by RegionService) {
+	g.refusedUntil.Store(by, now.Add(g.refusalPause))
 }
 
-// hasRefused reports whether a region has turned away a request for a service lately.
+// hasRefused reports whether a region has recently refused a request for a service.
 func (g *Gateway) hasRefused(now time.Time, by RegionService) bool {
-	until, ok := g.refusing.Load(by)
+	until, ok := g.refusedUntil.Load(by)
 	return ok && now.Before(until.(time.Time))
 }
 
-// uniform draws a number.
+// uniform returns a uniformly distributed random number.
 func (g *Gateway) uniform() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.o.Rand.Uint64()
 }
 
-// ServeHTTP serves a caller.
+// ServeHTTP serves a caller's request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.o.Metrics.Requests.Inc(1)
 	g.serve(w, r, nil)
 }
 
-// PassedOn serves requests of entry instances of other regions.
+// ForwardedHandler returns the handler of requests that entry instances of other regions
+// forward. It must not be reachable by callers.
 func (g *Gateway) ForwardedHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.o.Metrics.PassedOn.Inc(1)
-		p, err := readPassed(r.Header)
+		p, err := readForwarded(r.Header)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
--- a/pipeline/exchange/headers.go
+++ b/pipeline/exchange/headers.go
@@ -6,13 +6,13 @@
 	"github.com/gullhaven/gullhaven/pipeline/endtoend"
 )
 
-// framing are headers that whoever sends a message on sets anew or settles by itself.
-var framing = [...]string{"Content-Length", "Expect", "Host"}
+// framingHeaders are the headers that each hop sets or handles itself.
+var framingHeaders = [...]string{"Content-Length", "Expect", "Host"}
 
-// forwardable copies the headers that are passed on as they came. Values are shared.
+// forwardable copies the end-to-end headers of h. The copy shares the values.
 func forwardable(h http.Header) http.Header {
 	out := endtoend.Copy(h)
-	for _, name := range framing {
+	for _, name := range framingHeaders {
 		delete(out, name)
 	}
 	return out
--- a/pipeline/exchange/identify.go
+++ b/pipeline/exchange/identify.go
@@ -8,7 +8,7 @@
 
 // identify finds the caller's workspace by its key, before the body is read.
 func (q *request) identify() *refusal {
-	w, ok := q.holder(q.view)
+	w, ok := q.lookupWorkspace(q.view)
 	if !ok {
 		return refuseKey()
 	}
@@ -19,15 +19,15 @@
 	return nil
 }
 
-// holder is the workspace that holds the caller's key in a view; nil for a caller that needs
-// none. false says that the key is missing or unknown.
-func (q *request) holder(v *View) (*routes.Workspace, bool) {
+// lookupWorkspace returns the workspace that holds the caller's key in view v; nil for a caller
+// that needs no key. It returns false if the key is missing or unknown.
+func (q *request) lookupWorkspace(v *View) (*routes.Workspace, bool) {
 	if !v.Index.Table.Keyed {
 		return nil, true
 	}
 	c := q.call.Credential
-	if q.from != nil {
-		c = q.from.Credential
+	if q.forwarded != nil {
+		c = q.forwarded.Credential
 	}
 	if !c.Present {
 		return nil, q.route.Open
@@ -36,13 +36,13 @@
 	return w, w != nil
 }
 
-// revoked reports whether the caller's key was taken away while the request waited.
+// revoked reports whether the caller's key was revoked since the request was accepted.
 func (q *request) revoked() bool {
 	v := q.g.View()
 	if v == q.view {
 		return false
 	}
-	_, ok := q.holder(v)
+	_, ok := q.lookupWorkspace(v)
 	return !ok
 }
 
@@ -53,7 +53,7 @@
 	return q.route.Allows(region) && q.workspace.Allows(region)
 }
 
-// rank is that of the request among others.
+// rank returns the priority of the request; 0 is the highest.
 func (q *request) rank() int { return q.workspace.Rank(q.route) }
 
 // workspaceName is empty for a caller without a workspace.
--- a/pipeline/exchange/limits.go
+++ b/pipeline/exchange/limits.go
@@ -9,14 +9,14 @@
 	"github.com/gullhaven/gullhaven/route/place"
 )
 
-// judged is what a request beyond its workspace's limit was judged by.
-type judged struct {
+// limitRefusal is the decision that refused a request, with the units that it needed.
+type limitRefusal struct {
 	LimitDecision
 	units float64
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (j *judged) MarshalLogObject(e zapcore.ObjectEncoder) error {
+func (j *limitRefusal) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	e.AddFloat64("units", j.units)
 	e.AddFloat64("rate", j.Rate)
 	e.AddBool("leased", j.Leased)
@@ -26,25 +26,25 @@
 	return nil
 }
 
-// takeLimit takes the request's part of its workspace's limit. One that was passed on took it
-// where it came in.
-func (q *request) takeLimit() *refusal {
+// consumeLimit consumes the request's units of its workspace's limit. A forwarded request has
+// consumed them at the instance that received it from the caller.
+func (q *request) consumeLimit() *refusal {
 	w, limits := q.workspace, q.g.o.Limits
-	if limits == nil || w == nil || w.Limit.Rate <= 0 || q.from != nil {
+	if limits == nil || w == nil || w.Limit.Rate <= 0 || q.forwarded != nil {
 		return nil
 	}
 	units := w.Limit.Cost(q.call.PromptTokens, q.call.OutputTokens, q.call.HasTokenCounts)
 	a := limits.Consume(q.ctx, w, units)
 	if a.Allowed {
-		q.units, q.limit = units, a
+		q.limitUnits, q.limitDecision = units, a
 		return nil
 	}
-	return &refusal{status: http.StatusTooManyRequests, code: CodeOverLimit, retry: place.ReturnAfter(a.RetryAfter), limit: &judged{LimitDecision: a, units: units}}
+	return &refusal{status: http.StatusTooManyRequests, code: CodeOverLimit, retryAfter: place.ReturnAfter(a.RetryAfter), limit: &limitRefusal{LimitDecision: a, units: units}}
 }
 
-// settleLimit gives back what a request took that has not run.
-func (q *request) settleLimit() {
-	if q.units > 0 && q.verdict == verdict.NotRun {
-		q.g.o.Limits.Refund(q.workspace, q.units, q.limit)
+// refundLimit refunds the units of a request that has not run.
+func (q *request) refundLimit() {
+	if q.limitUnits > 0 && q.verdict == verdict.NotRun {
+		q.g.o.Limits.Refund(q.workspace, q.limitUnits, q.limitDecision)
 	}
 }
--- a/pipeline/exchange/limits_test.go
+++ b/pipeline/exchange/limits_test.go
@@ -13,103 +13,104 @@
 	"github.com/gullhaven/gullhaven/pipeline/exchange"
 )
 
-// counted is a limit of so many units, none of which come again.
-type counted struct {
-	mu         sync.Mutex
-	left, back float64
+// fakeLimits allows a fixed number of units, which are not replenished.
+type fakeLimits struct {
+	mu                  sync.Mutex
+	remaining, refunded float64
 }
 
-func (c *counted) Consume(_ context.Context, _ *routes.Workspace, units float64) exchange.LimitDecision {
+func (c *fakeLimits) Consume(_ context.Context, _ *routes.Workspace, units float64) exchange.LimitDecision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if units > c.left {
+	if units > c.remaining {
 		return exchange.LimitDecision{RetryAfter: 1500 * time.Millisecond}
 	}
-	c.left -= units
+	c.remaining -= units
 	return exchange.LimitDecision{Allowed: true}
 }
 
-func (c *counted) Refund(_ *routes.Workspace, units float64, _ exchange.LimitDecision) {
+func (c *fakeLimits) Refund(_ *routes.Workspace, units float64, _ exchange.LimitDecision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left += units
-	c.back += units
+	c.remaining += units
+	c.refunded += units
 }
 
-// limited is a rig whose only workspace may ask for so many requests.
-func limited(t *testing.T, units float64, targets ...*target) (*rig, *counted) {
+// newLimitedRig returns a rig with workspace a, which has a limit of so many units, and workspace
+// free, which has none.
+func newLimitedRig(t *testing.T, units float64, targets ...*target) (*rig, *fakeLimits) {
 	r := newRig(t, "r", targets...)
-	c := &counted{left: units}
+	c := &fakeLimits{remaining: units}
 	r.options.Limits = c
-	r.renew()
+	r.rebuild()
 	w := workspace("a", "key-a")
 	w.Limit = routes.UseLimit{Rate: 1, Burst: 1}
-	r.keyed(w, workspace("free", "key-free"))
+	r.setWorkspaces(w, workspace("free", "key-free"))
 	return r, c
 }
 
-// Guards against requests beyond a workspace's limit at targets, and against refusals of
-// workspaces that have none.
-func TestWorkspaceOverItsLimitIsTurnedAway(t *testing.T) {
+// Guards against sending requests that exceed a workspace's limit, and against refusing workspaces
+// without a limit.
+func TestWorkspaceOverItsLimitIsRefused(t *testing.T) {
 	Convey("two requests are allowed", t, func() {
-		x := newTarget(t, "t1", whole(200, "done"))
-		r, _ := limited(t, 2, x)
-		So(r.as("key-a", "/safe/x").status, ShouldEqual, 200)
-		So(r.as("key-a", "/safe/x").status, ShouldEqual, 200)
-		got := r.as("key-a", "/safe/x")
+		x := newTarget(t, "t1", respond(200, "done"))
+		r, _ := newLimitedRig(t, 2, x)
+		So(r.callWithKey("key-a", "/safe/x").status, ShouldEqual, 200)
+		So(r.callWithKey("key-a", "/safe/x").status, ShouldEqual, 200)
+		got := r.callWithKey("key-a", "/safe/x")
 		So(got.status, ShouldEqual, http.StatusTooManyRequests)
 		So(got.body, ShouldEqual, string(exchange.CodeOverLimit)+"\n")
 		So(got.header.Get("Retry-After"), ShouldEqual, "1.50")
-		So(r.as("key-free", "/safe/x").status, ShouldEqual, 200)
-		So(sent(x), ShouldEqual, 3)
+		So(r.callWithKey("key-free", "/safe/x").status, ShouldEqual, 200)
+		So(requestCount(x), ShouldEqual, 3)
 	})
 }
 
-// Guards against units lost for requests that have not run, and given back for those that
-// have, or may have.
-func TestWhatNeverRanIsGivenBack(t *testing.T) {
+// Guards against losing the units of requests that have not run, and against refunding the units of
+// requests that have run or may have run.
+func TestUnitsOfRequestsThatNeverRanAreRefunded(t *testing.T) {
 	for name, row := range map[string]struct {
 		script script
 		back   float64
 	}{
-		"answered":            {whole(200, "done"), 0},
-		"turned away":         {notRun, 1},
-		"lost":                {closes, 0},
-		"failed at a target":  {whole(500, "failed"), 0},
-		"an answer of others": {raw("HTTP/1.1 200 X\r\nId: other\r\nSigned: yes\r\nContent-Length: 1\r\n\r\nx", true), 0},
+		"answered":           {respond(200, "done"), 0},
+		"rejected":           {notRun, 1},
+		"lost":               {closes, 0},
+		"failed at a target": {respond(500, "failed"), 0},
+		"another's answer":   {respondRaw("HTTP/1.1 200 X\r\nId: other\r\nSigned: yes\r\nContent-Length: 1\r\n\r\nx", true), 0},
 	} {
 		Convey(name, t, func() {
-			r, c := limited(t, 5, newTarget(t, "t1", row.script))
-			r.as("key-a", "/unsafe/x")
-			So(c.back, ShouldEqual, row.back)
+			r, c := newLimitedRig(t, 5, newTarget(t, "t1", row.script))
+			r.callWithKey("key-a", "/unsafe/x")
+			So(c.refunded, ShouldEqual, row.back)
 		})
 	}
 	Convey("no target", t, func() {
-		r, c := limited(t, 5)
-		So(r.as("key-a", "/safe/x").status, ShouldEqual, 503)
-		So(c.back, ShouldEqual, 1)
+		r, c := newLimitedRig(t, 5)
+		So(r.callWithKey("key-a", "/safe/x").status, ShouldEqual, 503)
+		So(c.refunded, ShouldEqual, 1)
 	})
 }
 
-// Guards against a request that is counted in two regions.
-func TestRequestsPassedOnAreCountedOnce(t *testing.T) {
+// Guards against counting a forwarded request against the limit in both regions.
+func TestForwardedRequestsAreCountedOnce(t *testing.T) {
 	Convey("served by the other region", t, func() {
-		a, b := pair(t, nil, []*target{newTarget(t, "far", whole(200, "far"))})
-		here, there := &counted{left: 9}, &counted{left: 9}
+		a, b := newRegionPair(t, nil, []*target{newTarget(t, "far", respond(200, "far"))})
+		here, there := &fakeLimits{remaining: 9}, &fakeLimits{remaining: 9}
 		w := workspace("a", "key-a")
 		w.Limit = routes.UseLimit{Rate: 1, Burst: 1}
 		view := a.gateway.View()
-		for r, c := range map[*rig]*counted{a: here, b: there} {
+		for r, c := range map[*rig]*fakeLimits{a: here, b: there} {
 			r.options.Limits = c
-			r.renew()
-			r.keyed(w)
+			r.rebuild()
+			r.setWorkspaces(w)
 		}
 		next := *view
 		next.Index = a.gateway.View().Index
 		a.gateway.SetView(&next)
 		b.peers.Config.Handler = b.gateway.ForwardedHandler()
-		So(a.as("key-a", "/safe/x").body, ShouldEqual, "far")
-		So(here.left, ShouldEqual, 8)
-		So(there.left, ShouldEqual, 9)
+		So(a.callWithKey("key-a", "/safe/x").body, ShouldEqual, "far")
+		So(here.remaining, ShouldEqual, 8)
+		So(there.remaining, ShouldEqual, 9)
 	})
 }
--- a/pipeline/exchange/relay.go
+++ b/pipeline/exchange/relay.go
@@ -18,45 +18,45 @@
 )
 
 const (
-	// eventBuffer is the size of the buffer that events are read into, in bytes:
-	// several events, whose common size is under 100 bytes.
-	eventBuffer = 2 << 10
-	// maxEvent bounds one event in bytes.
-	maxEvent = 256 << 10
-	// silentStream is how long a stream that may be resumed may pause before it goes
-	// on at another target: well over the pauses of a loaded engine, and under the
-	// 2 s after which callers leave.
-	silentStream = 1500 * time.Millisecond
+	// eventBufferBytes is the size of the read buffer. It holds several events, which are
+	// usually under 100 bytes.
+	eventBufferBytes = 2 << 10
+	// maxEventBytes bounds one event.
+	maxEventBytes = 256 << 10
+	// streamIdleTimeout is how long a resumable stream may pause before it is resumed at
+	// another target: well over the pauses of a loaded engine, and under the 2 s after
+	// which callers leave.
+	streamIdleTimeout = 1500 * time.Millisecond
 )
 
-// errTorn: a stream ended in the middle of an event.
-var errTorn = errors.New("stream ended in the middle of an event")
+// errTruncated is returned for a stream that ends in the middle of an event.
+var errTruncated = errors.New("stream ended in the middle of an event")
 
-// events reads whole events.
-type events struct {
+// eventReader reads whole events from an event stream.
+type eventReader struct {
 	r   *bufio.Reader
 	buf []byte
 }
 
-var eventReaders = sync.Pool{New: func() any { return &events{r: bufio.NewReaderSize(nil, eventBuffer)} }}
+var eventReaderPool = sync.Pool{New: func() any { return &eventReader{r: bufio.NewReaderSize(nil, eventBufferBytes)} }}
 
-// next returns the next event with its blank line, valid until the next call. io.EOF
-// says that the stream has ended after a whole event.
-func (e *events) next() ([]byte, error) {
+// next returns the next event with its terminating blank line; it is valid until the next call.
+// The error is io.EOF if the stream ended after a whole event.
+func (e *eventReader) next() ([]byte, error) {
 	e.buf = e.buf[:0]
 	for {
 		line, err := e.r.ReadSlice('\n')
 		e.buf = append(e.buf, line...)
 		switch {
-		case err == bufio.ErrBufferFull && len(e.buf) <= maxEvent:
+		case err == bufio.ErrBufferFull && len(e.buf) <= maxEventBytes:
 			continue
 		case err == io.EOF && len(bytes.TrimSpace(e.buf)) == 0:
 			return nil, io.EOF
 		case err == io.EOF:
-			return nil, errTorn
+			return nil, errTruncated
 		case err != nil:
 			return nil, err
-		case len(e.buf) > maxEvent:
+		case len(e.buf) > maxEventBytes:
 			return nil, bufio.ErrTooLong
 		case blank(line) && len(e.buf) > len(line):
 			return e.buf, nil
@@ -66,13 +66,13 @@
 
 func blank(line []byte) bool { return len(line) <= 2 && len(bytes.TrimRight(line, "\r\n")) == 0 }
 
-// more reports whether a whole event is at hand without waiting.
-func (e *events) more() bool {
+// buffered reports whether a whole event can be read without waiting.
+func (e *eventReader) buffered() bool {
 	ahead, _ := e.r.Peek(e.r.Buffered())
 	return bytes.Contains(ahead, []byte("\n\n")) || bytes.Contains(ahead, []byte("\n\r\n"))
 }
 
-// eventID returns the id of an event.
+// eventID returns the id of an event, and false if there is none or it is malformed.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
@@ -85,113 +85,114 @@
 	return 0, false
 }
 
-// compareWait counts how long the first event was expected to take and has taken.
-func (q *request) compareWait(now time.Time) {
-	if q.wait > 0 && q.call.PromptTokens > 0 {
-		q.g.o.Metrics.WaitRatio.Update(float64(now.Sub(q.sentAt).Milliseconds()) / q.wait)
+// recordWaitRatio records the ratio of actual to expected time to the first event.
+func (q *request) recordWaitRatio(now time.Time) {
+	if q.expectedWaitMs > 0 && q.call.PromptTokens > 0 {
+		q.g.o.Metrics.WaitRatio.Update(float64(now.Sub(q.sentAt).Milliseconds()) / q.expectedWaitMs)
 	}
 }
 
-// takeStream relays the events of an answer.
-func (q *request) takeStream(a *rawhttp.Answer, p *destination) (bool, pick.Result) {
-	e := eventReaders.Get().(*events)
+// relayStream relays an event stream and reports whether it reached its end. p is nil for an
+// answer of another instance.
+func (q *request) relayStream(a *rawhttp.Answer, p *destination) (bool, pick.Result) {
+	e := eventReaderPool.Get().(*eventReader)
 	e.r.Reset(a.Body)
 	defer func() {
 		e.r.Reset(nil)
-		eventReaders.Put(e)
+		eventReaderPool.Put(e)
 	}()
 	first := true
-	began := time.Now()
+	lastEventAt := time.Now()
 	for {
 		if q.route.Resumable && !first {
-			a.Within(silentStream)
+			a.Within(streamIdleTimeout)
 		}
 		event, err := e.next()
 		now := time.Now()
 		if !first {
-			q.paused(now.Sub(began))
+			q.recordGap(now.Sub(lastEventAt))
 		}
-		began = now
-		if err == io.EOF && first && !q.begun {
-			// A stream without events: the header is all there is to relay.
-			q.beginStream(a)
+		lastEventAt = now
+		if err == io.EOF && first && !q.headWritten {
+			// The stream has no events, so only the head is relayed.
+			q.writeHead(a)
 		}
 		if err == io.EOF {
 			a.Close(true)
-			q.ran(verdict.Ran)
+			q.recordRun(verdict.Ran)
 			return true, pick.Good
 		}
 		if err != nil {
-			return false, q.broken(a, err)
+			return false, q.streamBroken(a, err)
 		}
 		if first && p != nil {
-			p.began(now)
-			q.compareWait(now)
+			p.reportFirstEvent(now)
+			q.recordWaitRatio(now)
 		}
 		first = false
-		if !q.relay(a, e, event) {
+		if !q.relayEvent(a, e, event) {
 			a.Close(false)
-			q.ran(verdict.Ran)
+			q.recordRun(verdict.Ran)
 			return false, pick.Neutral
 		}
 	}
 }
 
-// paused notes the time between two events.
-func (q *request) paused(gap time.Duration) {
-	q.pause = max(q.pause, gap)
+// recordGap records the time between two events.
+func (q *request) recordGap(gap time.Duration) {
+	q.longestGap = max(q.longestGap, gap)
 	q.g.o.Metrics.GapTime.Update(gap)
 }
 
-// broken takes in a stream that ended early.
-func (q *request) broken(a *rawhttp.Answer, err error) pick.Result {
+// streamBroken records a stream that ended early and returns the result for the target.
+func (q *request) streamBroken(a *rawhttp.Answer, err error) pick.Result {
 	a.Close(false)
-	q.ran(verdict.MayHaveRun)
+	q.recordRun(verdict.MayHaveRun)
 	if q.ctx.Err() != nil {
 		return pick.Neutral
 	}
-	if q.begun {
+	if q.headWritten {
 		q.g.o.Metrics.Resumes.Inc(1)
 	}
-	q.g.o.Log.Info("stream broken", zap.String("id", q.call.ID), zap.Int64("last", q.last), zap.Error(err),
-		zap.Bool("resumable", q.route.Resumable), zap.Duration("after", time.Since(q.began)))
+	q.g.o.Log.Info("stream broken", zap.String("id", q.call.ID), zap.Int64("last", q.lastEventID), zap.Error(err),
+		zap.Bool("resumable", q.route.Resumable), zap.Duration("after", time.Since(q.acceptedAt)))
 	return pick.Lost
 }
 
-// relay writes one event and reports whether the caller still reads. Events that the
-// caller has already are dropped: a target may go on a little before the one asked.
-func (q *request) relay(a *rawhttp.Answer, e *events, event []byte) bool {
+// relayEvent writes one event and reports whether the caller still reads. It drops events that
+// the caller already has, as a target may resume a little before the requested event.
+func (q *request) relayEvent(a *rawhttp.Answer, e *eventReader, event []byte) bool {
 	if id, ok := eventID(event); ok {
-		if q.has && id <= q.last {
+		if q.hasLastEventID && id <= q.lastEventID {
 			return true
 		}
-		q.last, q.has = id, true
+		q.lastEventID, q.hasLastEventID = id, true
 	}
-	if !q.begun {
-		q.beginStream(a)
+	if !q.headWritten {
+		q.writeHead(a)
 	}
 	if _, err := q.w.Write(event); err != nil {
 		return false
 	}
-	if e.more() {
+	if e.buffered() {
 		return true
 	}
 	return http.NewResponseController(q.w).Flush() == nil
 }
 
-// beginStream writes the head of the first target's answer. It stays the head of the
-// whole answer, also where another target goes on.
-func (q *request) beginStream(a *rawhttp.Answer) {
+// writeHead writes the head of the first target's answer. It remains the head of the whole
+// answer, even if the stream is resumed at another target.
+func (q *request) writeHead(a *rawhttp.Answer) {
 	copyAnswerHeaders(q.w.Header(), a.Header)
-	q.tellTook(q.w.Header())
+	q.setTook(q.w.Header())
 	q.w.WriteHeader(a.StatusCode)
-	q.begun, q.first = true, time.Now()
+	q.headWritten, q.firstByteAt = true, time.Now()
 }
 
-// tellTook tells an instance of another region how long the answer took to begin here.
-func (q *request) tellTook(h http.Header) {
-	if q.from != nil {
-		h.Set(headerTook, strconv.FormatInt(time.Since(q.began).Milliseconds(), 10))
+// setTook sets headerTook on the answer to a forwarded request.
+func (q *request) setTook(h http.Header) {
+	if q.forwarded != nil {
+		h.Set(headerTook, strconv.FormatInt(time.Since(q.acceptedAt).Milliseconds(), 10))
 	}
 }
 
@@ -200,7 +201,7 @@
 		to[name] = values
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		// Else the server would guess one from the body.
+		// Otherwise the server would guess a type from the body.
 		to["Content-Type"] = nil
 	}
 }
--- a/pipeline/exchange/rig_test.go
+++ b/pipeline/exchange/rig_test.go
@@ -24,10 +24,10 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// plain is a dialect with short names.
-type plain struct{}
+// testDialect is a dialect with short header names.
+type testDialect struct{}
 
-func (plain) Call(h http.Header) (exchange.Call, error) {
+func (testDialect) Call(h http.Header) (exchange.Call, error) {
 	c := exchange.Call{ID: h.Get("Id")}
 	if c.ID == "" {
 		return c, fmt.Errorf("no id")
@@ -49,12 +49,12 @@
 	return c, nil
 }
 
-func (plain) Conceal(h http.Header) {
+func (testDialect) Conceal(h http.Header) {
 	h.Del("Key")
 	h.Del("Workspace")
 }
 
-func (p plain) Prepare(h http.Header, s exchange.Attempt) {
+func (p testDialect) Prepare(h http.Header, s exchange.Attempt) {
 	if s.Keyed {
 		p.Conceal(h)
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-func (plain) Reply(status int, h http.Header) exchange.Reply {
+func (testDialect) Reply(status int, h http.Header) exchange.Reply {
 	r := exchange.Reply{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "", Gone: status == 421}
 	if perSecond, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
 		r.Limit = pick.NamedLimit{Limited: true, PerSecond: perSecond}
@@ -77,24 +77,24 @@
 	return r
 }
 
-// seen is a request as a target got it.
-type seen struct {
+// receivedRequest is a request as received by a target.
+type receivedRequest struct {
 	method, uri, body string
 	header            http.Header
 }
 
-// target answers each request with the next of its scripts, the last one again and
-// again. A script writes raw bytes and says whether the connection stays.
+// target is a server that answers each request with the next of its scripts, and repeats the last
+// one. A script writes raw bytes and reports whether the connection stays open.
 type target struct {
 	id, addr string
 	mu       sync.Mutex
 	scripts  []script
-	got      []seen
-	// ended counts connections that the other end has closed.
+	received []receivedRequest
+	// ended receives a value for each connection that the other end has closed.
 	ended chan struct{}
 }
 
-type script func(c net.Conn, r seen) bool
+type script func(c net.Conn, r receivedRequest) bool
 
 func newTarget(t testing.TB, id string, scripts ...script) *target {
 	t.Helper()
@@ -129,17 +129,17 @@
 		if err != nil {
 			return
 		}
-		s := seen{r.Method, r.RequestURI, string(body), r.Header}
+		s := receivedRequest{r.Method, r.RequestURI, string(body), r.Header}
 		if !x.next(s)(c, s) {
 			return
 		}
 	}
 }
 
-func (x *target) next(s seen) script {
+func (x *target) next(s receivedRequest) script {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.got = append(x.got, s)
+	x.received = append(x.received, s)
 	f := x.scripts[0]
 	if len(x.scripts) > 1 {
 		x.scripts = x.scripts[1:]
@@ -147,58 +147,58 @@
 	return f
 }
 
-func (x *target) requests() []seen {
+func (x *target) requests() []receivedRequest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return append([]seen(nil), x.got...)
+	return append([]receivedRequest(nil), x.received...)
 }
 
-// whole answers with a status and a body of the target's own.
-func whole(status int, body string) script {
-	return func(c net.Conn, r seen) bool {
+// respond returns a script that answers with a status and a body, signed by the target.
+func respond(status int, body string) script {
+	return func(c net.Conn, r receivedRequest) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: %s\r\nSigned: yes\r\nContent-Length: %d\r\nKind: k\r\n\r\n%s", status, r.header.Get("Id"), len(body), body)
 		return err == nil
 	}
 }
 
-// raw writes bytes; %ID% is the request's id.
-func raw(text string, stay bool) script {
-	return func(c net.Conn, r seen) bool {
+// respondRaw returns a script that writes text, with %ID% replaced by the request's id.
+func respondRaw(text string, stay bool) script {
+	return func(c net.Conn, r receivedRequest) bool {
 		_, err := io.WriteString(c, strings.ReplaceAll(text, "%ID%", r.header.Get("Id")))
 		return stay && err == nil
 	}
 }
 
-// inTurn is one script after the other, over all targets that have it.
-func inTurn(scripts ...script) script {
+// sequence returns a script that runs the scripts in turn, across all targets that share it.
+func sequence(scripts ...script) script {
 	var n atomic.Int64
-	return func(c net.Conn, s seen) bool { return scripts[n.Add(1)-1](c, s) }
+	return func(c net.Conn, s receivedRequest) bool { return scripts[n.Add(1)-1](c, s) }
 }
 
-func notRun(c net.Conn, r seen) bool {
+func notRun(c net.Conn, r receivedRequest) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
 
-func gone(c net.Conn, r seen) bool {
+func gone(c net.Conn, r receivedRequest) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
 
-// changing does something before it answers.
-func changing(change func(), then script) script {
-	return func(c net.Conn, r seen) bool {
+// afterChange returns a script that calls change before it answers.
+func afterChange(change func(), then script) script {
+	return func(c net.Conn, r receivedRequest) bool {
 		change()
 		return then(c, r)
 	}
 }
 
-func closes(net.Conn, seen) bool { return false }
+func closes(net.Conn, receivedRequest) bool { return false }
 
-// events streams from the id after the asked one to last, in chunks; whole says that
-// the stream ends as it should.
-func events(last int64, ends bool) script {
-	return func(c net.Conn, r seen) bool {
+// streamEvents returns a script that streams the events after the requested id up to last, in
+// chunks. Without ends, the stream is truncated in the middle of an event.
+func streamEvents(last int64, ends bool) script {
+	return func(c net.Conn, r receivedRequest) bool {
 		after, _ := strconv.ParseInt(r.header.Get("After"), 10, 64)
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nId: %s\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.header.Get("Id"))
 		for id := after + 1; id <= last; id++ {
@@ -214,8 +214,8 @@
 	}
 }
 
-// pieces are the events of ids 1 to last as a caller gets them.
-func pieces(from, last int64) string {
+// eventText returns the events with ids from to last as a caller receives them.
+func eventText(from, last int64) string {
 	var b strings.Builder
 	for id := from; id <= last; id++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", id, id)
@@ -223,7 +223,7 @@
 	return b.String()
 }
 
-// rig is a gateway of region "r" before targets, with a server for callers.
+// rig is a gateway in front of targets, with servers for callers and for other regions.
 type rig struct {
 	options exchange.Options
 	gateway *exchange.Gateway
@@ -242,7 +242,7 @@
 	return newRigWith(t, region, nil, targets...)
 }
 
-func newRigWith(t testing.TB, region string, killers exchange.PoisonRequests, targets ...*target) *rig {
+func newRigWith(t testing.TB, region string, poison exchange.PoisonRequests, targets ...*target) *rig {
 	t.Helper()
 	r := &rig{pool: pick.New("self"), table: &routes.Table{
 		Version: 3, Services: []routes.Service{{Name: "s"}}, Limits: routes.Limits{MaxBodyBytes: 1000},
@@ -263,10 +263,10 @@
 		route.Split = []routes.Share{{Service: "s", Weight: 1}}
 		r.table.Routes = append(r.table.Routes, route)
 	}
-	r.list(targets...)
+	r.setTargets(targets...)
 	r.metrics = metrics.NewSiteEntry(func() metrics.EntryState { return metrics.EntryState{} })
 	r.options = exchange.Options{
-		Region: region, Dialect: plain{}, Pool: r.pool, PoisonRequests: killers, Targets: rawhttp.NewClient(rawhttp.Options{}),
+		Region: region, Dialect: testDialect{}, Pool: r.pool, PoisonRequests: poison, Targets: rawhttp.NewClient(rawhttp.Options{}),
 		Peers:   rawhttp.NewClient(rawhttp.Options{}),
 		Retries: exchange.RetryLimits{Span: 10 * time.Second, Share: 0.2, Allowance: 100},
 		Rand:    rand.New(rand.NewPCG(1, 2)), Log: zap.NewNop(),
@@ -282,8 +282,8 @@
 	return r
 }
 
-// list has the pool know these targets.
-func (r *rig) list(targets ...*target) {
+// setTargets replaces the targets of the pool.
+func (r *rig) setTargets(targets ...*target) {
 	var list []pick.Target
 	for _, x := range targets {
 		list = append(list, pick.Target{ID: x.id, Service: "s", Address: x.addr, Zone: "z", Slots: 4})
@@ -291,26 +291,26 @@
 	r.pool.Update(time.Now(), pick.Snapshot{Targets: list, Entries: []string{"self"}})
 }
 
-// log makes the gateway anew with a logger for requests that are answered.
-func (r *rig) log(ordinary *zap.Logger) {
-	r.options.AccessLog = ordinary
-	r.renew()
+// setAccessLog rebuilds the gateway with an access log.
+func (r *rig) setAccessLog(log *zap.Logger) {
+	r.options.AccessLog = log
+	r.rebuild()
 }
 
-// renew makes the gateway anew after a change of its options.
-func (r *rig) renew() {
+// rebuild replaces the gateway after a change of its options.
+func (r *rig) rebuild() {
 	r.gateway = exchange.New(r.options)
 	r.gateway.SetView(r.view)
 	r.server.Config.Handler = r.gateway
 }
 
-// reply is an answer as a caller got it.
+// reply is an answer as received by a caller.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// torn says that the answer broke off.
-	torn bool
+	// truncated says that the answer is incomplete or missing.
+	truncated bool
 }
 
 func (r *rig) request(path, body string) *http.Request {
@@ -330,7 +330,7 @@
 func do(req *http.Request) reply {
 	res, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return reply{torn: true}
+		return reply{truncated: true}
 	}
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(res.Body)
--- a/pipeline/exchange/types.go
+++ b/pipeline/exchange/types.go
@@ -1,10 +1,10 @@
-// Package exchange serves requests by host and path: it finds the route, chooses
-// targets, sends the request as it came and relays the answer unchanged.
+// Package exchange is a reverse proxy: it matches a request to a route by host and path,
+// chooses a target, sends the request as received and relays the answer unchanged.
 //
-// The steps, a file each: accept (read the request whole, find the route), choose
-// (own region or a neighbour), send (one attempt and its verdict), relay (whole
-// answers and event streams), finish (the final answer). What surrounds the product
-// is met through a Dialect, which knows the header names.
+// Each step has its own file: accept (find the route, read the whole request), choose
+// (own region or another), send (one attempt and its verdict), relay (whole answers and
+// event streams), finish (the final answer). A Dialect maps the header names of the
+// platform to the types of this package.
 package exchange
 
 import (
@@ -18,167 +18,175 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// Call is what the headers of a request say.
+// Call is what the headers of a request specify.
 type Call struct {
-	// ID names one attempt of a caller; targets echo it.
+	// ID identifies one attempt of a caller; targets echo it.
 	ID string
-	// Deadline is how long the caller waits; 0 if it does not say.
+	// Deadline is how long the caller waits; 0 if not given.
 	Deadline time.Duration
 	// Model, Parts and PromptTokens describe a prompt; empty for other requests.
 	Model        string
 	Parts        []pick.Part
 	PromptTokens int
-	// OutputTokens is the most that the answer may have.
+	// OutputTokens is the maximum number of tokens of the answer.
 	OutputTokens int
-	// Counted says that the request tells its tokens.
+	// HasTokenCounts says that the request gives its token counts.
 	HasTokenCounts bool
-	// Credential is what the caller has shown.
+	// Credential is the caller's key.
 	Credential Credential
-	// After is the id of the last event that the caller has; HasAfter says that it
-	// gave one.
+	// LastEventID is the id of the last event that the caller has; it is valid only with
+	// HasLastEventID.
 	LastEventID    int64
 	HasLastEventID bool
 }
 
-// Credential is a caller's key. One that is given and cannot be read has no digest.
+// Credential is a caller's key. One that is present but malformed has a zero Digest.
 type Credential struct {
 	Present bool
 	Digest  routes.KeyDigest
 }
 
-// Sending is what the headers towards a target carry.
+// Attempt is what the headers of a request to a target specify.
 type Attempt struct {
-	// Left is how long the target may take.
+	// Timeout is how long the target may take.
 	Timeout time.Duration
-	// Target is the id of the one that is meant; another one must not run it.
+	// Target is the id of the target; any other target must not run the request.
 	Target string
-	// Rank is the route's priority.
+	// Rank is the priority of the request; 0 is the highest.
 	Rank int
-	// Streaming says that Rank orders the engine's queue.
+	// QueueByRank says that the engine orders its queue by Rank.
 	QueueByRank bool
-	// After and HasAfter ask for the events after an id.
+	// LastEventID asks for the events after this id, if HasLastEventID is set.
 	LastEventID    int64
 	HasLastEventID bool
-	// Source is the address of a target that keeps more of the prompt, from where this
-	// one is to fetch it; empty for none.
+	// Source is the address of a target that has more of the prompt cached, which this
+	// target is to fetch from it; empty for none.
 	Source string
-	// Keyed says that callers are told by their keys, which stay here; Workspace is the
-	// name of the caller's, empty for a caller without a key.
+	// Keyed says that callers are identified by keys, which must not be sent to targets.
+	// Workspace is the name of the caller's workspace; empty for a caller without a key.
 	Keyed     bool
 	Workspace string
 }
 
-// Reply is what the headers of a target's answer say.
+// Reply is what the headers of a target's answer specify.
 type Reply struct {
 	// ID is the echoed id; empty if there is none.
 	ID string
-	// Signed says that the answer is a target's own.
+	// Signed says that a target itself made the answer.
 	Signed bool
-	// NotRun says that the target did not run the request; Gone that another target
+	// NotRun says that the target did not run the request, Gone that another target now
 	// has its address.
 	NotRun, Gone bool
-	// Named is the limit that the target names.
+	// Limit is the limit that the target reports.
 	Limit pick.NamedLimit
 }
 
-// Dialect translates between headers and these types. It decides nothing.
+// Dialect translates between headers and the types of this package. It makes no decisions.
 type Dialect interface {
-	// Call reads a caller's headers. The error says what is malformed.
+	// Call parses a caller's headers. The error says what is malformed.
 	Call(h http.Header) (Call, error)
-	// Prepare sets the headers of a sending on a copy of the caller's, without those
-	// that only the system may set.
-	Prepare(h http.Header, s Attempt)
-	// Conceal takes off a caller's key, and what it says of its workspace.
+	// Prepare sets the headers of an attempt in h, a copy of the caller's headers, and
+	// removes those that only the system may set.
+	Prepare(h http.Header, a Attempt)
+	// Conceal removes the caller's key and the workspace name that it claims.
 	Conceal(h http.Header)
-	// Reply reads the headers of a target's answer.
+	// Reply parses the headers of a target's answer.
 	Reply(status int, h http.Header) Reply
 }
 
-// Decider has another instance of the region choose the target of a request.
+// GroupOwner has the entry instance that owns a group of targets choose among them.
 type GroupOwner interface {
-	// Decide asks for a target within left; false where this instance is to choose.
+	// Choose asks the owner for a target and waits at most left. It returns false if this
+	// instance must choose.
 	Choose(ctx context.Context, c pick.Call, id string, left time.Duration) (Decision, bool)
-	// Named tells of a limit that the target names, or names no more, Began that it has begun to
-	// answer, Ended how the request ended.
+	// ReportLimit reports a limit that the target has set or lifted.
 	ReportLimit(d Decision, n pick.NamedLimit)
+	// ReportFirstEvent reports that the target has begun to answer.
 	ReportFirstEvent(d Decision)
+	// ReportEnd reports how the request ended.
 	ReportEnd(d Decision, r pick.Result)
 }
 
-// Limits keeps workspaces within their limits, over all instances.
+// Limits enforces the limits of workspaces across all instances.
 type Limits interface {
-	// Take spends units of a workspace's limit.
+	// Consume takes units from a workspace's limit.
 	Consume(ctx context.Context, w *routes.Workspace, units float64) LimitDecision
-	// Return gives back what a request took, by an answer, that never ran.
-	Refund(w *routes.Workspace, units float64, a LimitDecision)
+	// Refund returns the units that a request consumed under decision d. The request must
+	// never have run.
+	Refund(w *routes.Workspace, units float64, d LimitDecision)
 }
 
-// LimitAnswer says whether a request is within its workspace's limit.
+// LimitDecision says whether a request is within its workspace's limit.
 type LimitDecision struct {
 	Allowed bool
-	// By is the instance that stands for the workspace; empty where none was reached.
+	// DecidedBy is the instance that is responsible for the workspace; empty if none was
+	// reached.
 	DecidedBy string
-	// Wait is when there will be more, and the rest what the request was judged by, where not
-	// OK: the units per second that the workspace had there, leased from the leader or its own
-	// part of the limit; and the configuration.
+	// The other fields are set only if the request is not allowed.
+	// RetryAfter is the time until more units are available.
 	RetryAfter time.Duration
-	Rate       float64
-	Leased     bool
-	Version    uint64
+	// Rate is the units per second that the workspace had at DecidedBy, and Leased says
+	// that they were leased from the leader; otherwise they are the instance's own share of
+	// the limit.
+	Rate   float64
+	Leased bool
+	// Version is the configuration that the request was judged by.
+	Version uint64
 }
 
-// Killers knows the requests that crash each target that runs them.
+// PoisonRequests knows the requests that crash every target that runs them.
 type PoisonRequests interface {
-	// Refused reports whether a request must not be sent any more.
+	// IsPoison reports whether the request must not be sent any more.
 	IsPoison(r *rawhttp.Request) bool
-	// Crashed notes that a target broke off before it answered a request, Answered that
-	// one answered it.
+	// ReportCrash reports that a target closed the connection before it answered.
 	ReportCrash(r *rawhttp.Request, target string)
+	// ReportAnswer reports that a target answered the request.
 	ReportAnswer(r *rawhttp.Request, target string)
 }
 
-// Decision is a target chosen by another instance.
+// Decision is a target chosen by a group owner.
 type Decision struct {
 	Target string
-	// Source, Cost, Wait, Front and Tokens are those of pick.Choice.
+	// Source, Cost, Wait, Front and Tokens are as in pick.Choice.
 	Source                    string
 	Cost, Wait, Front, Tokens float64
-	// Limit is what the target named last, as far as was known there.
+	// Limit is the target's last reported limit that the owner knew.
 	Limit pick.NamedLimit
-	// Ticket names the request at the instance By.
+	// Ticket identifies the request at the instance Owner.
 	Ticket, Owner string
 }
 
-// View is what is known of the surroundings. It is replaced, never changed.
+// View is a snapshot of the configuration and of the other regions. It is replaced, and must
+// never be changed.
 type View struct {
 	Index *routes.Index
-	// Peers are entry instances of other regions that take requests.
+	// Peers are the entry instances of other regions that accept requests.
 	Peers []Peer
-	// Regions sums up the load of other regions by region and service.
+	// Regions is the load of other regions by region and service.
 	Regions map[RegionService]pick.RegionLoad
-	// ListAt is when the list of targets was read.
+	// TargetsReadAt is when the list of targets was read.
 	TargetsReadAt time.Time
-	// Entries is the number of entry instances in all regions.
+	// EntryInstances is the number of entry instances in all regions.
 	EntryInstances int
 }
 
 // Peer is an entry instance of another region.
 type Peer struct {
-	// Address is where it takes requests of other instances.
+	// Address is where it accepts requests from other instances.
 	Address, Region string
 }
 
-// RegionService names a service in a region.
+// RegionService identifies a service in a region.
 type RegionService struct{ Region, Service string }
 
-// Codes of the refusals.
+// Refusal codes.
 const (
 	CodeNoView    verdict.Code = "no_configuration"
 	CodeNoRoute   verdict.Code = "no_route"
 	CodeMalformed verdict.Code = "malformed_request"
 	CodeTooLarge  verdict.Code = "body_too_large"
 	CodeNoTarget  verdict.Code = "no_target"
-	// CodeOverloaded: what waits in front takes longer than the route's aim.
+	// CodeOverloaded: the work queued ahead takes longer than the route's Aim.
 	CodeOverloaded verdict.Code = "overloaded"
 	CodeNoTime     verdict.Code = "no_time_left"
 	CodeTimeout    verdict.Code = "timeout"
@@ -186,28 +194,28 @@
 	CodePoison     verdict.Code = "request_crashes_targets"
 	CodeLeaving    verdict.Code = "instance_leaving"
 	CodeBehind     verdict.Code = "configuration_behind"
-	// CodeKey: no key, or none that a workspace holds.
+	// CodeUnknownKey: no key, or a key that no workspace holds.
 	CodeUnknownKey verdict.Code = "unknown_key"
-	// CodeNoHome: the homes of route and workspace have no region in common.
+	// CodeNoHome: the route and the workspace have no home region in common.
 	CodeNoHome verdict.Code = "no_home_region"
-	// CodeLimit: the workspace's limit is used up.
+	// CodeOverLimit: the workspace's limit is exhausted.
 	CodeOverLimit verdict.Code = "workspace_over_limit"
 )
 
-// Headers between instances. They never leave the system.
+// Headers between instances. They are never sent to callers or targets.
 const (
 	headerFrom     = "Gullhaven-From"
 	headerVersion  = "Gullhaven-Version"
-	headerLeft     = "Gullhaven-Left-Millis"
+	headerTimeout  = "Gullhaven-Left-Millis"
 	headerAttempts = "Gullhaven-Attempts"
 	headerRefused  = "Gullhaven-Refused"
-	// headerArrived says of a refusal that a target has turned the request away.
-	headerArrived = "Gullhaven-Arrived"
-	headerAfter   = "Gullhaven-After"
-	// headerKey holds the digest of the caller's key: the receiver judges by its own
-	// configuration, which is not older.
+	// headerReachedTarget marks a refusal of a request that a target has rejected.
+	headerReachedTarget = "Gullhaven-Arrived"
+	headerLastEventID   = "Gullhaven-After"
+	// headerKey holds the digest of the caller's key: the receiver checks it against its own
+	// configuration, which is not older than the sender's.
 	headerKey = "Gullhaven-Key"
-	// headerTook says of an answer how many milliseconds it took to begin, from when the
-	// instance that was passed the request had accepted it.
+	// headerTook is the time in milliseconds from when the receiving instance accepted the
+	// forwarded request to the first byte of its answer.
 	headerTook = "Gullhaven-Took-Millis"
 )
