--- a/pipeline/exchange/send.go
+++ b/pipeline/exchange/send.go
@@ -168,14 +168,14 @@
 			q.g.markUnreachable(time.Now(), peer.Address)
 			if q.g.reach.Failed(time.Now(), peer.Region) {
 				q.g.o.Metrics.RegionsOut.Inc(1)
-				q.g.o.Log.Warn("region out of reach", zap.String("region", peer.Region), zap.Error(err))
+				q.g.o.Log.Warn("region unreachable", zap.String("region", peer.Region), zap.Error(err))
 			}
 			delete(q.triedRegions, peer.Region)
 		}
 		return false
 	}
 	if q.g.reach.Answered(peer.Region) {
-		q.g.o.Log.Info("region answers again", zap.String("region", peer.Region))
+		q.g.o.Log.Info("region reachable again", zap.String("region", peer.Region))
 	}
 	if a.Header.Get(headerRefused) != "" {
 		q.rejected = q.rejected || a.Header.Get(headerReachedTarget) != ""
@@ -285,7 +285,7 @@
 	if !changed {
 		return
 	}
-	q.g.o.Log.Info("target names a limit", zap.String("target", p.choice.ID), zap.Bool("limited", n.Limited), zap.Float64("per_second", n.PerSecond),
+	q.g.o.Log.Info("target reports a limit", zap.String("target", p.choice.ID), zap.Bool("limited", n.Limited), zap.Float64("per_second", n.PerSecond),
 		zap.String("service", q.service), zap.String("id", q.call.ID), zap.String("decided_by", q.decidedBy))
 }
 
