--- a/node/deciding/service.go
+++ b/node/deciding/service.go
@@ -144,7 +144,7 @@
 	}
 	s.pool.LearnLimits(time.Now(), d.Known)
 	out := exchange.Decision{
-		Target: d.Target, Source: d.Source, Cost: d.Cost, Wait: d.Wait, Front: d.Front, Tokens: d.Tokens, Ticket: ticket, Owner: decider,
+		Target: d.Target, Source: d.Source, Cost: d.Cost, Wait: d.Wait, QueueWait: d.Front, Tokens: d.Tokens, Ticket: ticket, Owner: decider,
 	}
 	if d.Limit != nil {
 		out.Limit = *d.Limit
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -92,7 +92,7 @@
 		if d, ok := q.g.o.GroupOwner.Choose(q.ctx, c, q.call.ID, q.deadline.Sub(now)); ok {
 			if choice := q.g.o.Pool.PickAt(now, c, d.Target); choice != nil {
 				q.g.o.Metrics.Decided.Inc(1)
-				choice.Source, choice.Cost, choice.Wait, choice.Front, choice.Tokens = d.Source, d.Cost, d.Wait, d.Front, d.Tokens
+				choice.Source, choice.Cost, choice.Wait, choice.Front, choice.Tokens = d.Source, d.Cost, d.Wait, d.QueueWait, d.Tokens
 				return &destination{choice: choice, decision: d, owner: q.g.o.GroupOwner}
 			}
 			q.g.o.GroupOwner.ReportEnd(d, pick.Neutral)
--- a/pipeline/exchange/types.go
+++ b/pipeline/exchange/types.go
@@ -119,8 +119,7 @@
 // LimitDecision says whether a request is within its workspace's limit.
 type LimitDecision struct {
 	Allowed bool
-	// DecidedBy is the instance that is responsible for the workspace; empty if none was
-	// reached.
+	// DecidedBy is the instance that owns the workspace; empty if none was reached.
 	DecidedBy string
 	// The other fields are set only if the request is not allowed.
 	// RetryAfter is the time until more units are available.
@@ -147,9 +146,9 @@
 // Decision is a target chosen by a group owner.
 type Decision struct {
 	Target string
-	// Source, Cost, Wait, Front and Tokens are as in pick.Choice.
-	Source                    string
-	Cost, Wait, Front, Tokens float64
+	// Source, Cost, Wait, QueueWait and Tokens are as in pick.Choice, where QueueWait is Front.
+	Source                        string
+	Cost, Wait, QueueWait, Tokens float64
 	// Limit is the target's last reported limit that the owner knew.
 	Limit pick.NamedLimit
 	// Ticket identifies the request at the instance Owner.
