--- a/pipeline/exchange/limits.go
+++ b/pipeline/exchange/limits.go
@@ -9,42 +9,42 @@
 	"github.com/gullhaven/gullhaven/route/place"
 )
 
-// judged is what a request beyond its workspace's limit was judged by.
-type judged struct {
-	LimitAnswer
+// limitRefusal is the decision that refused a request, with the units that it needed.
+type limitRefusal struct {
+	LimitDecision
 	units float64
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (j *judged) MarshalLogObject(e zapcore.ObjectEncoder) error {
+func (j *limitRefusal) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	e.AddFloat64("units", j.units)
 	e.AddFloat64("rate", j.Rate)
 	e.AddBool("leased", j.Leased)
-	e.AddString("by", j.By)
+	e.AddString("by", j.DecidedBy)
 	e.AddUint64("version", j.Version)
-	e.AddDuration("wait", j.Wait)
+	e.AddDuration("wait", j.RetryAfter)
 	return nil
 }
 
-// takeLimit takes the request's part of its workspace's limit. One that was passed on took it
-// where it came in.
-func (q *request) takeLimit() *refusal {
+// consumeLimit consumes the request's units of its workspace's limit. A forwarded request has
+// consumed them at the instance that received it from the caller.
+func (q *request) consumeLimit() *refusal {
 	w, limits := q.workspace, q.g.o.Limits
-	if limits == nil || w == nil || w.Limit.Rate <= 0 || q.from != nil {
+	if limits == nil || w == nil || w.Limit.Rate <= 0 || q.forwarded != nil {
 		return nil
 	}
-	units := w.Limit.Cost(q.call.PromptTokens, q.call.OutputTokens, q.call.Counted)
-	a := limits.Take(q.ctx, w, units)
-	if a.OK {
-		q.units, q.limit = units, a
+	units := w.Limit.Cost(q.call.PromptTokens, q.call.OutputTokens, q.call.HasTokenCounts)
+	a := limits.Consume(q.ctx, w, units)
+	if a.Allowed {
+		q.limitUnits, q.limitDecision = units, a
 		return nil
 	}
-	return &refusal{status: http.StatusTooManyRequests, code: CodeLimit, retry: place.LimitRetryAfter(a.Wait), limit: &judged{LimitAnswer: a, units: units}}
+	return &refusal{status: http.StatusTooManyRequests, code: CodeOverLimit, retryAfter: place.LimitRetryAfter(a.RetryAfter), limit: &limitRefusal{LimitDecision: a, units: units}}
 }
 
-// settleLimit gives back what a request took that has not run.
-func (q *request) settleLimit() {
-	if q.units > 0 && q.verdict == verdict.NotRun {
-		q.g.o.Limits.Return(q.workspace, q.units, q.limit)
+// refundLimit refunds the units of a request that has not run.
+func (q *request) refundLimit() {
+	if q.limitUnits > 0 && q.verdict == verdict.NotRun {
+		q.g.o.Limits.Refund(q.workspace, q.limitUnits, q.limitDecision)
 	}
 }
