--- a/node/deciding/named_test.go
+++ b/node/deciding/named_test.go
@@ -10,8 +10,8 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// knows waits until an instance knows so many limits.
-func (i *instance) knows(n int) int {
+// waitForLimits waits up to 20 s until the instance knows n limits, and returns how many it knows.
+func (i *instance) waitForLimits(n int) int {
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if len(i.pool.KnownLimits(time.Now(), "s")) == n {
 			break
@@ -20,26 +20,26 @@
 	return len(i.pool.KnownLimits(time.Now(), "s"))
 }
 
-// Guards against a limit that stays with the instance that got the answer, while another one
-// decides.
-func TestNamedLimitReachesTheDecider(t *testing.T) {
-	Convey("a target names a limit in an answer to another instance", t, func() {
-		decider, other := split(start(t, 2))
+// Guards against a limit that only the instance which received the response learns, and not the
+// group owner, which chooses the targets.
+func TestNamedLimitReachesTheGroupOwner(t *testing.T) {
+	Convey("a target names a limit in a response to another instance", t, func() {
+		owner, other := split(start(t, 2))
 		d := other.ask(t, call(1))
 		So(d.Limit, ShouldResemble, pick.NamedLimit{})
 		other.s.Named(d, pick.NamedLimit{Limited: true, PerSecond: 2})
-		So(decider.knows(1), ShouldEqual, 1)
+		So(owner.waitForLimits(1), ShouldEqual, 1)
 		Convey("and names none in a later one", func() {
 			other.s.Named(d, pick.NamedLimit{})
-			So(decider.knows(0), ShouldEqual, 0)
+			So(owner.waitForLimits(0), ShouldEqual, 0)
 		})
 	})
 }
 
-// Guards against a decider that begins at nothing and gives a target in need its full share.
-func TestDeciderThatBeginsLearnsLimitsFromAskers(t *testing.T) {
-	Convey("an instance that knows of limits at all targets asks a decider that knows none", t, func() {
-		decider, other := split(start(t, 2))
+// Guards against a new group owner that knows no limits and gives a limited target its full share.
+func TestNewGroupOwnerLearnsLimitsFromRequests(t *testing.T) {
+	Convey("an instance that knows limits of all targets asks a group owner that knows none", t, func() {
+		owner, other := split(start(t, 2))
 		for {
 			c, _ := other.pool.Pick(time.Now(), call(1))
 			if c == nil {
@@ -50,18 +50,18 @@
 		known := len(other.pool.KnownLimits(time.Now(), "s"))
 		So(known, ShouldBeGreaterThan, 0)
 		other.ask(t, call(1))
-		So(len(decider.pool.KnownLimits(time.Now(), "s")), ShouldEqual, known)
+		So(len(owner.pool.KnownLimits(time.Now(), "s")), ShouldEqual, known)
 	})
 }
 
-// Guards against an instance that sends by itself what its decider has withheld.
-func TestAskerLearnsWhyThereIsNoTarget(t *testing.T) {
-	Convey("all targets are in need and not due", t, func() {
-		decider, other := split(start(t, 2))
+// Guards against an instance that sends a request by its own choice after the group owner withheld it.
+func TestInstanceLearnsWhyThereIsNoTarget(t *testing.T) {
+	Convey("no target's limit allows a request now", t, func() {
+		owner, other := split(start(t, 2))
 		other.ask(t, call(1))
 		now := time.Now()
 		for range 50 {
-			c, _ := decider.pool.Pick(now, call(1))
+			c, _ := owner.pool.Pick(now, call(1))
 			if c == nil {
 				break
 			}
--- a/node/deciding/service.go
+++ b/node/deciding/service.go
@@ -1,10 +1,10 @@
-// Package deciding has the entry instance that decides for a group of targets choose
-// among them for all entry instances of its region: see package pick on groups.
+// Package deciding lets the group owner, one entry instance of the region, choose the target
+// for requests of all the region's entry instances. Package pick defines groups and owners.
 //
-// An instance asks with what a choice rests on and gets a target; it tells when the
-// target has begun to answer and when it has ended. An answer that does not come in
-// time is done without, and the instance decides by what it knows itself; so a decider
-// that is dead, frozen or cut off costs each instance one wait now and then.
+// An instance sends the owner the input of a choice and receives a target. It reports when the
+// target has begun to answer and when the request has ended. If the response does not arrive in
+// time, the instance chooses by its own state, so an owner that is dead, frozen or cut off
+// costs each instance a timeout about once per avoidDuration.
 package deciding
 
 import (
@@ -24,127 +24,128 @@
 )
 
 const (
-	channelAsk  = "decide"
-	channelTell = "decided"
-	// askWorkers bounds the questions that are answered at once.
-	askWorkers = 64
-	// askTime bounds a question: a round trip inside a region takes 3 ms, and a busy
-	// instance a few more.
-	askTime = 30 * time.Millisecond
-	// avoidFor is how long a decider that did not answer is not asked.
-	avoidFor = 500 * time.Millisecond
-	// sweepInterval is the time between two looks for tickets whose time is over.
+	channelDecide = "decide"
+	channelUpdate = "decided"
+	// decideWorkers is the number of concurrent targetRequests that an owner serves.
+	decideWorkers = 64
+	// decideTimeout bounds a call to the owner: a round trip inside a region takes 3 ms, and
+	// a busy instance adds a few.
+	decideTimeout = 30 * time.Millisecond
+	// avoidDuration is how long an owner that did not answer is not called.
+	avoidDuration = 500 * time.Millisecond
+	// sweepInterval is the time between two sweeps of expired tickets.
 	sweepInterval = time.Second
 )
 
-// Channels lists the link channels whose messages are urgent.
-func Channels() []string { return []string{channelAsk, channelTell} }
+// Channels returns the link channels whose messages are urgent.
+func Channels() []string { return []string{channelDecide, channelUpdate} }
 
-// question asks for a target.
-type question struct {
+// targetRequest asks the group owner for a target.
+type targetRequest struct {
 	Ticket     string    `cbor:"1,keyasint"`
 	Call       pick.Call `cbor:"2,keyasint"`
 	LeftMillis int64     `cbor:"3,keyasint"`
-	// Known are the limits of the service's targets that the asker knows of.
+	// Known are the limits of the service's targets that the requesting instance knows.
 	Known []pick.KnownLimit `cbor:"4,keyasint,omitempty"`
 }
 
-// decision answers a question; Target is empty where none may get the request.
-type decision struct {
+// targetResponse answers a targetRequest. Target is empty if no target may receive the request.
+type targetResponse struct {
 	Target string  `cbor:"1,keyasint,omitempty"`
 	Source string  `cbor:"2,keyasint,omitempty"`
 	Cost   float64 `cbor:"3,keyasint,omitempty"`
 	Front  float64 `cbor:"4,keyasint,omitempty"`
 	Wait   float64 `cbor:"5,keyasint,omitempty"`
 	Tokens float64 `cbor:"6,keyasint,omitempty"`
-	// Limit is what the target named last.
+	// Limit is the latest limit that the target reported.
 	Limit *pick.NamedLimit `cbor:"7,keyasint,omitempty"`
-	// Known are the limits known here, where there is no target: the asker must not send what
-	// was withheld.
+	// Known are the limits that the owner knows, set if there is no target: the requesting
+	// instance must not send a request that the owner withheld.
 	Known []pick.KnownLimit `cbor:"8,keyasint,omitempty"`
 }
 
-// news tells of a ticket: its target names another limit than was known, has begun to answer, or
-// has ended.
-type news struct {
+// update reports on a ticket: its target reported a changed limit (Named), the request has ended
+// (Ended), or, with neither set, the target has begun to answer.
+type update struct {
 	Ticket string           `cbor:"1,keyasint"`
 	Ended  bool             `cbor:"2,keyasint,omitempty"`
 	Result pick.Result      `cbor:"3,keyasint,omitempty"`
 	Named  *pick.NamedLimit `cbor:"4,keyasint,omitempty"`
 }
 
-// Service asks deciders, and answers as one.
+// Service calls group owners, and serves the calls of other instances as an owner.
 type Service struct {
 	self string
 	hub  *link.Hub
 	pool *pick.Pool
 	log  *zap.Logger
 
-	// asked numbers the tickets of this instance.
-	asked atomic.Uint64
+	// nextTicket numbers the tickets of this instance.
+	nextTicket atomic.Uint64
 
-	mu      sync.Mutex
-	tickets map[string]held
-	avoid   map[string]time.Time
+	mu         sync.Mutex
+	tickets    map[string]assignment
+	avoidUntil map[string]time.Time
 }
 
-// held is a decided request that has not ended.
-type held struct {
+// assignment is a request that was given a target and has not ended. It expires at until.
+type assignment struct {
 	choice *pick.Choice
 	until  time.Time
 }
 
-// New makes a service that answers on the hub.
+// New returns a Service and registers its channels at the hub. self is this instance's ID.
 func New(self string, hub *link.Hub, pool *pick.Pool, log *zap.Logger) *Service {
-	s := &Service{self: self, hub: hub, pool: pool, log: log, tickets: map[string]held{}, avoid: map[string]time.Time{}}
-	hub.Serve(channelAsk, askWorkers, s.serveAsk)
-	hub.Handle(channelTell, s.told)
+	s := &Service{self: self, hub: hub, pool: pool, log: log, tickets: map[string]assignment{}, avoidUntil: map[string]time.Time{}}
+	hub.Serve(channelDecide, decideWorkers, s.serveDecide)
+	hub.Handle(channelUpdate, s.handleUpdate)
 	return s
 }
 
-// Run lets go of tickets whose askers never told their end.
+// Run expires tickets whose end was not reported by the request's deadline, until ctx ends.
 func (s *Service) Run(ctx context.Context) { duty.Every(ctx, sweepInterval, s.sweep) }
 
 func (s *Service) sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for ticket, h := range s.tickets {
-		if now.After(h.until) {
+	for ticket, a := range s.tickets {
+		if now.After(a.until) {
 			delete(s.tickets, ticket)
-			h.choice.Done(now, pick.Neutral)
+			a.choice.Done(now, pick.Neutral)
 		}
 	}
 }
 
-// Decide implements exchange.Decider.
+// Decide implements exchange.Decider. It returns false if this instance owns the group, if the
+// owner has not answered in time, now or within avoidDuration, or if the owner has no target.
 func (s *Service) Decide(ctx context.Context, c pick.Call, id string, left time.Duration) (exchange.Decision, bool) {
-	decider := s.pool.Decider(c)
-	if decider == s.self || s.avoided(decider) {
+	owner := s.pool.Decider(c)
+	if owner == s.self || s.avoided(owner) {
 		return exchange.Decision{}, false
 	}
-	// The number keeps a late message of one attempt from another one's ticket.
-	ticket := fmt.Sprint(s.self, " ", id, " ", s.asked.Add(1))
-	payload, err := cbor.Marshal(question{Ticket: ticket, Call: c, LeftMillis: left.Milliseconds(), Known: s.pool.KnownLimits(time.Now(), c.Service)})
+	// The number keeps a late message of one attempt from matching the ticket of another.
+	ticket := fmt.Sprint(s.self, " ", id, " ", s.nextTicket.Add(1))
+	payload, err := cbor.Marshal(targetRequest{Ticket: ticket, Call: c, LeftMillis: left.Milliseconds(), Known: s.pool.KnownLimits(time.Now(), c.Service)})
 	if err != nil {
 		s.log.Error("a question for a target cannot be written", zap.Error(err))
 		return exchange.Decision{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, decideTimeout)
 	defer cancel()
-	answer, err := s.hub.Call(ctx, decider, channelAsk, payload)
-	var d decision
+	reply, err := s.hub.Call(ctx, owner, channelDecide, payload)
+	var d targetResponse
 	if err == nil {
-		err = cbor.Unmarshal(answer, &d)
+		err = cbor.Unmarshal(reply, &d)
 	}
 	if err != nil {
-		s.avoidNow(decider)
-		// It may have counted the request.
-		s.tell(decider, news{Ticket: ticket, Ended: true, Result: pick.Neutral})
+		s.startAvoiding(owner)
+		// The owner may have counted the request.
+		s.sendUpdate(owner, update{Ticket: ticket, Ended: true, Result: pick.Neutral})
 		return exchange.Decision{}, false
 	}
 	s.pool.LearnLimits(time.Now(), d.Known)
 	out := exchange.Decision{
-		Target: d.Target, Source: d.Source, Cost: d.Cost, Wait: d.Wait, Front: d.Front, Tokens: d.Tokens, Ticket: ticket, By: decider,
+		Target: d.Target, Source: d.Source, Cost: d.Cost, Wait: d.Wait, Front: d.Front, Tokens: d.Tokens, Ticket: ticket, By: owner,
 	}
 	if d.Limit != nil {
 		out.Limit = *d.Limit
@@ -154,82 +155,82 @@
 
 // Named implements exchange.Decider.
 func (s *Service) Named(d exchange.Decision, n pick.NamedLimit) {
-	s.tell(d.By, news{Ticket: d.Ticket, Named: &n})
+	s.sendUpdate(d.By, update{Ticket: d.Ticket, Named: &n})
 }
 
 // Began implements exchange.Decider.
-func (s *Service) Began(d exchange.Decision) { s.tell(d.By, news{Ticket: d.Ticket}) }
+func (s *Service) Began(d exchange.Decision) { s.sendUpdate(d.By, update{Ticket: d.Ticket}) }
 
 // Ended implements exchange.Decider.
 func (s *Service) Ended(d exchange.Decision, r pick.Result) {
-	s.tell(d.By, news{Ticket: d.Ticket, Ended: true, Result: r})
+	s.sendUpdate(d.By, update{Ticket: d.Ticket, Ended: true, Result: r})
 }
 
-func (s *Service) tell(decider string, n news) {
-	payload, err := cbor.Marshal(n)
+func (s *Service) sendUpdate(owner string, u update) {
+	payload, err := cbor.Marshal(u)
 	if err != nil {
 		s.log.Error("news of a request cannot be written", zap.Error(err))
 		return
 	}
-	// A lost message is mended by the sweep.
-	s.hub.Send(decider, channelTell, payload)
+	// If the message is lost, the owner's sweep expires the ticket.
+	s.hub.Send(owner, channelUpdate, payload)
 }
 
 func (s *Service) avoided(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Now().Before(s.avoid[id])
+	return time.Now().Before(s.avoidUntil[id])
 }
 
-func (s *Service) avoidNow(id string) {
+func (s *Service) startAvoiding(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.avoid[id] = time.Now().Add(avoidFor)
+	s.avoidUntil[id] = time.Now().Add(avoidDuration)
 }
 
-func (s *Service) serveAsk(_ context.Context, from string, payload []byte) ([]byte, error) {
-	var q question
-	if err := cbor.Unmarshal(payload, &q); err != nil {
+func (s *Service) serveDecide(_ context.Context, from string, payload []byte) ([]byte, error) {
+	var r targetRequest
+	if err := cbor.Unmarshal(payload, &r); err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	s.pool.LearnLimits(now, q.Known)
-	choice, _ := s.pool.Pick(now, q.Call)
+	s.pool.LearnLimits(now, r.Known)
+	choice, _ := s.pool.Pick(now, r.Call)
 	if choice == nil {
-		return cbor.Marshal(decision{Known: s.pool.KnownLimits(now, q.Call.Service)})
+		return cbor.Marshal(targetResponse{Known: s.pool.KnownLimits(now, r.Call.Service)})
 	}
 	if choice.Cold {
 		s.log.Info("cold target chosen", zap.String("target", choice.ID), zap.Int("entries", choice.Entries), zap.String("asker", from))
 	}
 	s.mu.Lock()
-	s.tickets[q.Ticket] = held{choice: choice, until: now.Add(time.Duration(q.LeftMillis) * time.Millisecond)}
+	s.tickets[r.Ticket] = assignment{choice: choice, until: now.Add(time.Duration(r.LeftMillis) * time.Millisecond)}
 	s.mu.Unlock()
-	d := decision{Target: choice.ID, Source: choice.Source, Cost: choice.Cost, Front: choice.Front, Wait: choice.Wait, Tokens: choice.Tokens}
+	d := targetResponse{Target: choice.ID, Source: choice.Source, Cost: choice.Cost, Front: choice.Front, Wait: choice.Wait, Tokens: choice.Tokens}
 	if choice.Limit.Limited {
 		d.Limit = &choice.Limit
 	}
 	return cbor.Marshal(d)
 }
 
-func (s *Service) told(from string, payload []byte) {
-	var n news
-	if err := cbor.Unmarshal(payload, &n); err != nil {
+func (s *Service) handleUpdate(from string, payload []byte) {
+	var u update
+	if err := cbor.Unmarshal(payload, &u); err != nil {
 		s.log.Warn("news of a request cannot be read", zap.String("from", from), zap.Error(err))
 		return
 	}
 	s.mu.Lock()
-	h, ok := s.tickets[n.Ticket]
-	if ok && n.Ended {
-		delete(s.tickets, n.Ticket)
+	a, ok := s.tickets[u.Ticket]
+	if ok && u.Ended {
+		delete(s.tickets, u.Ticket)
 	}
 	s.mu.Unlock()
 	switch {
 	case !ok:
-	case n.Named != nil:
-		h.choice.Heard(time.Now(), *n.Named)
-	case n.Ended:
-		h.choice.Done(time.Now(), n.Result)
+	case u.Named != nil:
+		a.choice.Heard(time.Now(), *u.Named)
+	case u.Ended:
+		a.choice.Done(time.Now(), u.Result)
 	default:
-		h.choice.First(time.Now())
+		a.choice.First(time.Now())
 	}
 }
--- a/node/deciding/service_test.go
+++ b/node/deciding/service_test.go
@@ -71,27 +71,27 @@
 	}}
 }
 
-// split finds the decider and another instance.
-func split(all []*instance) (decider, other *instance) {
+// split returns the group owner of call(1) and another instance.
+func split(all []*instance) (owner, other *instance) {
 	id := all[0].pool.Decider(call(1))
 	for _, i := range all {
 		if i.id == id {
-			decider = i
+			owner = i
 		} else {
 			other = i
 		}
 	}
-	return decider, other
+	return owner, other
 }
 
-// decide asks until the link is up.
+// decide asks for a target until the link is up; end reports the end of the request.
 func (i *instance) decide(t *testing.T, c pick.Call) (target string, end func()) {
 	t.Helper()
 	d := i.ask(t, c)
 	return d.Target, func() { i.s.Ended(d, pick.Good) }
 }
 
-// ask is decide with all that was decided.
+// ask is decide with the whole decision.
 func (i *instance) ask(t *testing.T, c pick.Call) exchange.Decision {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -103,18 +103,17 @@
 	return exchange.Decision{}
 }
 
-// Symptom: long prompts wait behind each other at some engines while others are idle.
-// Events: several instances send prompts at the same moment.
-// Cause: none knows yet what the others have just sent.
-func TestInstancesDoNotMeetAtOneTarget(t *testing.T) {
+// Guards against long prompts that queue at some engines while others are idle: instances that
+// send prompts at the same moment don't know yet what the others have just sent.
+func TestConcurrentRequestsSpreadOverTargets(t *testing.T) {
 	Convey("three instances and five idle targets", t, func() {
 		all := start(t, 3)
-		decider, _ := split(all)
+		owner, _ := split(all)
 		used := map[string]int{}
-		// Five prompts of five subjects at the same moment, from the others.
+		// Five prompts of five subjects at the same moment, from an instance that is not the owner.
 		for n := range uint64(5) {
 			for _, i := range all {
-				if i != decider {
+				if i != owner {
 					target, _ := i.decide(t, call(n))
 					used[target]++
 					break
@@ -122,38 +121,37 @@
 			}
 		}
 		So(len(used), ShouldEqual, 5)
-		So(len(decider.pool.Loads(time.Now())), ShouldEqual, 5)
+		So(len(owner.pool.Loads(time.Now())), ShouldEqual, 5)
 	})
 }
 
-func TestEndsReachTheDecider(t *testing.T) {
-	Convey("a decided request ends", t, func() {
-		decider, other := split(start(t, 2))
+func TestEndReachesTheGroupOwner(t *testing.T) {
+	Convey("a request that the owner assigned ends", t, func() {
+		owner, other := split(start(t, 2))
 		_, end := other.decide(t, call(1))
-		So(len(decider.pool.Loads(time.Now())), ShouldEqual, 1)
+		So(len(owner.pool.Loads(time.Now())), ShouldEqual, 1)
 		end()
-		for deadline := time.Now().Add(20 * time.Second); len(decider.pool.Loads(time.Now())) > 0 && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(20 * time.Second); len(owner.pool.Loads(time.Now())) > 0 && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
-		So(decider.pool.Loads(time.Now()), ShouldBeEmpty)
+		So(owner.pool.Loads(time.Now()), ShouldBeEmpty)
 	})
 }
 
-// Symptom: requests wait at an instance whose decider is gone.
-// Events: the decider does not answer.
-// Cause: each request asks it again.
-func TestLostDeciderIsDoneWithout(t *testing.T) {
-	Convey("the decider is gone", t, func() {
-		decider, other := split(start(t, 2))
-		decider.hub.Close()
+// Guards against requests that wait at an instance whose group owner is gone, because each
+// request calls it again.
+func TestInstanceChoosesWithoutALostGroupOwner(t *testing.T) {
+	Convey("the group owner is gone", t, func() {
+		owner, other := split(start(t, 2))
+		owner.hub.Close()
 		for range 3 {
 			_, ok := other.s.Decide(context.Background(), call(1), "id", time.Minute)
 			So(ok, ShouldBeFalse)
 		}
 	})
-	Convey("an instance does not ask itself", t, func() {
-		decider, _ := split(start(t, 2))
-		_, ok := decider.s.Decide(context.Background(), call(1), "id", time.Minute)
+	Convey("the group owner does not call itself", t, func() {
+		owner, _ := split(start(t, 2))
+		_, ok := owner.s.Decide(context.Background(), call(1), "id", time.Minute)
 		So(ok, ShouldBeFalse)
 	})
 }
