--- a/experiment/quotas/told.go
+++ b/experiment/quotas/broadcast.go
@@ -4,7 +4,7 @@
 
 // Told is told use: each instance tells what it let pass a few times a second, and lets pass
 // by what is left of one bucket as far as it has heard.
-type Told struct {
+type UsageBroadcast struct {
 	load   *Load
 	tokens [Regions][Instances]float64
 	at     time.Time
@@ -21,8 +21,8 @@
 }
 
 // NewTold makes the scheme.
-func NewTold(l *Load) *Told {
-	t := &Told{load: l}
+func NewUsageBroadcast(l *Load) *UsageBroadcast {
+	t := &UsageBroadcast{load: l}
 	for r := range Regions {
 		for i := range Instances {
 			t.tokens[r][i] = l.Limit.Burst
@@ -32,7 +32,7 @@
 }
 
 // Take implements Scheme.
-func (t *Told) Take(_ time.Time, region, instance int, units float64) bool {
+func (t *UsageBroadcast) Take(_ time.Time, region, instance int, units float64) bool {
 	if t.tokens[region][instance] <= 0 {
 		return false
 	}
@@ -42,7 +42,7 @@
 }
 
 // Step implements Scheme.
-func (t *Told) Step(now time.Time) {
+func (t *UsageBroadcast) Step(now time.Time) {
 	if !t.at.IsZero() {
 		more := t.load.Limit.Rate * now.Sub(t.at).Seconds()
 		for r := range Regions {
@@ -74,7 +74,7 @@
 
 // deliver takes an instance's news to the others, inside the region at the next telling and to
 // other regions a trip later, and reports whether it is still on its way.
-func (t *Told) deliver(now time.Time, n use) bool {
+func (t *UsageBroadcast) deliver(now time.Time, n use) bool {
 	age := now.Sub(n.at)
 	for r := range Regions {
 		due := reportEvery
--- a/experiment/quotas/load.go
+++ b/experiment/quotas/load.go
@@ -17,8 +17,8 @@
 	// Mean is its use over all regions in units per second.
 	Mean float64
 	// Hot is the factor by which it asks for more from HotAt for HotFor.
-	Hot           float64
-	HotAt, HotFor time.Duration
+	FloodFactor            float64
+	FloodAt, FloodDuration time.Duration
 }
 
 // Sizes of requests: of eight, one is long and spread, six are short, one is plain.
@@ -70,8 +70,8 @@
 // demand is what a region asks for at a time, in units per second.
 func (l *Load) demand(region int, at time.Duration) float64 {
 	d := l.Mean / Regions * shapes[region](at.Seconds())
-	if l.Hot > 0 && at >= l.HotAt && at < l.HotAt+l.HotFor {
-		d *= l.Hot
+	if l.FloodFactor > 0 && at >= l.FloodAt && at < l.FloodAt+l.FloodDuration {
+		d *= l.FloodFactor
 	}
 	return d
 }
--- a/experiment/quotas/quotas_test.go
+++ b/experiment/quotas/quotas_test.go
@@ -11,15 +11,15 @@
 // a way to divide limits that refuses more below them than a share at each instance: peaks
 // move round the regions, workspaces flood, a limit is lowered.
 func TestOneHolderOfARegionKeepsLimitsAndRefusesLess(t *testing.T) {
-	each, one := Ways[0], Ways[1]
+	each, one := Schemes[0], Schemes[1]
 	for _, p := range Patterns() {
 		t.Run(p.Name, func(t *testing.T) {
 			mean, most := Mean(p.Load, one, seeds)
 			if most.Excess > p.Load.most() {
 				t.Errorf("%.3f beyond the limit, %.3f is allowed", most.Excess, p.Load.most())
 			}
-			if other, _ := Mean(p.Load, each, seeds); mean.Needless > other.Needless {
-				t.Errorf("%.4f refused below the limit, %.4f with a share at each instance", mean.Needless, other.Needless)
+			if other, _ := Mean(p.Load, each, seeds); mean.FalseRefusals > other.FalseRefusals {
+				t.Errorf("%.4f refused below the limit, %.4f with a share at each instance", mean.FalseRefusals, other.FalseRefusals)
 			}
 		})
 	}
@@ -30,7 +30,7 @@
 	if err := WriteTable(&out, 1); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := strings.Count(out.String(), "\n"), 1+len(Patterns())*len(Ways); got != want {
+	if got, want := strings.Count(out.String(), "\n"), 1+len(Patterns())*len(Schemes); got != want {
 		t.Errorf("%d lines, want %d:\n%s", got, want, out.String())
 	}
 }
--- a/experiment/quotas/shares.go
+++ b/experiment/quotas/shares.go
@@ -23,7 +23,7 @@
 type holder struct {
 	region  int
 	id      string
-	h       *quota.Holders
+	h       *quota.Holder
 	sent    time.Time
 	regular time.Time
 	report  *quota.Report
@@ -46,9 +46,9 @@
 		var list []*holder
 		for n := range each {
 			x := &holder{region: region, id: fmt.Sprint(region, "-", n)}
-			x.h = quota.NewHolders(start, uint64(region*each+n+1), s.part(region, n), Regions*each, t)
+			x.h = quota.NewHolder(start, uint64(region*each+n+1), s.part(region, n), Regions*each, t)
 			x.h.SetLimits(1, limits)
-			x.h.SetEntries(Regions*Instances, func(string) bool { return true })
+			x.h.SetEntryInstances(Regions*Instances, func(string) bool { return true })
 			list = append(list, x)
 		}
 		s.holders = append(s.holders, list)
@@ -77,7 +77,7 @@
 
 // Take implements Scheme.
 func (s *Shares) Take(now time.Time, region, instance int, units float64) bool {
-	return s.holders[region][instance%s.each].h.Take(now, sharesWorkspace, units).OK
+	return s.holders[region][instance%s.each].h.Consume(now, sharesWorkspace, units).Allowed
 }
 
 // Step implements Scheme.
@@ -99,7 +99,7 @@
 		x.answer, x.due, x.report = &a, now.Add(way), nil
 	}
 	if x.answer != nil && !now.Before(x.due) {
-		x.h.Granted(now, x.answer)
+		x.h.ApplyShares(now, x.answer)
 		x.answer = nil
 	}
 	if x.report != nil || x.answer != nil || now.Sub(x.sent) < urgentEvery {
--- a/experiment/quotas/table.go
+++ b/experiment/quotas/table.go
@@ -30,7 +30,7 @@
 // one whose limit was lowered.
 func Patterns() []Pattern {
 	of := func(rate, mean, hot float64) Load {
-		return Load{Limit: limit.Limit{Rate: rate, Burst: rate}, Mean: mean, Hot: hot, HotAt: 6 * time.Second, HotFor: 9 * time.Second}
+		return Load{Limit: limit.Limit{Rate: rate, Burst: rate}, Mean: mean, FloodFactor: hot, FloodAt: 6 * time.Second, FloodDuration: 9 * time.Second}
 	}
 	const flood = 6
 	return []Pattern{
@@ -45,29 +45,29 @@
 }
 
 // Way is a scheme with its name.
-type Way struct {
+type NamedScheme struct {
 	Name string
 	New  func(l *Load) Scheme
 }
 
 // Ways are the schemes that are compared.
-var Ways = []Way{
+var Schemes = []NamedScheme{
 	{"each-instance", func(l *Load) Scheme { return NewShares(l, Instances, tolerance) }},
 	{"one-of-a-region", func(l *Load) Scheme { return NewShares(l, 1, tolerance) }},
-	{"told-use", func(l *Load) Scheme { return NewTold(l) }},
+	{"told-use", func(l *Load) Scheme { return NewUsageBroadcast(l) }},
 }
 
 // Mean plays a load with some seeds, and returns the mean and the most of each figure.
-func Mean(l Load, w Way, seeds int) (mean, most Result) {
+func Mean(l Load, w NamedScheme, seeds int) (mean, most Result) {
 	n := float64(seeds)
 	for seed := range uint64(seeds) {
-		r := Play(seed, &l, w.New(&l), length)
+		r := Simulate(seed, &l, w.New(&l), length)
 		mean.Excess += r.Excess / n
-		mean.Needless += r.Needless / n
-		mean.WorstNeedless += r.WorstNeedless / n
+		mean.FalseRefusals += r.FalseRefusals / n
+		mean.WorstFalseRefusals += r.WorstFalseRefusals / n
 		most.Excess = max(most.Excess, r.Excess)
-		most.Needless = max(most.Needless, r.Needless)
-		most.WorstNeedless = max(most.WorstNeedless, r.WorstNeedless)
+		most.FalseRefusals = max(most.FalseRefusals, r.FalseRefusals)
+		most.WorstFalseRefusals = max(most.WorstFalseRefusals, r.WorstFalseRefusals)
 	}
 	return mean, most
 }
@@ -77,10 +77,10 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "load\tway\texcess\tmost\tallowed\tneedless\tworst 2 s\tmost")
 	for _, p := range Patterns() {
-		for _, w := range Ways {
+		for _, w := range Schemes {
 			mean, most := Mean(p.Load, w, seeds)
 			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.4f\t%.3f\t%.3f\n", p.Name, w.Name,
-				mean.Excess, most.Excess, p.Load.most(), mean.Needless, mean.WorstNeedless, most.WorstNeedless)
+				mean.Excess, most.Excess, p.Load.most(), mean.FalseRefusals, mean.WorstFalseRefusals, most.WorstFalseRefusals)
 		}
 	}
 	return t.Flush()
--- a/experiment/quotas/world.go
+++ b/experiment/quotas/world.go
@@ -31,7 +31,7 @@
 	// Excess is the most that passed in a window over what the limit gives in it.
 	Excess float64
 	// Needless is the part of what one limiter for all would have let through that did not pass, and WorstNeedless the same of the worst two seconds.
-	Needless, WorstNeedless float64
+	FalseRefusals, WorstFalseRefusals float64
 }
 
 // window is the length of the windows in which passing is judged.
@@ -61,7 +61,7 @@
 }
 
 // Play has a scheme serve a load for a time.
-func Play(seed uint64, l *Load, s Scheme, length time.Duration) Result {
+func Simulate(seed uint64, l *Load, s Scheme, length time.Duration) Result {
 	r := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1_800_000_000, 0)
 	ideal := &central{most: l.gives()}
@@ -126,11 +126,11 @@
 		allOwed += o
 		allLack += max(0, o-p)
 		if o > 0 {
-			res.WorstNeedless = max(res.WorstNeedless, max(0, o-p)/o)
+			res.WorstFalseRefusals = max(res.WorstFalseRefusals, max(0, o-p)/o)
 		}
 	}
 	if allOwed > 0 {
-		res.Needless = allLack / allOwed
+		res.FalseRefusals = allLack / allOwed
 	}
 	return res
 }
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -142,7 +142,7 @@
 	// standing is what the log said lately; confirming shares one confirmation among
 	// those that ask for it together.
 	standing   standing
-	confirming duty.Shared
+	confirming duty.Coalescer
 	// unled says that a line told of first states that nobody could confirm.
 	unled atomic.Bool
 	// gossipNow wakes the gossip before its time.
--- a/node/control/limits.go
+++ b/node/control/limits.go
@@ -120,7 +120,7 @@
 	d := &i.dividing
 	for {
 		d.mu.Lock()
-		change := &newest.Holders{Add: slices.Sorted(maps.Keys(d.newcomers)), Gone: d.divider.Gone(i.clock(), i.machine.Holders())}
+		change := &newest.Holders{Add: slices.Sorted(maps.Keys(d.newcomers)), Gone: d.divider.Silent(i.clock(), i.machine.Holders())}
 		d.newcomers = nil
 		d.adding = len(change.Add) > 0
 		d.mu.Unlock()
--- a/node/duty/shared.go
+++ b/node/duty/shared.go
@@ -8,7 +8,7 @@
 // Shared makes a piece of work once for all that ask for it while it has not begun. Those
 // that come during it share the next one, so that it always begins after it was asked for.
 // The zero value is ready.
-type Shared struct {
+type Coalescer struct {
 	mu sync.Mutex
 	// running says that a piece of work is under way; next ends with the one after it, and is
 	// nil where nobody waits for that.
@@ -23,7 +23,7 @@
 
 // Do waits for a piece of work that begins from now on, or until ctx ends. All that share one
 // must ask for the same.
-func (s *Shared) Do(ctx context.Context, do func()) {
+func (s *Coalescer) Do(ctx context.Context, do func()) {
 	w := s.join(do)
 	select {
 	case <-w.done:
@@ -31,7 +31,7 @@
 	}
 }
 
-func (s *Shared) join(do func()) *sharedWork {
+func (s *Coalescer) join(do func()) *sharedWork {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next == nil {
@@ -46,7 +46,7 @@
 }
 
 // run works until nobody waits.
-func (s *Shared) run() {
+func (s *Coalescer) run() {
 	for {
 		s.mu.Lock()
 		w := s.next
--- a/node/duty/shared_test.go
+++ b/node/duty/shared_test.go
@@ -13,7 +13,7 @@
 // Cause: each asked for one of its own; or one that had begun before was taken for an answer.
 func TestWorkIsSharedByThoseThatComeBeforeIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var s duty.Shared
+		var s duty.Coalescer
 		runs, goOn := 0, make(chan struct{})
 		go s.Do(t.Context(), func() { runs++; <-goOn })
 		synctest.Wait()
--- a/node/limits/limits.go
+++ b/node/limits/limits.go
@@ -80,13 +80,13 @@
 	o Options
 
 	mu   sync.Mutex
-	book *Book
+	book *Table
 }
 
 // New makes a Service and registers it at the link.
 func New(o Options) *Service {
 	s := &Service{o: o}
-	s.book = NewBook(o.Self, s.lookup)
+	s.book = NewTable(o.Self, s.lookup)
 	o.Hub.Serve(Channel, servers, s.serve)
 	return s
 }
@@ -177,7 +177,7 @@
 	calls.Wait()
 }
 
-func (s *Service) ask(ctx context.Context, r Addressed) {
+func (s *Service) ask(ctx context.Context, r OwnerReport) {
 	answer, err := s.call(ctx, r)
 	if err != nil {
 		s.o.Log.Debug("no shares of limits", zap.String("owner", r.Owner), zap.Error(err))
@@ -185,10 +185,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Granted(time.Now(), answer)
+	s.book.ApplyShares(time.Now(), answer)
 }
 
-func (s *Service) call(ctx context.Context, r Addressed) (Answer, error) {
+func (s *Service) call(ctx context.Context, r OwnerReport) (Answer, error) {
 	if r.Owner == s.o.Self {
 		return s.answer(s.o.Self, r.Report)
 	}
@@ -209,7 +209,7 @@
 	life := s.o.Life(from)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Answer(time.Now(), life, r)
+	return s.book.HandleReport(time.Now(), life, r)
 }
 
 func (s *Service) serve(_ context.Context, from string, data []byte) ([]byte, error) {
--- a/node/limits/limits_test.go
+++ b/node/limits/limits_test.go
@@ -31,7 +31,7 @@
 	now   time.Time
 	turn  int
 	names []string
-	books map[string]*Book
+	books map[string]*Table
 	dead  map[string]bool
 	// asked are units that each asks for in a step.
 	asked map[string]int
@@ -47,11 +47,11 @@
 }
 
 func newRegion(t *rapid.T) *region {
-	r := &region{t: t, now: start, books: map[string]*Book{}, dead: map[string]bool{}, asked: map[string]int{}, passed: map[string]int{}, saved: 2 * whole.Burst}
+	r := &region{t: t, now: start, books: map[string]*Table{}, dead: map[string]bool{}, asked: map[string]int{}, passed: map[string]int{}, saved: 2 * whole.Burst}
 	for i := range rapid.IntRange(2, 9).Draw(t, "instances") {
 		name := fmt.Sprint("i", i)
 		r.names = append(r.names, name)
-		r.books[name] = NewBook(name, lookup)
+		r.books[name] = NewTable(name, lookup)
 	}
 	for _, name := range r.names {
 		r.view(name, r.names)
@@ -105,14 +105,14 @@
 		if r.dead[a.Owner] || r.cut == name || r.lost != nil && r.lost() {
 			continue
 		}
-		answer, err := r.books[a.Owner].Answer(r.now, lifeOf(name), sent)
+		answer, err := r.books[a.Owner].HandleReport(r.now, lifeOf(name), sent)
 		if err != nil {
 			r.t.Fatal(err)
 		}
 		var got Answer
 		r.carry(answer, &got)
 		if r.lost == nil || !r.lost() {
-			r.books[name].Granted(r.now, got)
+			r.books[name].ApplyShares(r.now, got)
 		}
 	}
 }
@@ -211,7 +211,7 @@
 			last = fmt.Sprint("x", i)
 			r.names = append(slices.Clone(old), last)
 		}
-		r.books[last] = NewBook(last, lookup)
+		r.books[last] = NewTable(last, lookup)
 		for _, name := range r.names {
 			r.view(name, r.names)
 		}
@@ -311,11 +311,11 @@
 		if Owners(members) != owners {
 			t.Fatal("owners depend on the order of members")
 		}
-		b := NewBook(members[0], lookup)
+		b := NewTable(members[0], lookup)
 		b.SetMembers(start, members, members)
 		asked := 0
 		for _, a := range b.Reports(start, "life") {
-			for _, p := range a.Report.Parts {
+			for _, p := range a.Report.Partitions {
 				asked++
 				if owners[p.Index] != a.Owner {
 					t.Fatalf("part %d is asked of %s", p.Index, a.Owner)
@@ -359,19 +359,19 @@
 // Symptom: an owner fails, or divides a limit wrongly, on bytes of a faulty
 // peer. Cause: values that nobody checks.
 func TestMalformedReportsAreRefused(t *testing.T) {
-	b := NewBook("a", lookup)
+	b := NewTable("a", lookup)
 	b.SetMembers(start, []string{"a"}, []string{"a/1"})
 	part := uint8(PartitionOf(workspace))
 	nan := float32(0)
 	nan /= nan
 	for name, r := range map[string]Report{
-		"another life":     {Life: 7},
-		"no such part":     {Life: lifeHash("a/1"), Parts: []Part{{Index: Partitions, Number: 1}}},
-		"negative rate":    {Life: lifeHash("a/1"), Parts: []Part{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, Requests: -1}}}}},
-		"no number":        {Life: lifeHash("a/1"), Parts: []Part{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, Tokens: nan}}}}},
-		"a number too big": {Life: lifeHash("a/1"), Parts: []Part{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, TokensHeld: 1 << 63}}}}},
+		"another life":     {Incarnation: 7},
+		"no such part":     {Incarnation: lifeHash("a/1"), Partitions: []PartitionReport{{Index: Partitions, Number: 1}}},
+		"negative rate":    {Incarnation: lifeHash("a/1"), Partitions: []PartitionReport{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, Requests: -1}}}}},
+		"no number":        {Incarnation: lifeHash("a/1"), Partitions: []PartitionReport{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, Tokens: nan}}}}},
+		"a number too big": {Incarnation: lifeHash("a/1"), Partitions: []PartitionReport{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, TokensHeld: 1 << 63}}}}},
 	} {
-		if _, err := b.Answer(start, "a/1", r); err == nil {
+		if _, err := b.HandleReport(start, "a/1", r); err == nil {
 			t.Errorf("%s is taken", name)
 		}
 	}
--- a/node/limits/owned.go
+++ b/node/limits/owned.go
@@ -31,10 +31,10 @@
 
 // report takes the demands of an instance. ok is false for one that is unknown
 // or was overtaken.
-func (o *owned) report(now time.Time, life string, p Part) (PartShares, bool, error) {
+func (o *owned) report(now time.Time, life string, p PartitionReport) (PartitionShares, bool, error) {
 	demands, err := demandsOf(p.Rows)
 	if err != nil {
-		return PartShares{}, false, err
+		return PartitionShares{}, false, err
 	}
 	for _, d := range demands {
 		if d.Held > o.base+o.issued {
@@ -46,7 +46,7 @@
 	}
 	shares := o.allocator.Report(now, life, p.Number, demands)
 	if shares == nil {
-		return PartShares{}, false, nil
+		return PartitionShares{}, false, nil
 	}
 	for i := range shares {
 		o.issued = max(o.issued, shares[i].Seq)
@@ -55,5 +55,5 @@
 	if now.Before(o.quietUntil) {
 		shares = nil
 	}
-	return PartShares{Index: p.Index, Number: p.Number, Rows: shareRows(p.Rows, shares)}, true, nil
+	return PartitionShares{Index: p.Index, Number: p.Number, Rows: shareRows(p.Rows, shares)}, true, nil
 }
--- a/node/limits/book.go
+++ b/node/limits/table.go
@@ -11,7 +11,7 @@
 
 // Book holds the shares of one instance and the parts that it owns. It has no
 // input or output and is not safe for several goroutines.
-type Book struct {
+type Table struct {
 	self     string
 	lookup   limit.Lookup
 	limiters [Partitions]*limit.Limiter
@@ -31,15 +31,15 @@
 const maxUnanswered = 4
 
 // Addressed is a report and whom it is for.
-type Addressed struct {
+type OwnerReport struct {
 	Owner  string
 	Report Report
 }
 
 // NewBook makes the Book of an instance. lookup gives the region's part of a
 // limit, with a burst of two seconds.
-func NewBook(self string, lookup limit.Lookup) *Book {
-	b := &Book{self: self, lookup: lookup, asked: map[question][]string{}}
+func NewTable(self string, lookup limit.Lookup) *Table {
+	b := &Table{self: self, lookup: lookup, asked: map[question][]string{}}
 	for i := range b.limiters {
 		b.limiters[i] = limit.NewLimiter(lookup, 1, Lease)
 	}
@@ -49,7 +49,7 @@
 // SetMembers tells the live instances of the region and their lives. A part
 // that comes to this instance starts anew, one that came back too: somebody else
 // may have granted in the meantime.
-func (b *Book) SetMembers(now time.Time, members, lives []string) {
+func (b *Table) SetMembers(now time.Time, members, lives []string) {
 	b.owners = Owners(members)
 	for i, owner := range b.owners {
 		b.limiters[i].SetInstances(len(members))
@@ -65,7 +65,7 @@
 }
 
 // Take spends requests or tokens of a workspace's share.
-func (b *Book) Take(now time.Time, workspace string, requests, tokens float64) ports.LimitAnswer {
+func (b *Table) Take(now time.Time, workspace string, requests, tokens float64) ports.LimitAnswer {
 	l := b.limiters[PartitionOf(workspace)]
 	var ok bool
 	var wait time.Duration
@@ -78,7 +78,7 @@
 }
 
 // Len is the number of limits in use here.
-func (b *Book) Len() int {
+func (b *Table) Len() int {
 	n := 0
 	for _, l := range b.limiters {
 		n += l.Len()
@@ -88,11 +88,11 @@
 
 // Reports returns what to ask each owner, this instance included, in the order
 // of their names. It is called once in a ReportInterval.
-func (b *Book) Reports(now time.Time, life string) []Addressed {
-	parts := map[string][]Part{}
+func (b *Table) Reports(now time.Time, life string) []OwnerReport {
+	parts := map[string][]PartitionReport{}
 	for i, l := range b.limiters {
 		number, demands := l.Report(now)
-		p := Part{Index: uint8(i), Number: number, Rows: rowsOf(demands)}
+		p := PartitionReport{Index: uint8(i), Number: number, Rows: rowsOf(demands)}
 		parts[b.owners[i]] = append(parts[b.owners[i]], p)
 		delete(b.asked, question{p.Index, number - min(number, maxUnanswered)})
 		if len(p.Rows) > 0 {
@@ -100,11 +100,11 @@
 		}
 	}
 	delete(parts, "")
-	var reports []Addressed
+	var reports []OwnerReport
 	for owner, p := range parts {
-		reports = append(reports, Addressed{Owner: owner, Report: Report{Life: lifeHash(life), Parts: p}})
+		reports = append(reports, OwnerReport{Owner: owner, Report: Report{Incarnation: lifeHash(life), Partitions: p}})
 	}
-	slices.SortFunc(reports, func(x, y Addressed) int { return cmp.Compare(x.Owner, y.Owner) })
+	slices.SortFunc(reports, func(x, y OwnerReport) int { return cmp.Compare(x.Owner, y.Owner) })
 	return reports
 }
 
@@ -118,12 +118,12 @@
 
 // Answer answers the report of an instance. Parts that this instance does not
 // own are left out: views differ for a while.
-func (b *Book) Answer(now time.Time, life string, r Report) (Answer, error) {
-	if r.Life != lifeHash(life) {
+func (b *Table) HandleReport(now time.Time, life string, r Report) (Answer, error) {
+	if r.Incarnation != lifeHash(life) {
 		return Answer{}, errLife
 	}
 	var a Answer
-	for _, p := range r.Parts {
+	for _, p := range r.Partitions {
 		if p.Index >= Partitions {
 			return Answer{}, errRow
 		}
@@ -135,7 +135,7 @@
 			return Answer{}, err
 		}
 		if ok && len(shares.Rows) > 0 {
-			a.Parts = append(a.Parts, shares)
+			a.Partitions = append(a.Partitions, shares)
 		}
 	}
 	return a, nil
@@ -143,8 +143,8 @@
 
 // Granted takes an owner's answer. Without one the shares in use last until
 // their leases end, and floors hold after that.
-func (b *Book) Granted(now time.Time, a Answer) {
-	for _, p := range a.Parts {
+func (b *Table) ApplyShares(now time.Time, a Answer) {
+	for _, p := range a.Partitions {
 		workspaces, asked := b.asked[question{p.Index, p.Number}]
 		if !asked {
 			continue
@@ -156,7 +156,7 @@
 
 // Sweep forgets limits of the owned parts that nobody uses. It is called about
 // once in a Lease.
-func (b *Book) Sweep(now time.Time) {
+func (b *Table) Sweep(now time.Time) {
 	for _, o := range b.owned {
 		if o != nil {
 			o.allocator.Sweep(now)
--- a/node/limits/wire.go
+++ b/node/limits/wire.go
@@ -15,12 +15,12 @@
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 	// Life is the hash of the life of the instance.
-	Life  uint32
-	Parts []Part
+	Incarnation uint32
+	Partitions  []PartitionReport
 }
 
 // Part is a report of one part.
-type Part struct {
+type PartitionReport struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint8
 	Number uint64
@@ -40,13 +40,13 @@
 
 // Answer of an owner.
 type Answer struct {
-	_     struct{} `cbor:",toarray"`
-	Parts []PartShares
+	_          struct{} `cbor:",toarray"`
+	Partitions []PartitionShares
 }
 
 // PartShares answer a Part, a row for a row in the same order: names are not
 // sent again, nor the burst and the lease, which follow.
-type PartShares struct {
+type PartitionShares struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint8
 	Number uint64
--- a/node/loads/loads.go
+++ b/node/loads/loads.go
@@ -58,7 +58,7 @@
 	polled *ring.Ring[polled]
 
 	mu      sync.Mutex
-	book    *Book
+	book    *Table
 	specs   []route.TargetSpec
 	members []string
 	states  map[route.TargetID]route.State
@@ -77,7 +77,7 @@
 		o:      o,
 		inbox:  ring.New[[]byte](ringSize),
 		polled: ring.New[polled](ringSize),
-		book:   NewBook(o.Self),
+		book:   NewTable(o.Self),
 		states: map[route.TargetID]route.State{},
 		events: map[string]eventCursor{},
 	}
@@ -112,10 +112,10 @@
 }
 
 // Seen returns the last observation of an engine and when it was received.
-func (s *Service) Seen(target string) (Observation, time.Time) {
+func (s *Service) LastObservation(target string) (Observation, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Seen(target)
+	return s.book.LastObservation(target)
 }
 
 // States returns the targets of the region with their states in force.
@@ -126,10 +126,10 @@
 }
 
 // Unknown is how many rows were dropped as their target is not in the bundle.
-func (s *Service) Unknown() uint64 {
+func (s *Service) UnknownTargets() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Unknown()
+	return s.book.UnknownTargets()
 }
 
 // Refused is how many messages and polls found their ring full.
@@ -194,12 +194,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if o, known := s.book.Polled(now, p.target, p.report, p.err); known {
+	if o, known := s.book.HandlePoll(now, p.target, p.report, p.err); known {
 		s.learn(now, o)
 	}
 	for _, e := range p.events {
 		s.learnEvent(cacheEvent{p.target, e})
-		s.book.Queue(p.target, e)
+		s.book.QueueEvent(p.target, e)
 	}
 }
 
@@ -228,7 +228,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	observations, events, err := s.book.Heard(now, data)
+	observations, events, err := s.book.HandleMessage(now, data)
 	if err != nil {
 		s.o.Log.Debug("malformed load observations", zap.Error(err))
 		return
--- a/node/loads/teller.go
+++ b/node/loads/publisher.go
@@ -33,7 +33,7 @@
 // be lost or late. That a target is warm again waits, so that an engine that
 // comes and goes costs one message beside the rounds in each Share.
 type teller struct {
-	pace  Pace
+	pace  Timing
 	peers int
 	// rate in bytes a second to each member, and what is left of it.
 	rate, tokens float64
@@ -63,10 +63,10 @@
 func newTeller() *teller { return &teller{told: map[string]*telling{}} }
 
 // set takes new members and targets. again: a member is new and knows nothing.
-func (t *teller) set(pace Pace, peers, owned int, known map[string]*entry, again bool) {
+func (t *teller) set(pace Timing, peers, owned int, known map[string]*entry, again bool) {
 	t.pace, t.peers = pace, peers
 	round := float64(MessageBytes + owned*LoadBytes)
-	t.rate = round/pace.Share.Seconds() + ExtraBytes/float64(max(1, peers))
+	t.rate = round/pace.ShareInterval.Seconds() + ExtraBytesPerSecond/float64(max(1, peers))
 	for id, told := range t.told {
 		if known[id] == nil {
 			delete(t.told, id)
@@ -95,7 +95,7 @@
 	if !e.fresh || !e.lastAt.IsZero() && e.last.State != route.Warm {
 		return false
 	}
-	crashed := !e.lastAt.IsZero() && e.now.Life != e.last.Life
+	crashed := !e.lastAt.IsZero() && e.now.Incarnation != e.last.Incarnation
 	return e.now.State != route.Warm || crashed
 }
 
@@ -115,7 +115,7 @@
 		return message{}, false
 	}
 	if round {
-		t.next = now.Add(t.pace.Share)
+		t.next = now.Add(t.pace.ShareInterval)
 	}
 	t.urgent = false
 	var m message
@@ -147,11 +147,11 @@
 
 // due says that an observation is worth a place in the round: it differs from
 // what was told, or has to be repeated before the next.
-func (e *telling) due(now time.Time, p Pace) bool {
+func (e *telling) due(now time.Time, p Timing) bool {
 	if !e.fresh {
 		return false
 	}
-	repeat := e.repeat || e.lastAt.IsZero() || now.Add(p.Share).Sub(e.lastAt) > p.Repeat
+	repeat := e.repeat || e.lastAt.IsZero() || now.Add(p.ShareInterval).Sub(e.lastAt) > p.RepeatInterval
 	return repeat || differs(e.now, e.last)
 }
 
@@ -167,7 +167,7 @@
 }
 
 func sameDetails(a, b Observation) bool {
-	return a.Life == b.Life && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
+	return a.Incarnation == b.Incarnation && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
 // add writes a row, and the details where they changed or are to be told again
@@ -180,13 +180,13 @@
 	t.tokens -= LoadBytes
 	e.repeat = e.urgent()
 	changed := e.detailAt.IsZero() || !sameDetails(e.now, e.last)
-	if o.Life != e.last.Life || t.tokens > 0 && (changed || now.Sub(e.detailAt) >= refresh) {
-		m.Details = append(m.Details, detailRow{Target: key, Life: o.Life, Version: o.Version, Adapters: o.Adapters})
+	if o.Incarnation != e.last.Incarnation || t.tokens > 0 && (changed || now.Sub(e.detailAt) >= refresh) {
+		m.Details = append(m.Details, detailRow{Target: key, Life: o.Incarnation, Version: o.Version, Adapters: o.Adapters})
 		t.tokens -= float64(detailSize(o))
 		e.detailAt = now
 	} else if changed {
 		// Keep them untold for the next round.
-		o.Life, o.Version, o.Adapters = e.last.Life, e.last.Version, e.last.Adapters
+		o.Incarnation, o.Version, o.Adapters = e.last.Incarnation, e.last.Version, e.last.Adapters
 		e.detailAt = time.Time{}
 	}
 	e.last, e.lastAt, e.fresh = o, now, false
--- a/node/loads/teller_test.go
+++ b/node/loads/publisher_test.go
@@ -24,7 +24,7 @@
 	t       rapid.TB
 	now     time.Time
 	names   []string
-	books   []*Book
+	books   []*Table
 	targets []Target
 	// report is what an engine says now.
 	report func(target string) (ports.LoadReport, error)
@@ -41,7 +41,7 @@
 		r.names = append(r.names, fmt.Sprint("m", i))
 	}
 	for _, name := range r.names {
-		b := NewBook(name)
+		b := NewTable(name)
 		b.SetTargets(r.targets)
 		b.SetMembers(r.names)
 		r.books = append(r.books, b)
@@ -56,7 +56,7 @@
 		for _, due := range b.Due(r.now) {
 			report, err := r.report(due.ID)
 			report.At = r.now
-			b.Polled(r.now, due.ID, report, err)
+			b.HandlePoll(r.now, due.ID, report, err)
 		}
 		data, err := b.Share(r.now)
 		if err != nil {
@@ -78,7 +78,7 @@
 			r.received += len(data) + measuredFrame
 			r.messages++
 		}
-		if _, _, err := b.Heard(r.now, data); err != nil {
+		if _, _, err := b.HandleMessage(r.now, data); err != nil {
 			r.t.Fatal(err)
 		}
 	}
@@ -107,13 +107,13 @@
 		for range steps {
 			r.step()
 			for i, target := range r.targets {
-				r.books[i%size.members].Queue(target.ID, ports.CacheEvent{Seq: uint64(n), Stored: []uint64{1 << 60, 1 << 61}})
+				r.books[i%size.members].QueueEvent(target.ID, ports.CacheEvent{Seq: uint64(n), Stored: []uint64{1 << 60, 1 << 61}})
 			}
 		}
 		window := (steps * tick).Seconds()
-		saved := burstTime.Seconds() + float64(leastBurst*size.members)/(SteadyBytes+ExtraBytes)
-		share := r.books[0].pace.Share.Seconds()
-		most := (SteadyBytes + ExtraBytes) * (window + saved + share)
+		saved := burstTime.Seconds() + float64(leastBurst*size.members)/(SteadyBytesPerSecond+ExtraBytesPerSecond)
+		share := r.books[0].pace.ShareInterval.Seconds()
+		most := (SteadyBytesPerSecond + ExtraBytesPerSecond) * (window + saved + share)
 		got := r.received - from
 		if float64(got) > most {
 			t.Errorf("%v: received %d B in %v s, at most %.0f", size, got, window, most)
@@ -126,7 +126,7 @@
 			t.Errorf("%v: sent %.0f B in %v s, at most %.0f", size, busiest, window, 2*most)
 		}
 		t.Logf("%v: share %v, received %.0f B/s, in %.1f messages/s, the busiest sent %.0f B/s",
-			size, r.books[0].pace.Share, float64(got)/window, float64(r.messages-messages)/window, busiest/window)
+			size, r.books[0].pace.ShareInterval, float64(got)/window, float64(r.messages-messages)/window, busiest/window)
 	}
 }
 
@@ -166,7 +166,7 @@
 			return reports[id], nil
 		}
 		settle := func() {
-			for range int(2*r.books[0].pace.Deputy/tick) + 1 {
+			for range int(2*r.books[0].pace.BackupDelay/tick) + 1 {
 				r.step()
 			}
 		}
@@ -189,15 +189,15 @@
 			}
 			if want != route.Warm && rapid.Bool().Draw(t, "first message lost") {
 				r.lost = r.firstOf(id, want)
-				within += r.books[0].pace.Share + 2*tick
+				within += r.books[0].pace.ShareInterval + 2*tick
 			}
 			for range within / tick {
 				r.step()
 			}
 			for _, b := range r.books {
-				seen, _ := b.Seen(id)
-				if state, _ := b.State(r.now, id); state != want || seen.Life != r.books[0].entries[id].seen.Life {
-					t.Fatalf("%s holds %s for %v of life %d, want %v", b.self, id, state, seen.Life, want)
+				seen, _ := b.LastObservation(id)
+				if state, _ := b.State(r.now, id); state != want || seen.Incarnation != r.books[0].entries[id].seen.Incarnation {
+					t.Fatalf("%s holds %s for %v of life %d, want %v", b.self, id, state, seen.Incarnation, want)
 				}
 			}
 			r.lost, reports[id], down[id] = nil, ports.LoadReport{}, false
@@ -212,7 +212,7 @@
 		for range 40 {
 			r.step()
 		}
-		if most := len(r.targets) * (int(40*tick/r.books[0].pace.Poll) + 1); polls > most {
+		if most := len(r.targets) * (int(40*tick/r.books[0].pace.PollInterval) + 1); polls > most {
 			t.Fatalf("%d polls, at most %d: deputies poll although owners speak", polls, most)
 		}
 	})
@@ -236,19 +236,19 @@
 		}
 		r.lost = nil
 		r.books[0].SetTargets(r.targets)
-		for range int((refresh+2*r.books[0].pace.Deputy)/tick) + 1 {
+		for range int((refresh+2*r.books[0].pace.BackupDelay)/tick) + 1 {
 			r.step()
 		}
 		for _, b := range r.books {
 			for _, target := range r.targets {
-				seen, at := b.Seen(target.ID)
-				if seen.Version != "v"+target.ID || seen.Life != uint64(start.UnixMilli()) || r.now.Sub(at) > b.pace.Deputy {
+				seen, at := b.LastObservation(target.ID)
+				if seen.Version != "v"+target.ID || seen.Incarnation != uint64(start.UnixMilli()) || r.now.Sub(at) > b.pace.BackupDelay {
 					t.Fatalf("%s knows %+v of %s since %v", b.self, seen, target.ID, r.now.Sub(at))
 				}
 			}
 		}
 		data := rapid.SliceOfN(rapid.Byte(), 0, 60).Draw(t, "bytes")
-		if o, _, err := r.books[0].Heard(r.now, data); err != nil && len(o) > 0 {
+		if o, _, err := r.books[0].HandleMessage(r.now, data); err != nil && len(o) > 0 {
 			t.Fatal("malformed bytes are believed")
 		}
 	})
@@ -259,7 +259,7 @@
 func TestRowsAreWithinTheirBounds(t *testing.T) {
 	k := newKeys([]Target{{ID: "a"}})
 	teller := newTeller()
-	teller.set(PaceOf(2, 1, 1), 1, 1, map[string]*entry{"a": {}}, true)
+	teller.set(TimingOf(2, 1, 1), 1, 1, map[string]*entry{"a": {}}, true)
 	huge := Observation{
 		Target: "a", AgeMillis: 1 << 50, Running: 1 << 50, Waiting: 1 << 50, WaitingTokens: 1 << 50, KVUsed: 7, State: route.Down,
 	}
--- a/node/loads/book.go
+++ b/node/loads/table.go
@@ -38,14 +38,14 @@
 	// State is Warm, Loading, Leaving or Down.
 	State route.State
 	// Brief: what follows is left out, as it was told before.
-	Brief bool
+	DetailsOmitted bool
 	// Version and Adapters are what the engine has loaded.
 	Version  string
 	Adapters []string
 	// Life numbers the lives of the engine, alike at all instances: when it
 	// started, in Unix milliseconds, where it tells so; else it counts on each
 	// time that the engine comes back.
-	Life uint64
+	Incarnation uint64
 }
 
 // entry is what is known of one engine.
@@ -64,14 +64,14 @@
 
 // Book is the knowledge of one instance. It has no input or output and is not
 // safe for several goroutines.
-type Book struct {
+type Table struct {
 	self    string
 	targets []Target
 	members []string
 	entries map[string]*entry
 	// leaving are the targets that the platform's list says are leaving.
 	leaving map[string]bool
-	pace    Pace
+	pace    Timing
 	keys    keys
 	teller  *teller
 	// unknown counts rows of targets that the bundle here does not have.
@@ -79,12 +79,12 @@
 }
 
 // NewBook makes the Book of an instance.
-func NewBook(self string) *Book {
-	return &Book{self: self, entries: map[string]*entry{}, pace: PaceOf(1, 0, 0), teller: newTeller()}
+func NewTable(self string) *Table {
+	return &Table{self: self, entries: map[string]*entry{}, pace: TimingOf(1, 0, 0), teller: newTeller()}
 }
 
 // SetTargets replaces the engines of the region.
-func (b *Book) SetTargets(targets []Target) {
+func (b *Table) SetTargets(targets []Target) {
 	kept := map[string]*entry{}
 	for _, t := range targets {
 		e := b.entries[t.ID]
@@ -101,7 +101,7 @@
 }
 
 // SetMembers replaces the live instances of the region.
-func (b *Book) SetMembers(members []string) {
+func (b *Table) SetMembers(members []string) {
 	known := func(m string) bool { return slices.Contains(b.members, m) }
 	again := slices.ContainsFunc(members, func(m string) bool { return !known(m) })
 	b.members = members
@@ -111,7 +111,7 @@
 // SetLeaving replaces the targets that the platform says are leaving. It lags
 // and may be wrong; a target that it names takes no new work, and takes it up
 // again when it is no longer named.
-func (b *Book) SetLeaving(ids []string) {
+func (b *Table) SetLeaving(ids []string) {
 	b.leaving = map[string]bool{}
 	for _, id := range ids {
 		b.leaving[id] = true
@@ -121,7 +121,7 @@
 // assign computes owner and deputy of each engine, and the times that follow.
 // During a change of members two instances may both poll; that costs a little
 // and harms nothing. again: tell everything anew.
-func (b *Book) assign(again bool) {
+func (b *Table) assign(again bool) {
 	owned := map[string]int{}
 	busiest := 0
 	for _, e := range b.entries {
@@ -131,7 +131,7 @@
 		owned[first]++
 		busiest = max(busiest, owned[first])
 	}
-	b.pace = PaceOf(len(b.members), len(b.targets), busiest)
+	b.pace = TimingOf(len(b.members), len(b.targets), busiest)
 	b.teller.set(b.pace, max(0, len(b.members)-1), owned[b.self], b.entries, again)
 }
 
@@ -151,13 +151,13 @@
 }
 
 // Due returns the engines to poll now and marks them as polled.
-func (b *Book) Due(now time.Time) []Target {
+func (b *Table) Due(now time.Time) []Target {
 	var due []Target
 	for _, t := range b.targets {
 		e := b.entries[t.ID]
-		silent := now.Sub(e.heardAt) > b.pace.Deputy
+		silent := now.Sub(e.heardAt) > b.pace.BackupDelay
 		mine := e.owner || e.deputy && silent
-		if !mine || now.Sub(e.polledAt) < b.pace.Poll {
+		if !mine || now.Sub(e.polledAt) < b.pace.PollInterval {
 			continue
 		}
 		e.polledAt = now
@@ -168,7 +168,7 @@
 
 // Polled takes the end of a poll and returns what to learn of it. A single
 // failure is told to nobody: the poll itself may have been what was slow.
-func (b *Book) Polled(now time.Time, target string, r ports.LoadReport, err error) (Observation, bool) {
+func (b *Table) HandlePoll(now time.Time, target string, r ports.LoadReport, err error) (Observation, bool) {
 	e := b.entries[target]
 	if e == nil {
 		return Observation{}, false
@@ -178,13 +178,13 @@
 		if e.failures < downAfter {
 			return Observation{}, false
 		}
-		o := Observation{Target: target, State: route.Down, Life: e.seen.Life}
+		o := Observation{Target: target, State: route.Down, Incarnation: e.seen.Incarnation}
 		b.teller.observe(now, o)
 		return b.note(now, e, o), true
 	}
 	e.failures = 0
 	o := observe(target, now, r)
-	o.Life = e.life(r)
+	o.Incarnation = e.life(r)
 	b.teller.observe(now, o)
 	return b.note(now, e, o), true
 }
@@ -197,9 +197,9 @@
 		return uint64(r.Started.UnixMilli())
 	}
 	if e.seen.State == route.Down {
-		return e.seen.Life + 1
+		return e.seen.Incarnation + 1
 	}
-	return e.seen.Life
+	return e.seen.Incarnation
 }
 
 // observe turns an engine's report into what is shared.
@@ -223,30 +223,30 @@
 	return o
 }
 
-func (b *Book) note(now time.Time, e *entry, o Observation) Observation {
+func (b *Table) note(now time.Time, e *entry, o Observation) Observation {
 	e.seen, e.seenAt = o, now
 	return o
 }
 
 // Received takes an observation of another instance.
-func (b *Book) Received(now time.Time, o Observation) {
+func (b *Table) Merge(now time.Time, o Observation) {
 	e := b.entries[o.Target]
 	if e == nil {
 		return
 	}
-	if o.Brief {
-		o.Version, o.Adapters, o.Life, o.Brief = e.seen.Version, e.seen.Adapters, e.seen.Life, false
+	if o.DetailsOmitted {
+		o.Version, o.Adapters, o.Incarnation, o.DetailsOmitted = e.seen.Version, e.seen.Adapters, e.seen.Incarnation, false
 	}
 	e.heardAt = now
 	b.note(now, e, o)
 }
 
 // Queue takes a cache event of an engine to tell, if there is room.
-func (b *Book) Queue(target string, e ports.CacheEvent) { b.teller.queue(target, e) }
+func (b *Table) QueueEvent(target string, e ports.CacheEvent) { b.teller.queue(target, e) }
 
 // Share returns what to send to every other member now; nil if nothing is due.
 // It is called every 100 ms.
-func (b *Book) Share(now time.Time) ([]byte, error) {
+func (b *Table) Share(now time.Time) ([]byte, error) {
 	m, due := b.teller.take(now, b.keys)
 	if !due {
 		return nil, nil
@@ -256,36 +256,36 @@
 
 // Heard takes a message of another member and returns what to learn of it. The
 // error is of malformed bytes, of which nothing is taken.
-func (b *Book) Heard(now time.Time, data []byte) ([]Observation, []cacheEvent, error) {
+func (b *Table) HandleMessage(now time.Time, data []byte) ([]Observation, []cacheEvent, error) {
 	h, err := b.keys.decode(data)
 	if err != nil {
 		return nil, nil, err
 	}
 	b.unknown += uint64(h.unknown)
 	for _, o := range h.observations {
-		b.Received(now, o)
+		b.Merge(now, o)
 	}
 	return h.observations, h.events, nil
 }
 
 // Unknown is how many rows were dropped as their target is not in the bundle.
-func (b *Book) Unknown() uint64 { return b.unknown }
+func (b *Table) UnknownTargets() uint64 { return b.unknown }
 
 // State is what was observed of an engine, for requests: Down is forgotten when
 // nobody repeats it.
-func (b *Book) State(now time.Time, target string) (route.State, bool) {
+func (b *Table) State(now time.Time, target string) (route.State, bool) {
 	e := b.entries[target]
 	if e == nil || e.seenAt.IsZero() {
 		return route.Warm, false
 	}
-	if e.seen.State == route.Down && now.Sub(e.seenAt) > b.pace.Forget {
+	if e.seen.State == route.Down && now.Sub(e.seenAt) > b.pace.DownExpiry {
 		return route.Warm, false
 	}
 	return e.seen.State, true
 }
 
 // Seen returns the last observation of an engine and when it was received.
-func (b *Book) Seen(target string) (Observation, time.Time) {
+func (b *Table) LastObservation(target string) (Observation, time.Time) {
 	e := b.entries[target]
 	if e == nil {
 		return Observation{}, time.Time{}
@@ -295,7 +295,7 @@
 
 // Overlay sets the observed states on what the bundle says. What the bundle
 // says of leaving stands; an engine that loads or is down takes no work.
-func (b *Book) Overlay(now time.Time, specs []route.TargetSpec) []route.TargetSpec {
+func (b *Table) Overlay(now time.Time, specs []route.TargetSpec) []route.TargetSpec {
 	out := slices.Clone(specs)
 	for i := range out {
 		state, known := b.State(now, string(out[i].ID))
--- a/node/loads/book_test.go
+++ b/node/loads/table_test.go
@@ -38,11 +38,11 @@
 		list := targets(rapid.IntRange(1, 40).Draw(t, "targets"))
 		polls := map[string]int{}
 		for _, m := range members {
-			b := NewBook(m)
+			b := NewTable(m)
 			b.SetTargets(list)
 			b.SetMembers(members)
 			for _, target := range list {
-				b.Received(start, Observation{Target: target.ID})
+				b.Merge(start, Observation{Target: target.ID})
 			}
 			for _, due := range b.Due(start.Add(PollInterval)) {
 				polls[due.ID]++
@@ -63,15 +63,15 @@
 	members := []string{"a", "b", "c"}
 	polled := 0
 	for _, m := range members {
-		b := NewBook(m)
+		b := NewTable(m)
 		b.SetTargets(targets(1))
 		b.SetMembers(members)
-		b.Received(start, Observation{Target: "t0"})
-		silent := start.Add(b.pace.Deputy + time.Millisecond)
+		b.Merge(start, Observation{Target: "t0"})
+		silent := start.Add(b.pace.BackupDelay + time.Millisecond)
 		for i := range 3 {
-			now := silent.Add(time.Duration(i) * b.pace.Poll)
+			now := silent.Add(time.Duration(i) * b.pace.PollInterval)
 			polled += len(b.Due(now))
-			b.Polled(now, "t0", ports.LoadReport{At: now}, nil)
+			b.HandlePoll(now, "t0", ports.LoadReport{At: now}, nil)
 		}
 	}
 	if polled != 2*3 {
@@ -84,7 +84,7 @@
 // Cause: one failure taken for death, or death never forgotten.
 func TestDownNeedsSeveralFailuresAndIsForgotten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook("a")
+		b := NewTable("a")
 		b.SetTargets(targets(1))
 		b.SetMembers([]string{"a"})
 		now, failures := start, 0
@@ -92,17 +92,17 @@
 			now = now.Add(PollInterval)
 			if rapid.Bool().Draw(t, "fails") {
 				failures++
-				b.Polled(now, "t0", ports.LoadReport{}, errPoll)
+				b.HandlePoll(now, "t0", ports.LoadReport{}, errPoll)
 			} else {
 				failures = 0
-				b.Polled(now, "t0", ports.LoadReport{At: now}, nil)
+				b.HandlePoll(now, "t0", ports.LoadReport{At: now}, nil)
 			}
 			state, _ := b.State(now, "t0")
 			if (state == route.Down) != (failures >= downAfter) {
 				t.Fatalf("%v after %d failures in a row", state, failures)
 			}
 		}
-		if state, known := b.State(now.Add(b.pace.Forget+time.Second), "t0"); known && state == route.Down {
+		if state, known := b.State(now.Add(b.pace.DownExpiry+time.Second), "t0"); known && state == route.Down {
 			t.Fatal("down for good although nobody says so")
 		}
 	})
@@ -127,12 +127,12 @@
 		{"the platform", warm, ports.LoadReport{}, []string{"t0"}, route.Leaving},
 		{"loading", warm, ports.LoadReport{Loading: true}, nil, route.Loading},
 	} {
-		b := NewBook("a")
+		b := NewTable("a")
 		b.SetTargets(targets(1))
 		b.SetMembers([]string{"a"})
 		b.SetLeaving(tc.platform)
 		tc.report.At = start
-		b.Polled(start, "t0", tc.report, nil)
+		b.HandlePoll(start, "t0", tc.report, nil)
 		if got := b.Overlay(start, []route.TargetSpec{tc.spec})[0].State; got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
@@ -143,19 +143,19 @@
 // Events: it goes down and comes back, or tells when it started.
 // Cause: lives that are not told apart.
 func TestLivesAreNumbered(t *testing.T) {
-	b := NewBook("a")
+	b := NewTable("a")
 	b.SetTargets(targets(1))
 	b.SetMembers([]string{"a"})
 	lives := map[uint64]bool{}
 	for range 3 {
 		for range downAfter {
-			b.Polled(start, "t0", ports.LoadReport{}, errPoll)
+			b.HandlePoll(start, "t0", ports.LoadReport{}, errPoll)
 		}
-		o, _ := b.Polled(start, "t0", ports.LoadReport{At: start}, nil)
-		lives[o.Life] = true
+		o, _ := b.HandlePoll(start, "t0", ports.LoadReport{At: start}, nil)
+		lives[o.Incarnation] = true
 	}
-	o, _ := b.Polled(start, "t0", ports.LoadReport{At: start, Started: start}, nil)
-	if len(lives) != 3 || o.Life != uint64(start.UnixMilli()) {
-		t.Fatalf("lives %v and %d", lives, o.Life)
+	o, _ := b.HandlePoll(start, "t0", ports.LoadReport{At: start, Started: start}, nil)
+	if len(lives) != 3 || o.Incarnation != uint64(start.UnixMilli()) {
+		t.Fatalf("lives %v and %d", lives, o.Incarnation)
 	}
 }
--- a/node/loads/pace.go
+++ b/node/loads/timing.go
@@ -6,10 +6,10 @@
 // size of the region.
 const (
 	// SteadyBytes in a second that an instance receives of observations.
-	SteadyBytes = 2200
+	SteadyBytesPerSecond = 2200
 	// ExtraBytes in a second beside them, for versions, adapters, lives and
 	// cache events.
-	ExtraBytes = 300
+	ExtraBytesPerSecond = 300
 )
 
 // Bounds on what is sent; a test compares them with the encoding.
@@ -42,18 +42,18 @@
 // Pace holds the times of sharing. All instances of a region work out the same
 // from the same members and targets; while their views differ a deputy polls
 // too early, which costs a few polls.
-type Pace struct {
+type Timing struct {
 	// Poll is the time between two polls of an engine by its owner.
-	Poll time.Duration
+	PollInterval time.Duration
 	// Share is the time between two batches of an owner.
-	Share time.Duration
+	ShareInterval time.Duration
 	// Repeat is the longest time until an unchanged observation is told again.
-	Repeat time.Duration
+	RepeatInterval time.Duration
 	// Deputy is how long reports stay out before the deputy polls.
-	Deputy time.Duration
+	BackupDelay time.Duration
 	// Forget lets a target that was reported down be tried again when nobody
 	// has said anything of it for so long: who said so may be cut off.
-	Forget time.Duration
+	DownExpiry time.Duration
 }
 
 // PaceOf works out the times for a region of members and targets, where the
@@ -61,16 +61,16 @@
 // a Share, an instance receives (n-1)*MessageBytes + targets*LoadBytes in it:
 // Share is the time in which SteadyBytes allow that. The busiest owner sends
 // at most twice SteadyBytes.
-func PaceOf(members, targets, owned int) Pace {
+func TimingOf(members, targets, owned int) Timing {
 	peers := float64(max(0, members-1))
-	received := (peers*MessageBytes + float64(targets)*LoadBytes) / SteadyBytes
-	sent := peers * float64(MessageBytes+owned*LoadBytes) / (2 * SteadyBytes)
+	received := (peers*MessageBytes + float64(targets)*LoadBytes) / SteadyBytesPerSecond
+	sent := peers * float64(MessageBytes+owned*LoadBytes) / (2 * SteadyBytesPerSecond)
 	share := max(tick, time.Duration(max(received, sent)*float64(time.Second)))
-	p := Pace{Share: share, Repeat: share, Poll: min(max(PollInterval, share/4), slowestPoll)}
+	p := Timing{ShareInterval: share, RepeatInterval: share, PollInterval: min(max(PollInterval, share/4), slowestPoll)}
 	if 2*share <= believed {
-		p.Repeat = 2 * share
+		p.RepeatInterval = 2 * share
 	}
-	p.Deputy = p.Repeat + share + slack
-	p.Forget = max(shortestDown, 2*p.Deputy)
+	p.BackupDelay = p.RepeatInterval + share + slack
+	p.DownExpiry = max(shortestDown, 2*p.BackupDelay)
 	return p
 }
--- a/node/loads/wire.go
+++ b/node/loads/wire.go
@@ -106,14 +106,14 @@
 
 func (r loadRow) observation(id string) Observation {
 	return Observation{
-		Target:        id,
-		AgeMillis:     int64(r.AgeMillis),
-		Running:       int(r.Running),
-		Waiting:       int(r.Waiting),
-		WaitingTokens: int(r.WaitTokens),
-		KVUsed:        float32(r.KVUsed) / kvScale,
-		State:         r.State,
-		Brief:         true,
+		Target:         id,
+		AgeMillis:      int64(r.AgeMillis),
+		Running:        int(r.Running),
+		Waiting:        int(r.Waiting),
+		WaitingTokens:  int(r.WaitTokens),
+		KVUsed:         float32(r.KVUsed) / kvScale,
+		State:          r.State,
+		DetailsOmitted: true,
 	}
 }
 
@@ -159,7 +159,7 @@
 		}
 		o := r.observation(id)
 		if d, ok := details[r.Target]; ok {
-			o.Life, o.Version, o.Adapters, o.Brief = d.Life, d.Version, d.Adapters, false
+			o.Incarnation, o.Version, o.Adapters, o.DetailsOmitted = d.Life, d.Version, d.Adapters, false
 		}
 		h.observations = append(h.observations, o)
 	}
--- a/node/placing/placing.go
+++ b/node/placing/placing.go
@@ -125,7 +125,7 @@
 }
 
 // Ends returns the counters of the ring between the sendings and the loop.
-func (s *Service) Ends() ring.Stats { return s.ends.Stats() }
+func (s *Service) ResultStats() ring.Stats { return s.ends.Stats() }
 
 // Run acts while this instance leads, until ctx ends, and returns once all that
 // it sent has ended.
--- a/node/quota/divider.go
+++ b/node/quota/divider.go
@@ -65,7 +65,7 @@
 		})
 	}
 	d.heard(now, from)
-	holder := limit.Holder{Instance: r.Region, Name: fmt.Sprintf("%s/%x", from, r.Life)}
+	holder := limit.Holder{Instance: r.Region, Name: fmt.Sprintf("%s/%x", from, r.Incarnation)}
 	shares := d.allocator.ReportOf(now, holder, r.Number, demands)
 	a := Answer{Number: r.Number}
 	for _, s := range shares {
@@ -104,7 +104,7 @@
 const goneAfter = 20 * Lease
 
 // Gone are those of known that may hold shares and have been silent for long.
-func (d *Divider) Gone(now time.Time, known []string) []string {
+func (d *Divider) Silent(now time.Time, known []string) []string {
 	var out []string
 	for _, id := range known {
 		at, ok := d.heardAt[id]
@@ -130,4 +130,4 @@
 }
 
 // Quiet reports whether shares of a predecessor may be in use that are not known.
-func (d *Divider) Quiet(now time.Time) bool { return d.allocator.Quiet(now) }
+func (d *Divider) InGracePeriod(now time.Time) bool { return d.allocator.Quiet(now) }
--- a/node/quota/holders.go
+++ b/node/quota/holder.go
@@ -9,7 +9,7 @@
 // Holders are the shares of one entry instance: of the workspaces that it stands for in its
 // region, and what it lets pass by itself where it reaches none that stands for one. It has
 // no input or output and a single owner.
-type Holders struct {
+type Holder struct {
 	life uint64
 	// bornAt is when the instance started.
 	bornAt    time.Time
@@ -40,8 +40,8 @@
 
 // NewHolders makes the Holders of one life of an instance. regions is the number of regions
 // of the site.
-func NewHolders(now time.Time, life uint64, region string, regions int, t Tolerance) *Holders {
-	h := &Holders{
+func NewHolder(now time.Time, life uint64, region string, regions int, t Tolerance) *Holder {
+	h := &Holder{
 		life: life, bornAt: now, region: region, tolerance: t, entries: fewestEntries, granted: map[string]bool{},
 		limits: func(string) (limit.Limit, bool) { return limit.Limit{}, false },
 	}
@@ -53,18 +53,18 @@
 }
 
 // SetLimits tells the limits of a configuration.
-func (h *Holders) SetLimits(version uint64, limits func(workspace string) (limit.Limit, bool)) {
+func (h *Holder) SetLimits(version uint64, limits func(workspace string) (limit.Limit, bool)) {
 	h.version, h.limits = version, limits
 }
 
 // SetEntries tells how many entry instances there are, and for which workspaces this one
 // stands.
-func (h *Holders) SetEntries(entries int, owns func(workspace string) bool) {
+func (h *Holder) SetEntryInstances(entries int, owns func(workspace string) bool) {
 	h.entries = max(h.entries, entries)
 	h.shared.SetOwned(func(id limit.ID) bool { return owns(id.Workspace) })
 }
 
-func (h *Holders) lookup(id limit.ID) (limit.Limit, bool) {
+func (h *Holder) lookup(id limit.ID) (limit.Limit, bool) {
 	if id.Resource != limit.Tokens {
 		return limit.Limit{}, false
 	}
@@ -72,49 +72,49 @@
 	return h.tolerance.Effective(l), ok
 }
 
-func (h *Holders) lookupAlone(id limit.ID) (limit.Limit, bool) {
+func (h *Holder) lookupAlone(id limit.ID) (limit.Limit, bool) {
 	l, ok := h.lookup(id)
 	return l.Scaled(aloneShare / float64(h.entries)), ok
 }
 
 // Take lets a request of a workspace pass for which this instance stands.
-func (h *Holders) Take(now time.Time, workspace string, units float64) Verdict {
+func (h *Holder) Consume(now time.Time, workspace string, units float64) ConsumeResponse {
 	if _, known := h.limits(workspace); !known {
-		return Verdict{Unknown: true}
+		return ConsumeResponse{UnknownLimit: true}
 	}
 	if now.Sub(h.bornAt) >= Lease {
 		h.shared.SetWait(Lease)
 	}
 	ok, wait := h.shared.TakeTokens(now, workspace, units)
 	if ok {
-		return Verdict{OK: true}
+		return ConsumeResponse{Allowed: true}
 	}
 	state := h.shared.State(now, limit.ID{Workspace: workspace, Resource: limit.Tokens})
-	return Verdict{
-		WaitMillis: wait.Milliseconds(), New: !h.granted[workspace], Rate: state.Rate, Leased: state.Leased, Version: h.version,
+	return ConsumeResponse{
+		WaitMillis: wait.Milliseconds(), NoShareYet: !h.granted[workspace], Rate: state.Rate, Leased: state.Leased, Version: h.version,
 	}
 }
 
 // TakeAlone lets a request pass where none is reached that stands for the workspace.
-func (h *Holders) TakeAlone(now time.Time, workspace string, units float64) Verdict {
+func (h *Holder) ConsumeIsolated(now time.Time, workspace string, units float64) ConsumeResponse {
 	ok, wait := h.alone.TakeTokens(now, workspace, units)
 	state := h.alone.State(now, limit.ID{Workspace: workspace, Resource: limit.Tokens})
-	return Verdict{OK: ok, WaitMillis: wait.Milliseconds(), Rate: state.Rate, Version: h.version}
+	return ConsumeResponse{Allowed: ok, WaitMillis: wait.Milliseconds(), Rate: state.Rate, Version: h.version}
 }
 
 // Back gives back what a request took that never ran.
-func (h *Holders) Back(now time.Time, workspace string, units float64) {
+func (h *Holder) Refund(now time.Time, workspace string, units float64) {
 	h.shared.Refund(now, workspace, units)
 }
 
 // BackAlone gives back what TakeAlone took.
-func (h *Holders) BackAlone(now time.Time, workspace string, units float64) {
+func (h *Holder) RefundIsolated(now time.Time, workspace string, units float64) {
 	h.alone.Refund(now, workspace, units)
 }
 
 // Report asks for shares of all workspaces, or of those that should not wait; false where
 // there is nothing urgent.
-func (h *Holders) Report(now time.Time, urgent bool) (*Report, bool) {
+func (h *Holder) Report(now time.Time, urgent bool) (*Report, bool) {
 	var number uint64
 	var demands []limit.Demand
 	if urgent {
@@ -124,7 +124,7 @@
 		// What is let pass alone is reported to nobody; buckets that are not used are forgotten.
 		h.alone.Report(now)
 	}
-	r := &Report{Life: h.life, Region: h.region, Number: number}
+	r := &Report{Incarnation: h.life, Region: h.region, Number: number}
 	for _, d := range demands {
 		row := Row{Workspace: d.ID.Workspace, Version: h.version, Demand: d.Rate, Held: d.Held, Share: d.Share}
 		if l, ok := h.lookup(d.ID); ok {
@@ -139,7 +139,7 @@
 }
 
 // Granted takes the leader's answer.
-func (h *Holders) Granted(now time.Time, a *Answer) {
+func (h *Holder) ApplyShares(now time.Time, a *Answer) {
 	shares := make([]limit.Share, 0, len(a.Grants))
 	for _, g := range a.Grants {
 		h.granted[g.Workspace] = true
@@ -151,4 +151,4 @@
 }
 
 // Len is the number of workspaces that this instance stands for.
-func (h *Holders) Len() int { return h.shared.Len() }
+func (h *Holder) Len() int { return h.shared.Len() }
--- a/node/quota/service.go
+++ b/node/quota/service.go
@@ -65,7 +65,7 @@
 	clock replhost.BootClock
 
 	mu      sync.Mutex
-	holders *Holders
+	holders *Holder
 	// takers are the entry instances of the region that take requests.
 	takers []string
 	avoid  map[string]time.Time
@@ -76,7 +76,7 @@
 
 // New makes a Service that answers on the hub.
 func New(o Options) *Service {
-	s := &Service{o: o, holders: NewHolders(replhost.BootClock{}.Now(), rand.Uint64(), o.Region, o.Regions, o.Tolerance), avoid: map[string]time.Time{}}
+	s := &Service{o: o, holders: NewHolder(replhost.BootClock{}.Now(), rand.Uint64(), o.Region, o.Regions, o.Tolerance), avoid: map[string]time.Time{}}
 	o.Hub.Serve(channelTake, takeWorkers, s.serveTake)
 	o.Hub.Handle(channelBack, s.serveBack)
 	return s
@@ -96,7 +96,7 @@
 		}
 		return limit.Limit{Rate: w.Limit.Rate, Burst: w.Limit.Burst}, true
 	})
-	s.holders.SetEntries(entries, func(name string) bool { return first(name, takers, nil) == s.o.Self })
+	s.holders.SetEntryInstances(entries, func(name string) bool { return first(name, takers, nil) == s.o.Self })
 }
 
 // first is the instance that stands for a workspace among those that are not left out.
@@ -119,9 +119,9 @@
 	began := s.clock.Now()
 	for {
 		v, by := s.ask(ctx, w.Name, units)
-		if v.OK || !v.New || s.clock.Now().Sub(began) > newWait || duty.Pause(ctx, newStep) != nil {
+		if v.Allowed || !v.NoShareYet || s.clock.Now().Sub(began) > newWait || duty.Pause(ctx, newStep) != nil {
 			return exchange.LimitAnswer{
-				OK: v.OK, Wait: time.Duration(v.WaitMillis) * time.Millisecond, By: by, Rate: v.Rate, Leased: v.Leased, Version: v.Version,
+				OK: v.Allowed, Wait: time.Duration(v.WaitMillis) * time.Millisecond, By: by, Rate: v.Rate, Leased: v.Leased, Version: v.Version,
 			}
 		}
 	}
@@ -129,11 +129,11 @@
 
 // ask asks the instance that stands for a workspace, or the next one where that does not
 // answer, and decides alone where none does. by is who has answered.
-func (s *Service) ask(ctx context.Context, workspace string, units float64) (v Verdict, by string) {
+func (s *Service) ask(ctx context.Context, workspace string, units float64) (v ConsumeResponse, by string) {
 	for range mostAsked {
 		to := s.stands(workspace)
 		if to == s.o.Self {
-			if v := s.takeHere(workspace, units); !v.Unknown {
+			if v := s.takeHere(workspace, units); !v.UnknownLimit {
 				return v, to
 			}
 			// The limit has gone from the configuration since the request was identified.
@@ -142,8 +142,8 @@
 		if to == "" {
 			break
 		}
-		v, err := s.call(ctx, to, Question{Workspace: workspace, Units: units})
-		if err == nil && !v.Unknown {
+		v, err := s.call(ctx, to, ConsumeRequest{Workspace: workspace, Units: units})
+		if err == nil && !v.UnknownLimit {
 			return v, to
 		}
 		if err != nil {
@@ -152,17 +152,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holders.TakeAlone(s.clock.Now(), workspace, units), ""
+	return s.holders.ConsumeIsolated(s.clock.Now(), workspace, units), ""
 }
 
-func (s *Service) takeHere(workspace string, units float64) Verdict {
+func (s *Service) takeHere(workspace string, units float64) ConsumeResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holders.Take(s.clock.Now(), workspace, units)
+	return s.holders.Consume(s.clock.Now(), workspace, units)
 }
 
-func (s *Service) call(ctx context.Context, to string, q Question) (Verdict, error) {
-	var v Verdict
+func (s *Service) call(ctx context.Context, to string, q ConsumeRequest) (ConsumeResponse, error) {
+	var v ConsumeResponse
 	payload, err := cbor.Marshal(q)
 	if err != nil {
 		return v, err
@@ -196,13 +196,13 @@
 	case "":
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.holders.BackAlone(s.clock.Now(), w.Name, units)
+		s.holders.RefundIsolated(s.clock.Now(), w.Name, units)
 		return
 	case s.o.Self:
 		s.back(w.Name, units)
 		return
 	}
-	payload, err := cbor.Marshal(Question{Workspace: w.Name, Units: -units})
+	payload, err := cbor.Marshal(ConsumeRequest{Workspace: w.Name, Units: -units})
 	if err != nil {
 		s.o.Log.Error("units of a workspace cannot be given back", zap.Error(err))
 		return
@@ -214,11 +214,11 @@
 func (s *Service) back(workspace string, units float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holders.Back(s.clock.Now(), workspace, units)
+	s.holders.Refund(s.clock.Now(), workspace, units)
 }
 
 func (s *Service) serveTake(_ context.Context, _ string, payload []byte) ([]byte, error) {
-	var q Question
+	var q ConsumeRequest
 	if err := cbor.Unmarshal(payload, &q); err != nil {
 		return nil, err
 	}
@@ -226,7 +226,7 @@
 }
 
 func (s *Service) serveBack(from string, payload []byte) {
-	var q Question
+	var q ConsumeRequest
 	if err := cbor.Unmarshal(payload, &q); err != nil {
 		s.o.Log.Warn("units given back cannot be read", zap.String("from", from), zap.Error(err))
 		return
@@ -287,5 +287,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answered = true
-	s.holders.Granted(s.clock.Now(), &a)
+	s.holders.ApplyShares(s.clock.Now(), &a)
 }
--- a/node/quota/wire.go
+++ b/node/quota/wire.go
@@ -9,10 +9,10 @@
 // Report asks the leader for shares.
 type Report struct {
 	// Life tells one start of the holder from the next.
-	Life   uint64 `cbor:"1,keyasint"`
-	Region string `cbor:"2,keyasint"`
-	Number uint64 `cbor:"3,keyasint"`
-	Rows   []Row  `cbor:"4,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"1,keyasint"`
+	Region      string `cbor:"2,keyasint"`
+	Number      uint64 `cbor:"3,keyasint"`
+	Rows        []Row  `cbor:"4,keyasint,omitempty"`
 }
 
 // Row is what a holder asks for one workspace.
@@ -42,21 +42,21 @@
 
 // Question asks the instance that stands for a workspace to let a request pass. Units below 0
 // give back what a request took that never ran.
-type Question struct {
+type ConsumeRequest struct {
 	Workspace string  `cbor:"1,keyasint"`
 	Units     float64 `cbor:"2,keyasint"`
 }
 
 // Verdict answers a Question.
-type Verdict struct {
-	OK bool `cbor:"1,keyasint,omitempty"`
+type ConsumeResponse struct {
+	Allowed bool `cbor:"1,keyasint,omitempty"`
 	// WaitMillis is when to come back, where not OK.
 	WaitMillis int64 `cbor:"2,keyasint,omitempty"`
 	// New says that no share has come yet since this instance began to stand for the
 	// workspace: one may come any moment.
-	New bool `cbor:"3,keyasint,omitempty"`
+	NoShareYet bool `cbor:"3,keyasint,omitempty"`
 	// Unknown says that the instance's configuration has no such limit.
-	Unknown bool `cbor:"4,keyasint,omitempty"`
+	UnknownLimit bool `cbor:"4,keyasint,omitempty"`
 	// Rate is what the workspace had here, in units per second, where not OK: its share, if
 	// Leased, or what it falls back to. Version is the configuration of its limit.
 	Rate    float64 `cbor:"5,keyasint,omitempty"`
--- a/node/quota/world_test.go
+++ b/node/quota/world_test.go
@@ -27,7 +27,7 @@
 // life is one start of an entry instance.
 type life struct {
 	id, region string
-	holders    *Holders
+	holders    *Holder
 	sentAt     time.Time
 	regularAt  time.Time
 	waits      bool
@@ -79,9 +79,9 @@
 
 func (w *world) start(id, region string) *life {
 	w.started++
-	l := &life{id: id, region: region, holders: NewHolders(w.now, w.started, region, len(regions), Tolerance{})}
+	l := &life{id: id, region: region, holders: NewHolder(w.now, w.started, region, len(regions), Tolerance{})}
 	l.holders.SetLimits(1, func(string) (limit.Limit, bool) { return whole, true })
-	l.holders.SetEntries(len(regions), func(string) bool { return !l.other })
+	l.holders.SetEntryInstances(len(regions), func(string) bool { return !l.other })
 	return l
 }
 
@@ -159,7 +159,7 @@
 			a := w.divider.Report(w.now, m.to.id, m.report)
 			w.send(message{to: m.to, answer: &a})
 		case m.answer != nil:
-			m.to.holders.Granted(w.now, m.answer)
+			m.to.holders.ApplyShares(w.now, m.answer)
 			m.to.waits = false
 		}
 	}
@@ -186,7 +186,7 @@
 	passed, inForce, leased := 0.0, 0.0, 0.0
 	for _, l := range w.lives {
 		for range asked(l) {
-			if l.holders.Take(w.now, workspace, request).OK {
+			if l.holders.Consume(w.now, workspace, request).Allowed {
 				passed += request
 			} else {
 				refused++
@@ -275,7 +275,7 @@
 	now := worldStart
 	d := NewDivider(now.Add(-Lease), 1, regions, nil)
 	ask := func(from string, version uint64, l limit.Limit, number uint64) float64 {
-		a := d.Report(now, from, &Report{Life: 1, Region: "p", Number: number, Rows: []Row{{Workspace: workspace, Version: version, Limit: l, Demand: 5 * rate}}})
+		a := d.Report(now, from, &Report{Incarnation: 1, Region: "p", Number: number, Rows: []Row{{Workspace: workspace, Version: version, Limit: l, Demand: 5 * rate}}})
 		if len(a.Grants) == 0 {
 			return 0
 		}
@@ -302,13 +302,13 @@
 	now := worldStart
 	d := NewDivider(now, 2, regions, []string{"a", "b"})
 	ask := func(from string) int {
-		a := d.Report(now, from, &Report{Life: 7, Region: "p", Number: 1, Rows: []Row{{Workspace: workspace, Version: 1, Limit: whole, Demand: rate}}})
+		a := d.Report(now, from, &Report{Incarnation: 7, Region: "p", Number: 1, Rows: []Row{{Workspace: workspace, Version: 1, Limit: whole, Demand: rate}}})
 		return len(a.Grants)
 	}
-	if ask("a") != 0 || !d.Quiet(now) {
+	if ask("a") != 0 || !d.InGracePeriod(now) {
 		t.Error("granted while one may still hold a share")
 	}
-	if ask("b") != 1 || d.Quiet(now) {
+	if ask("b") != 1 || d.InGracePeriod(now) {
 		t.Error("quiet though all have reported")
 	}
 }
@@ -317,12 +317,12 @@
 func TestThoseAloneLetPassAPart(t *testing.T) {
 	const entries = 74
 	now, passed := worldStart, 0.0
-	h := NewHolders(now, 1, "p", len(regions), Tolerance{})
+	h := NewHolder(now, 1, "p", len(regions), Tolerance{})
 	h.SetLimits(1, func(string) (limit.Limit, bool) { return whole, true })
-	h.SetEntries(entries, func(string) bool { return false })
+	h.SetEntryInstances(entries, func(string) bool { return false })
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		if h.TakeAlone(now, workspace, 1).OK {
+		if h.ConsumeIsolated(now, workspace, 1).Allowed {
 			passed++
 		}
 	}
--- a/node/region.go
+++ b/node/region.go
@@ -34,9 +34,9 @@
 func (r regionView) Owner() string { return r.n.view().Relays[0] }
 
 // Life numbers the lives of a target.
-func (r regionView) Life(target string) uint64 {
-	seen, _ := r.n.loads.Seen(target)
-	return seen.Life
+func (r regionView) Incarnation(target string) uint64 {
+	seen, _ := r.n.loads.LastObservation(target)
+	return seen.Incarnation
 }
 
 // Candidates are the warm targets of a service, least loaded first.
@@ -47,7 +47,7 @@
 		if spec.Service != service || spec.State != route.Warm {
 			continue
 		}
-		seen, _ := r.n.loads.Seen(string(spec.ID))
+		seen, _ := r.n.loads.LastObservation(string(spec.ID))
 		ids = append(ids, string(spec.ID))
 		load[string(spec.ID)] = seen.Running + seen.Waiting
 	}
--- a/node/status.go
+++ b/node/status.go
@@ -290,7 +290,7 @@
 func (n *Node) targetStatus() []*operators.TargetStatus {
 	list := []*operators.TargetStatus{}
 	for _, spec := range n.loads.States() {
-		seen, at := n.loads.Seen(string(spec.ID))
+		seen, at := n.loads.LastObservation(string(spec.ID))
 		t := &operators.TargetStatus{
 			ID:      string(spec.ID),
 			Service: spec.Service,
--- a/node/suspects/suspects.go
+++ b/node/suspects/suspects.go
@@ -50,7 +50,7 @@
 	Others() []string
 	Owner() string
 	// Life numbers the lives of a target, alike at all instances.
-	Life(target string) uint64
+	Incarnation(target string) uint64
 	// Candidates are the warm targets of a service, least loaded first.
 	Candidates(service string) []string
 	// Idle asks a target itself whether it runs nothing.
@@ -141,7 +141,7 @@
 	}
 	var entries []suspect.Entry
 	if e == ports.AttemptCrashed {
-		crash := suspect.Crash{Target: a.target, Life: s.o.Region.Life(a.target)}
+		crash := suspect.Crash{Target: a.target, Life: s.o.Region.Incarnation(a.target)}
 		entries = s.table.Crashed(now, crash)
 	}
 	entries = append(entries, s.table.Ended(now, a.number, e == ports.AttemptFinished)...)
--- a/operate/capacity/bench_test.go
+++ b/operate/capacity/bench_test.go
@@ -40,12 +40,12 @@
 // the link.
 func BenchmarkObservation(b *testing.B) {
 	const engines = 16
-	owner, other := loads.NewBook("owner"), loads.NewBook("other")
+	owner, other := loads.NewTable("owner"), loads.NewTable("other")
 	var targets []loads.Target
 	for i := range engines {
 		targets = append(targets, loads.Target{ID: fmt.Sprintf("runner-%04d", i)})
 	}
-	for _, book := range []*loads.Book{owner, other} {
+	for _, book := range []*loads.Table{owner, other} {
 		book.SetTargets(targets)
 		book.SetMembers([]string{"owner", "other"})
 	}
@@ -54,7 +54,7 @@
 	share := func(observed int) []byte {
 		now = now.Add(5 * time.Second)
 		for i := range observed {
-			_, _ = owner.Polled(now, targets[i].ID, ports.LoadReport{
+			_, _ = owner.HandlePoll(now, targets[i].ID, ports.LoadReport{
 				At: now.Add(-40 * time.Millisecond), Running: 37, Waiting: 12, WaitingTokens: 48_000, KVUsed: 0.8125,
 			}, nil)
 		}
@@ -70,7 +70,7 @@
 	one, all := share(1), share(engines)
 	row := float64(len(all)-len(one)) / (engines - 1)
 	for b.Loop() {
-		if _, _, err := other.Heard(now, all); err != nil {
+		if _, _, err := other.HandleMessage(now, all); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -97,12 +97,14 @@
 		}
 		return float64(len(data))
 	}
-	empty := limits.Part{Index: 60, Number: 70_000}
-	report := func(p ...limits.Part) limits.Report { return limits.Report{Life: 1 << 31, Parts: p} }
+	empty := limits.PartitionReport{Index: 60, Number: 70_000}
+	report := func(p ...limits.PartitionReport) limits.Report {
+		return limits.Report{Incarnation: 1 << 31, Partitions: p}
+	}
 	answer := func(s []limits.ShareRow) limits.Answer {
-		return limits.Answer{Parts: []limits.PartShares{{Index: 60, Number: 70_000, Rows: s}}}
+		return limits.Answer{Partitions: []limits.PartitionShares{{Index: 60, Number: 70_000, Rows: s}}}
 	}
-	full := limits.Part{Index: 60, Number: 70_000, Rows: rows}
+	full := limits.PartitionReport{Index: 60, Number: 70_000, Rows: rows}
 	var up, down float64
 	for b.Loop() {
 		up, down = size(report(full)), size(answer(shares))
--- a/operate/capacity/capacity_test.go
+++ b/operate/capacity/capacity_test.go
@@ -93,7 +93,7 @@
 // Symptom: the table follows an older version of the code. Cause: a number that
 // was changed there and not here.
 func TestNumbersAreThoseOfTheCode(t *testing.T) {
-	if got := time.Second / loads.PaceOf(1, 0, 0).Share; got != batchesPerSecond {
+	if got := time.Second / loads.TimingOf(1, 0, 0).ShareInterval; got != batchesPerSecond {
 		t.Errorf("%d batches a second, here %d", got, batchesPerSecond)
 	}
 	if claim.MaxRecords != maxClaims {
--- a/operate/capacity/duties.go
+++ b/operate/capacity/duties.go
@@ -97,17 +97,17 @@
 func (w worker) owned() float64 { return w.region.targets / w.region.members }
 
 // pace of sharing loads in the region.
-func (w worker) pace() loads.Pace {
-	return loads.PaceOf(int(w.region.members), int(w.region.targets), int(math.Ceil(busiest*w.owned())))
+func (w worker) pace() loads.Timing {
+	return loads.TimingOf(int(w.region.members), int(w.region.targets), int(math.Ceil(busiest*w.owned())))
 }
 
 // observations are the bounds that loads.PaceOf keeps: a message of each other
 // member and a row of each target in an interval, and both within SteadyBytes.
 func (w worker) observations() (messages, rows, bytes float64) {
-	messages = min((w.region.members-1)*batchesPerSecond, loads.SteadyBytes/(w.slopes.of("loads_message_bytes")+w.slopes.of("link_message_bytes")))
-	rows = min(w.region.targets*batchesPerSecond, loads.SteadyBytes/w.slopes.of("observation_bytes"))
+	messages = min((w.region.members-1)*batchesPerSecond, loads.SteadyBytesPerSecond/(w.slopes.of("loads_message_bytes")+w.slopes.of("link_message_bytes")))
+	rows = min(w.region.targets*batchesPerSecond, loads.SteadyBytesPerSecond/w.slopes.of("observation_bytes"))
 	bytes = messages*loads.MessageBytes + rows*loads.LoadBytes
-	return messages, rows, min(bytes, loads.SteadyBytes) + loads.ExtraBytes
+	return messages, rows, min(bytes, loads.SteadyBytesPerSecond) + loads.ExtraBytesPerSecond
 }
 
 func (w worker) loadsIn() Duty {
@@ -135,7 +135,7 @@
 }
 
 func (w worker) polls() Duty {
-	n := w.owned() * (1/w.pace().Poll.Seconds() + eventsPerSecond)
+	n := w.owned() * (1/w.pace().PollInterval.Seconds() + eventsPerSecond)
 	bytes := n * w.slopes.of("poll_bytes")
 	return Duty{
 		Name: "polls of targets", State: "when each was polled", Mark: Derived,
