--- a/node/quota/divider.go
+++ b/node/quota/divider.go
@@ -7,37 +7,37 @@
 	"github.com/gullhaven/gullhaven/coord/limit"
 )
 
-// Divider divides limits over their holders at the leader of one term. It has no input or
-// output and a single owner.
+// Divider divides limits among their holders, at the leader and for one term. It does no input
+// or output and is not safe for concurrent use.
 type Divider struct {
 	allocator *limit.Allocator
-	// limits are those that holders told, the newest of each workspace.
-	limits  map[string]told
+	// limits are the newest reported limit of each workspace.
+	limits  map[string]reportedLimit
 	sweepAt time.Time
-	// awaited are the holders that may hold a predecessor's shares and have not reported yet.
+	// awaited are the instances that may hold a previous leader's shares and have not reported
+	// in this term.
 	awaited map[string]bool
-	// heardAt is when each holder reported last in this term, which began at since.
-	heardAt map[string]time.Time
-	since   time.Time
+	// heardAt is when each instance last reported in this term, which began at since.
+	lastReportAt map[string]time.Time
+	startedAt    time.Time
 }
 
-type told struct {
+type reportedLimit struct {
 	version uint64
 	limit   limit.Limit
 	at      time.Time
 }
 
-// limitLife is how long a limit is remembered after the last report of it: longer than any
-// share.
-const limitLife = 10 * Lease
+// limitRetention is how long a limit is kept after its last report: longer than any share lasts.
+const limitRetention = 10 * Lease
 
-// NewDivider makes the Divider of a term, which follows that of an earlier one. regions each
-// have an equal part of a limit to fall back to. known are all that may hold shares of a
-// predecessor: once each of them has reported in this term nothing is left unknown.
+// NewDivider returns the Divider of a term. Each of regions has an equal part of a limit as its
+// floor. known are all instances that may hold shares granted by a previous leader: once each
+// of them has reported in this term, all shares in force are known.
 func NewDivider(now time.Time, term uint64, regions, known []string) *Divider {
-	d := &Divider{limits: map[string]told{}, awaited: map[string]bool{}, heardAt: map[string]time.Time{}, since: now, sweepAt: now.Add(Lease)}
+	d := &Divider{limits: map[string]reportedLimit{}, awaited: map[string]bool{}, lastReportAt: map[string]time.Time{}, startedAt: now, sweepAt: now.Add(Lease)}
 	d.allocator = limit.NewAllocator(now, d.lookup, Lease, regions)
-	// The sequences of terms do not meet: a term grants fewer shares than this.
+	// Sequence numbers of different terms must not overlap: a term grants fewer than 2^40 shares.
 	const grantsOfTerm = 40
 	d.allocator.Resume(term << grantsOfTerm)
 	d.allocator.SetProportional()
@@ -48,23 +48,23 @@
 }
 
 func (d *Divider) lookup(id limit.ID) (limit.Limit, bool) {
-	t, ok := d.limits[id.Workspace]
-	return t.limit, ok && id.Resource == limit.Tokens
+	r, ok := d.limits[id.Workspace]
+	return r.limit, ok && id.Resource == limit.Tokens
 }
 
-// Report takes a holder's report.
+// Report handles the report of the instance from, and returns its shares.
 func (d *Divider) Report(now time.Time, from string, r *Report) Answer {
 	if !now.Before(d.sweepAt) {
 		d.sweep(now)
 	}
 	demands := make([]limit.Demand, 0, len(r.Rows))
 	for _, row := range r.Rows {
-		d.tell(now, &row)
+		d.recordLimit(now, &row)
 		demands = append(demands, limit.Demand{
 			ID: limit.ID{Workspace: row.Workspace, Resource: limit.Tokens}, Rate: row.Demand, Held: row.Held, Share: row.Share,
 		})
 	}
-	d.heard(now, from)
+	d.recordReport(now, from)
 	holder := limit.Holder{Instance: r.Region, Name: fmt.Sprintf("%s/%x", from, r.Incarnation)}
 	shares := d.allocator.ReportOf(now, holder, r.Number, demands)
 	a := Answer{Number: r.Number}
@@ -74,22 +74,23 @@
 	return a
 }
 
-// tell keeps the newest limit of a workspace.
-func (d *Divider) tell(now time.Time, row *Row) {
+// recordLimit keeps the newest limit of a workspace.
+func (d *Divider) recordLimit(now time.Time, row *Row) {
 	if row.Limit.Rate <= 0 {
 		return
 	}
-	t := d.limits[row.Workspace]
-	if row.Version >= t.version {
-		t.version, t.limit = row.Version, row.Limit
+	r := d.limits[row.Workspace]
+	if row.Version >= r.version {
+		r.version, r.limit = row.Version, row.Limit
 	}
-	t.at = now
-	d.limits[row.Workspace] = t
+	r.at = now
+	d.limits[row.Workspace] = r
 }
 
-// heard notes that what an instance holds is known: its earlier lives have ended.
-func (d *Divider) heard(now time.Time, from string) {
-	d.heardAt[from] = now
+// recordReport records that the shares of an instance are known: its earlier incarnations have
+// ended.
+func (d *Divider) recordReport(now time.Time, from string) {
+	d.lastReportAt[from] = now
 	if !d.awaited[from] {
 		return
 	}
@@ -99,21 +100,22 @@
 	}
 }
 
-// goneAfter is the silence after which an instance is taken off those that may hold shares:
-// long after its last share has ended.
-const goneAfter = 20 * Lease
+// silentAfter is the time without a report after which an instance no longer counts among those
+// that may hold shares: long after its last share has ended.
+const silentAfter = 20 * Lease
 
-// Gone are those of known that may hold shares and have been silent for long.
+// Silent returns the instances of known that have not reported for longer than silentAfter, and
+// forgets their reports.
 func (d *Divider) Silent(now time.Time, known []string) []string {
 	var out []string
 	for _, id := range known {
-		at, ok := d.heardAt[id]
+		at, ok := d.lastReportAt[id]
 		if !ok {
-			at = d.since
+			at = d.startedAt
 		}
-		if now.Sub(at) > goneAfter {
+		if now.Sub(at) > silentAfter {
 			out = append(out, id)
-			delete(d.heardAt, id)
+			delete(d.lastReportAt, id)
 		}
 	}
 	return out
@@ -122,12 +124,12 @@
 func (d *Divider) sweep(now time.Time) {
 	d.sweepAt = now.Add(Lease / 3)
 	d.allocator.Sweep(now)
-	for name, t := range d.limits {
-		if now.Sub(t.at) > limitLife {
+	for name, r := range d.limits {
+		if now.Sub(r.at) > limitRetention {
 			delete(d.limits, name)
 		}
 	}
 }
 
-// Quiet reports whether shares of a predecessor may be in use that are not known.
+// InGracePeriod reports whether unknown shares of a previous leader may still be in use.
 func (d *Divider) InGracePeriod(now time.Time) bool { return d.allocator.Quiet(now) }
--- a/node/quota/effective.go
+++ b/node/quota/effective.go
@@ -6,8 +6,8 @@
 	"github.com/gullhaven/gullhaven/coord/limit"
 )
 
-// Tolerance is what the platform lets all instances together pass beyond a limit in a
-// window: Share of what the limit gives in it, and Units beside it. The zero value is none.
+// Tolerance is how much all instances together may pass beyond a limit in a Window: Share
+// (0 to 1) of what the limit allows in the window, plus Units. The zero value allows nothing.
 type Tolerance struct {
 	Window time.Duration
 	Share  float64
@@ -15,15 +15,16 @@
 }
 
 const (
-	// rateTolerance is the part of a tolerance that is spent on the rate, and burstTolerance
-	// on bursts. The rest is for requests in debt and for the cases of the package comment.
+	// rateTolerance is the fraction of a tolerance that is added to the rate, burstTolerance the
+	// one that is given to bursts. The rest covers requests that overdraw a bucket and the
+	// cases in the package comment.
 	rateTolerance  = 0.5
 	burstTolerance = 0.35
 )
 
-// Effective is the limit that is divided. A limit gives rate*window + burst in each window,
-// so a flood that lasts is let through at that over the window, and a little more: what the
-// holders cannot use at once is lost. Two bursts, as coord/limit may pass, fill the rest.
+// Effective returns the limit that is divided among holders. l allows rate*window + burst in
+// each window, so a lasting flood passes at that amount over the window and a little more, as
+// what holders can't use at once is lost. The rest is for two bursts, which coord/limit may pass.
 func (t Tolerance) Effective(l limit.Limit) limit.Limit {
 	window := t.Window.Seconds()
 	if window <= 0 {
--- a/node/quota/holder.go
+++ b/node/quota/holder.go
@@ -6,59 +6,60 @@
 	"github.com/gullhaven/gullhaven/coord/limit"
 )
 
-// Holders are the shares of one entry instance: of the workspaces that it stands for in its
-// region, and what it lets pass by itself where it reaches none that stands for one. It has
-// no input or output and a single owner.
+// Holder keeps the shares of one entry instance for the workspaces that it owns in its region,
+// and the buckets that it uses for a workspace if it reaches no owner. It does no input or
+// output and is not safe for concurrent use.
 type Holder struct {
-	life uint64
-	// bornAt is when the instance started.
-	bornAt    time.Time
+	incarnation uint64
+	// startedAt is when the instance started.
+	startedAt time.Time
 	region    string
 	tolerance Tolerance
-	// limits are those of the configuration in force.
-	limits  func(workspace string) (limit.Limit, bool)
-	version uint64
-	shared  *limit.Limiter
-	alone   *limit.Limiter
-	// entries is the largest number of entry instances known at once.
+	// limits returns the limit of a workspace in the configuration in force, which is version.
+	limits   func(workspace string) (limit.Limit, bool)
+	version  uint64
+	shared   *limit.Limiter
+	isolated *limit.Limiter
+	// entries is the largest number of entry instances ever known at once.
 	entries int
-	// granted are the workspaces of which a share came since this instance began to stand
-	// for them.
+	// granted are the workspaces of which a share has arrived since this instance became their
+	// owner.
 	granted map[string]bool
 }
 
-// aloneShare is the part of its equal part of a limit that an instance lets pass alone: those
-// that it cannot reach go on with all of the limit.
-const aloneShare = 0.5
+// isolatedShare is the fraction of its equal part of a limit that an isolated instance allows:
+// the instances that it can't reach go on with all of the limit.
+const isolatedShare = 0.5
 
-// fewestEntries is the least number of entry instances that a limit is shared among by one
-// that is alone: it may know few as it has just started.
-const fewestEntries = 6
+// minEntries is the least number of entry instances by which an isolated instance divides a
+// limit, as it may know few if it has just started.
+const minEntries = 6
 
-// pace follows demand that moves between regions within three seconds: see limit.SetPace.
-const pace = 0.25
+// timeScale lets shares follow demand that moves between regions within three seconds: see
+// package coord/limit.
+const timeScale = 0.25
 
-// NewHolders makes the Holders of one life of an instance. regions is the number of regions
-// of the site.
-func NewHolder(now time.Time, life uint64, region string, regions int, t Tolerance) *Holder {
+// NewHolder returns the Holder of one incarnation of an instance. regions is the number of
+// regions of the site.
+func NewHolder(now time.Time, incarnation uint64, region string, regions int, t Tolerance) *Holder {
 	h := &Holder{
-		life: life, bornAt: now, region: region, tolerance: t, entries: fewestEntries, granted: map[string]bool{},
+		incarnation: incarnation, startedAt: now, region: region, tolerance: t, entries: minEntries, granted: map[string]bool{},
 		limits: func(string) (limit.Limit, bool) { return limit.Limit{}, false },
 	}
 	h.shared = limit.NewLimiter(h.lookup, regions, Lease)
-	h.shared.SetPace(pace)
+	h.shared.SetPace(timeScale)
 	h.shared.SetWait(0)
-	h.alone = limit.NewLimiter(h.lookupAlone, 1, 0)
+	h.isolated = limit.NewLimiter(h.lookupIsolated, 1, 0)
 	return h
 }
 
-// SetLimits tells the limits of a configuration.
+// SetLimits replaces the limits by those of a configuration version.
 func (h *Holder) SetLimits(version uint64, limits func(workspace string) (limit.Limit, bool)) {
 	h.version, h.limits = version, limits
 }
 
-// SetEntries tells how many entry instances there are, and for which workspaces this one
-// stands.
+// SetEntryInstances sets the number of entry instances of all regions, and which workspaces this
+// instance owns.
 func (h *Holder) SetEntryInstances(entries int, owns func(workspace string) bool) {
 	h.entries = max(h.entries, entries)
 	h.shared.SetOwned(func(id limit.ID) bool { return owns(id.Workspace) })
@@ -72,17 +73,17 @@
 	return h.tolerance.Effective(l), ok
 }
 
-func (h *Holder) lookupAlone(id limit.ID) (limit.Limit, bool) {
+func (h *Holder) lookupIsolated(id limit.ID) (limit.Limit, bool) {
 	l, ok := h.lookup(id)
-	return l.Scaled(aloneShare / float64(h.entries)), ok
+	return l.Scaled(isolatedShare / float64(h.entries)), ok
 }
 
-// Take lets a request of a workspace pass for which this instance stands.
+// Consume takes the units of a request from the share of a workspace that this instance owns.
 func (h *Holder) Consume(now time.Time, workspace string, units float64) ConsumeResponse {
 	if _, known := h.limits(workspace); !known {
 		return ConsumeResponse{UnknownLimit: true}
 	}
-	if now.Sub(h.bornAt) >= Lease {
+	if now.Sub(h.startedAt) >= Lease {
 		h.shared.SetWait(Lease)
 	}
 	ok, wait := h.shared.TakeTokens(now, workspace, units)
@@ -95,25 +96,26 @@
 	}
 }
 
-// TakeAlone lets a request pass where none is reached that stands for the workspace.
+// ConsumeIsolated takes the units of a request from the isolated part of the limit, for use if no
+// owner of the workspace is reached.
 func (h *Holder) ConsumeIsolated(now time.Time, workspace string, units float64) ConsumeResponse {
-	ok, wait := h.alone.TakeTokens(now, workspace, units)
-	state := h.alone.State(now, limit.ID{Workspace: workspace, Resource: limit.Tokens})
+	ok, wait := h.isolated.TakeTokens(now, workspace, units)
+	state := h.isolated.State(now, limit.ID{Workspace: workspace, Resource: limit.Tokens})
 	return ConsumeResponse{Allowed: ok, WaitMillis: wait.Milliseconds(), Rate: state.Rate, Version: h.version}
 }
 
-// Back gives back what a request took that never ran.
+// Refund returns the units consumed by a request that never ran.
 func (h *Holder) Refund(now time.Time, workspace string, units float64) {
 	h.shared.Refund(now, workspace, units)
 }
 
-// BackAlone gives back what TakeAlone took.
+// RefundIsolated returns units consumed with ConsumeIsolated.
 func (h *Holder) RefundIsolated(now time.Time, workspace string, units float64) {
-	h.alone.Refund(now, workspace, units)
+	h.isolated.Refund(now, workspace, units)
 }
 
-// Report asks for shares of all workspaces, or of those that should not wait; false where
-// there is nothing urgent.
+// Report returns the report that requests shares of all owned workspaces, or, if urgent, of those
+// that should not wait for the regular report. It returns false if urgent and there are none.
 func (h *Holder) Report(now time.Time, urgent bool) (*Report, bool) {
 	var number uint64
 	var demands []limit.Demand
@@ -121,10 +123,10 @@
 		number, demands = h.shared.Urgent(now)
 	} else {
 		number, demands = h.shared.Report(now)
-		// What is let pass alone is reported to nobody; buckets that are not used are forgotten.
-		h.alone.Report(now)
+		// The isolated use isn't reported to anyone; this call drops unused buckets.
+		h.isolated.Report(now)
 	}
-	r := &Report{Incarnation: h.life, Region: h.region, Number: number}
+	r := &Report{Incarnation: h.incarnation, Region: h.region, Number: number}
 	for _, d := range demands {
 		row := Row{Workspace: d.ID.Workspace, Version: h.version, Demand: d.Rate, Held: d.Held, Share: d.Share}
 		if l, ok := h.lookup(d.ID); ok {
@@ -138,7 +140,7 @@
 	return r, !urgent || len(demands) > 0
 }
 
-// Granted takes the leader's answer.
+// ApplyShares applies the leader's answer to a report.
 func (h *Holder) ApplyShares(now time.Time, a *Answer) {
 	shares := make([]limit.Share, 0, len(a.Grants))
 	for _, g := range a.Grants {
@@ -150,5 +152,5 @@
 	h.shared.Granted(now, a.Number, shares)
 }
 
-// Len is the number of workspaces that this instance stands for.
+// Len returns the number of workspaces with a bucket at this instance as their owner.
 func (h *Holder) Len() int { return h.shared.Len() }
--- a/node/quota/service.go
+++ b/node/quota/service.go
@@ -20,32 +20,32 @@
 
 // Channels of the link between entry instances.
 const (
-	channelTake = "limit-take"
-	channelBack = "limit-back"
-	// ChannelReport is where core instances take reports.
+	channelConsume = "limit-take"
+	channelRefund  = "limit-back"
+	// ChannelReport is the channel on which core instances receive reports.
 	ChannelReport = "limit-report"
 )
 
 const (
-	// takeWorkers bounds the questions that are answered at once.
-	takeWorkers = 64
-	// takeTime bounds a question: a round trip inside a region and a busy instance.
-	takeTime = 40 * time.Millisecond
-	// avoidFor is how long an instance that did not answer is not asked.
-	avoidFor = 500 * time.Millisecond
-	// reportTime bounds a report: a trip to the leader, which may be another region's, and back.
-	reportTime = 600 * time.Millisecond
-	// newWait is how long a request waits for the first share of a workspace, in steps of
-	// newStep: after a loss of power of all, the leader and the instances that stand for
-	// workspaces are found within a second.
-	newWait = 600 * time.Millisecond
-	newStep = 60 * time.Millisecond
-	// mostAsked is how many instances are asked for one request.
-	mostAsked = 2
+	// consumeWorkers is the number of ConsumeRequests that are served concurrently.
+	consumeWorkers = 64
+	// consumeTimeout bounds a call to the owner: a round trip inside a region and a busy instance.
+	consumeTimeout = 40 * time.Millisecond
+	// avoidDuration is how long an instance that did not answer is not called.
+	avoidDuration = 500 * time.Millisecond
+	// reportTimeout bounds a report: a round trip to the leader, which may be in another region.
+	reportTimeout = 600 * time.Millisecond
+	// firstShareWait is how long a request waits for the first share of a workspace, retrying
+	// every firstShareInterval: after a power loss of all instances, the leader and the owners
+	// of workspaces are found within a second.
+	firstShareWait     = 600 * time.Millisecond
+	firstShareInterval = 60 * time.Millisecond
+	// maxOwnersCalled is the number of instances called for one request.
+	maxOwnersCalled = 2
 )
 
-// Channels lists the link channels whose messages are urgent.
-func Channels() []string { return []string{channelTake, channelBack} }
+// Channels returns the link channels whose messages are urgent.
+func Channels() []string { return []string{channelConsume, channelRefund} }
 
 // Options of a Service.
 type Options struct {
@@ -54,57 +54,59 @@
 	Regions   int
 	Tolerance Tolerance
 	Hub       *link.Hub
-	// Core is the core instance to report to.
+	// Core returns the ID of the core instance to report to.
 	Core func() string
 	Log  *zap.Logger
 }
 
-// Service runs the Holders of an entry instance and asks those of others.
+// Service runs the Holder of an entry instance and calls the Holders of other instances.
 type Service struct {
 	o     Options
 	clock replhost.BootClock
 
-	mu      sync.Mutex
-	holders *Holder
-	// takers are the entry instances of the region that take requests.
-	takers []string
-	avoid  map[string]time.Time
-	// keyed says that there are workspaces at all, answered that a leader has answered.
-	keyed, answered bool
-	reportedAt      time.Time
+	mu     sync.Mutex
+	holder *Holder
+	// accepting are the entry instances of the region that accept requests.
+	accepting  []string
+	avoidUntil map[string]time.Time
+	// hasWorkspaces is set if the configuration has workspaces, leaderAnswered once a leader has
+	// answered.
+	hasWorkspaces, leaderAnswered bool
+	reportedAt                    time.Time
 }
 
-// New makes a Service that answers on the hub.
+// New returns a Service and registers its channels at the hub.
 func New(o Options) *Service {
-	s := &Service{o: o, holders: NewHolder(replhost.BootClock{}.Now(), rand.Uint64(), o.Region, o.Regions, o.Tolerance), avoid: map[string]time.Time{}}
-	o.Hub.Serve(channelTake, takeWorkers, s.serveTake)
-	o.Hub.Handle(channelBack, s.serveBack)
+	s := &Service{o: o, holder: NewHolder(replhost.BootClock{}.Now(), rand.Uint64(), o.Region, o.Regions, o.Tolerance), avoidUntil: map[string]time.Time{}}
+	o.Hub.Serve(channelConsume, consumeWorkers, s.serveConsume)
+	o.Hub.Handle(channelRefund, s.serveRefund)
 	return s
 }
 
-// SetView tells the configuration in force, the entry instances of the region that take
+// SetView sets the configuration in force, the entry instances of the region that accept
 // requests, and the number of entry instances of all regions.
-func (s *Service) SetView(x *routes.Index, takers []string, entries int) {
+func (s *Service) SetView(x *routes.Index, accepting []string, entries int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keyed = x.Table.Keyed
-	s.takers = takers
-	s.holders.SetLimits(x.Table.Version, func(name string) (limit.Limit, bool) {
+	s.hasWorkspaces = x.Table.Keyed
+	s.accepting = accepting
+	s.holder.SetLimits(x.Table.Version, func(name string) (limit.Limit, bool) {
 		w := x.WorkspaceNamed(name)
 		if w == nil || w.Limit.Rate <= 0 {
 			return limit.Limit{}, false
 		}
 		return limit.Limit{Rate: w.Limit.Rate, Burst: w.Limit.Burst}, true
 	})
-	s.holders.SetEntryInstances(entries, func(name string) bool { return first(name, takers, nil) == s.o.Self })
+	s.holder.SetEntryInstances(entries, func(name string) bool { return ownerAmong(name, accepting, nil) == s.o.Self })
 }
 
-// first is the instance that stands for a workspace among those that are not left out.
-func first(workspace string, takers []string, out func(id string) bool) string {
+// ownerAmong returns the owner of a workspace among the members that are not excluded, by
+// rendezvous hashing; "" if there are none. excluded may be nil.
+func ownerAmong(workspace string, members []string, excluded func(id string) bool) string {
 	var best string
 	var most uint64
-	for _, id := range takers {
-		if out != nil && out(id) {
+	for _, id := range members {
+		if excluded != nil && excluded(id) {
 			continue
 		}
 		if w := xxhash.Sum64String(workspace + " " + id); best == "" || w > most {
@@ -118,8 +120,8 @@
 func (s *Service) Take(ctx context.Context, w *routes.Workspace, units float64) exchange.LimitAnswer {
 	began := s.clock.Now()
 	for {
-		v, by := s.ask(ctx, w.Name, units)
-		if v.Allowed || !v.NoShareYet || s.clock.Now().Sub(began) > newWait || duty.Pause(ctx, newStep) != nil {
+		v, by := s.consumeAtOwner(ctx, w.Name, units)
+		if v.Allowed || !v.NoShareYet || s.clock.Now().Sub(began) > firstShareWait || duty.Pause(ctx, firstShareInterval) != nil {
 			return exchange.LimitAnswer{
 				OK: v.Allowed, Wait: time.Duration(v.WaitMillis) * time.Millisecond, By: by, Rate: v.Rate, Leased: v.Leased, Version: v.Version,
 			}
@@ -127,16 +129,16 @@
 	}
 }
 
-// ask asks the instance that stands for a workspace, or the next one where that does not
-// answer, and decides alone where none does. by is who has answered.
-func (s *Service) ask(ctx context.Context, workspace string, units float64) (v ConsumeResponse, by string) {
-	for range mostAsked {
-		to := s.stands(workspace)
+// consumeAtOwner calls the owner of a workspace, or the next one if it doesn't answer, and decides
+// by the isolated part if neither does. by is the instance that decided, "" for the isolated part.
+func (s *Service) consumeAtOwner(ctx context.Context, workspace string, units float64) (v ConsumeResponse, by string) {
+	for range maxOwnersCalled {
+		to := s.owner(workspace)
 		if to == s.o.Self {
-			if v := s.takeHere(workspace, units); !v.UnknownLimit {
+			if v := s.consumeLocal(workspace, units); !v.UnknownLimit {
 				return v, to
 			}
-			// The limit has gone from the configuration since the request was identified.
+			// The limit was removed from the configuration since the request was identified.
 			break
 		}
 		if to == "" {
@@ -147,47 +149,47 @@
 			return v, to
 		}
 		if err != nil {
-			s.avoidNow(to)
+			s.startAvoiding(to)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holders.ConsumeIsolated(s.clock.Now(), workspace, units), ""
+	return s.holder.ConsumeIsolated(s.clock.Now(), workspace, units), ""
 }
 
-func (s *Service) takeHere(workspace string, units float64) ConsumeResponse {
+func (s *Service) consumeLocal(workspace string, units float64) ConsumeResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holders.Consume(s.clock.Now(), workspace, units)
+	return s.holder.Consume(s.clock.Now(), workspace, units)
 }
 
-func (s *Service) call(ctx context.Context, to string, q ConsumeRequest) (ConsumeResponse, error) {
+func (s *Service) call(ctx context.Context, to string, r ConsumeRequest) (ConsumeResponse, error) {
 	var v ConsumeResponse
-	payload, err := cbor.Marshal(q)
+	payload, err := cbor.Marshal(r)
 	if err != nil {
 		return v, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, takeTime)
+	ctx, cancel := context.WithTimeout(ctx, consumeTimeout)
 	defer cancel()
-	answer, err := s.o.Hub.Call(ctx, to, channelTake, payload)
+	answer, err := s.o.Hub.Call(ctx, to, channelConsume, payload)
 	if err != nil {
 		return v, err
 	}
 	return v, cbor.Unmarshal(answer, &v)
 }
 
-// stands is the instance to ask of a workspace; empty if none is known.
-func (s *Service) stands(workspace string) string {
+// owner returns the instance to call for a workspace, "" if none is known or all are avoided.
+func (s *Service) owner(workspace string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	return first(workspace, s.takers, func(id string) bool { return now.Before(s.avoid[id]) })
+	return ownerAmong(workspace, s.accepting, func(id string) bool { return now.Before(s.avoidUntil[id]) })
 }
 
-func (s *Service) avoidNow(id string) {
+func (s *Service) startAvoiding(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.avoid[id] = s.clock.Now().Add(avoidFor)
+	s.avoidUntil[id] = s.clock.Now().Add(avoidDuration)
 }
 
 // Return implements exchange.Limits.
@@ -196,10 +198,10 @@
 	case "":
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.holders.RefundIsolated(s.clock.Now(), w.Name, units)
+		s.holder.RefundIsolated(s.clock.Now(), w.Name, units)
 		return
 	case s.o.Self:
-		s.back(w.Name, units)
+		s.refundLocal(w.Name, units)
 		return
 	}
 	payload, err := cbor.Marshal(ConsumeRequest{Workspace: w.Name, Units: -units})
@@ -207,35 +209,35 @@
 		s.o.Log.Error("units of a workspace cannot be given back", zap.Error(err))
 		return
 	}
-	// A lost message costs the workspace a request.
-	s.o.Hub.Send(a.By, channelBack, payload)
+	// If the message is lost, the workspace loses these units.
+	s.o.Hub.Send(a.By, channelRefund, payload)
 }
 
-func (s *Service) back(workspace string, units float64) {
+func (s *Service) refundLocal(workspace string, units float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holders.Refund(s.clock.Now(), workspace, units)
+	s.holder.Refund(s.clock.Now(), workspace, units)
 }
 
-func (s *Service) serveTake(_ context.Context, _ string, payload []byte) ([]byte, error) {
-	var q ConsumeRequest
-	if err := cbor.Unmarshal(payload, &q); err != nil {
+func (s *Service) serveConsume(_ context.Context, _ string, payload []byte) ([]byte, error) {
+	var r ConsumeRequest
+	if err := cbor.Unmarshal(payload, &r); err != nil {
 		return nil, err
 	}
-	return cbor.Marshal(s.takeHere(q.Workspace, max(0, q.Units)))
+	return cbor.Marshal(s.consumeLocal(r.Workspace, max(0, r.Units)))
 }
 
-func (s *Service) serveBack(from string, payload []byte) {
-	var q ConsumeRequest
-	if err := cbor.Unmarshal(payload, &q); err != nil {
+func (s *Service) serveRefund(from string, payload []byte) {
+	var r ConsumeRequest
+	if err := cbor.Unmarshal(payload, &r); err != nil {
 		s.o.Log.Warn("units given back cannot be read", zap.String("from", from), zap.Error(err))
 		return
 	}
-	s.back(q.Workspace, max(0, -q.Units))
+	s.refundLocal(r.Workspace, max(0, -r.Units))
 }
 
-// Run reports until ctx ends. One report is under way at a time: the answer to an overtaken
-// one would be dropped.
+// Run sends reports until ctx ends, one at a time: the answer to a report that a later one
+// overtook would be dropped.
 func (s *Service) Run(ctx context.Context) {
 	duty.Every(ctx, urgentInterval, func(time.Time) {
 		if r := s.due(); r != nil {
@@ -244,20 +246,20 @@
 	})
 }
 
-// due is the report to send now; nil for none.
+// due returns the report to send now, or nil.
 func (s *Service) due() *Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.keyed {
+	if !s.hasWorkspaces {
 		return nil
 	}
 	now := s.clock.Now()
 	interval := reportInterval
-	if s.answered && s.holders.Len() == 0 {
+	if s.leaderAnswered && s.holder.Len() == 0 {
 		interval = idleInterval
 	}
 	urgent := now.Sub(s.reportedAt) < interval
-	r, ok := s.holders.Report(now, urgent)
+	r, ok := s.holder.Report(now, urgent)
 	if !ok {
 		return nil
 	}
@@ -273,7 +275,7 @@
 		s.o.Log.Error("a report of limits cannot be written", zap.Error(err))
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	data, err := s.o.Hub.Call(ctx, s.o.Core(), ChannelReport, payload)
 	var a Answer
@@ -286,6 +288,6 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered = true
-	s.holders.ApplyShares(s.clock.Now(), &a)
+	s.leaderAnswered = true
+	s.holder.ApplyShares(s.clock.Now(), &a)
 }
--- a/node/quota/service_test.go
+++ b/node/quota/service_test.go
@@ -31,7 +31,7 @@
 	_ = i.server.Close()
 }
 
-// listen makes a hub with a server.
+// listen starts a hub and its server, and returns its ID.
 func listen(t *testing.T) (string, *link.Hub, *http.Server) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 
 var regions = []string{"p", "q", "r"}
 
-// leader is a core instance that divides limits.
+// leader starts a core instance that divides limits, and returns its ID.
 func leader(t *testing.T) string {
 	t.Helper()
 	id, hub, _ := listen(t)
@@ -72,8 +72,8 @@
 	return id
 }
 
-// start starts n instances that know each other, with a limit that lets pass a burst of 60 and
-// next to nothing after it: of that each region is lent a third of the half.
+// start starts n instances that know each other. The limit allows a burst of 60 and almost no rate,
+// so a region's floor burst is a third of half of that.
 func start(t *testing.T, n int) []*instance {
 	t.Helper()
 	core := leader(t)
@@ -86,19 +86,19 @@
 		})
 		all = append(all, i)
 	}
-	know(all, table(limited))
+	setViews(all, table(limited))
 	return all
 }
 
-const lent = 10
+const floorBurst = 10
 
-var limited = routes.Workspace{Name: "w", Keys: []routes.KeyDigest{routes.DigestKey("k")}, Limit: routes.UseLimit{Rate: 1e-9, Burst: 6 * lent}}
+var limited = routes.Workspace{Name: "w", Keys: []routes.KeyDigest{routes.DigestKey("k")}, Limit: routes.UseLimit{Rate: 1e-9, Burst: 6 * floorBurst}}
 
 func table(list ...routes.Workspace) *routes.Index {
 	return routes.NewIndex(&routes.Table{Version: 1, Keyed: true, Workspaces: list})
 }
 
-func know(all []*instance, x *routes.Index) {
+func setViews(all []*instance, x *routes.Index) {
 	var ids []string
 	for _, i := range all {
 		ids = append(ids, i.id)
@@ -108,9 +108,9 @@
 	}
 }
 
-// passes asks all instances in turn, and returns how many of the requests passed, and who was
-// asked last.
-func passes(all []*instance, requests int) (passed int, by string) {
+// consume sends requests to all instances in turn. It returns how many passed and which instance
+// decided on the last refused one.
+func consume(all []*instance, requests int) (passed int, by string) {
 	for n := range requests {
 		a := all[n%len(all)].s.Take(context.Background(), &limited, 1)
 		if a.OK {
@@ -122,8 +122,8 @@
 	return passed, by
 }
 
-// run has an instance's first share come, so that no request waits for it.
-func run(t *testing.T, all []*instance) {
+// startReports lets the first share of an instance arrive, so that no request waits for it.
+func startReports(t *testing.T, all []*instance) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for _, i := range all {
@@ -132,25 +132,24 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// Guards against a limit that each instance of a region spends by itself.
-func TestOneInstanceStandsForAWorkspace(t *testing.T) {
+// Guards against a limit that each instance of a region allows separately.
+func TestOneInstanceOwnsAWorkspace(t *testing.T) {
 	all := start(t, 4)
-	run(t, all)
-	passed, by := passes(all, 4*lent)
-	if passed < lent || passed > lent+1 {
-		t.Errorf("%d of %d requests passed, %d are allowed", passed, 4*lent, lent)
+	startReports(t, all)
+	passed, by := consume(all, 4*floorBurst)
+	if passed < floorBurst || passed > floorBurst+1 {
+		t.Errorf("%d of %d requests passed, %d are allowed", passed, 4*floorBurst, floorBurst)
 	}
 	if by == "" {
-		t.Error("the last refusal does not tell who stands for the workspace")
+		t.Error("the last refusal does not name the owner of the workspace")
 	}
 }
 
-// Guards against a workspace that is shut out because the instance that stood for it ended,
-// and against one that is let pass without bound then.
-func TestAnotherInstanceStandsInForOneThatEnds(t *testing.T) {
+// Guards against a workspace whose requests are all refused, or all allowed, after its owner ended.
+func TestNextOwnerTakesOver(t *testing.T) {
 	all := start(t, 3)
-	run(t, all)
-	_, by := passes(all, 4*lent)
+	startReports(t, all)
+	_, by := consume(all, 4*floorBurst)
 	var left []*instance
 	for _, i := range all {
 		if i.id == by {
@@ -159,33 +158,33 @@
 			left = append(left, i)
 		}
 	}
-	passed, next := passes(left, 4*lent)
-	if passed < lent || passed > lent+1 || next == by {
-		t.Errorf("%d requests passed, %d are lent to the next one; asked %q after %q", passed, lent, next, by)
+	passed, next := consume(left, 4*floorBurst)
+	if passed < floorBurst || passed > floorBurst+1 || next == by {
+		t.Errorf("%d requests passed, the next owner allows a burst of %d; called %q after %q", passed, floorBurst, next, by)
 	}
 }
 
-// Guards against units lost for requests that were turned away later.
-func TestUnitsOfOtherInstancesAreGivenBack(t *testing.T) {
+// Guards against units lost for requests that were rejected later.
+func TestUnitsAreRefundedAtTheOwner(t *testing.T) {
 	all := start(t, 2)
-	run(t, all)
-	_, by := passes(all, 3*lent)
+	startReports(t, all)
+	_, by := consume(all, 3*floorBurst)
 	for _, i := range all {
 		i.s.Return(&limited, 3, exchange.LimitAnswer{OK: true, By: by})
 	}
 	// A message to the other instance takes a moment.
 	deadline := time.Now().Add(20 * time.Second)
 	for passed := 0; passed < 5; {
-		n, _ := passes(all, 2)
+		n, _ := consume(all, 2)
 		passed += n
 		if time.Now().After(deadline) {
-			t.Fatalf("%d of 6 units came back", passed)
+			t.Fatalf("%d of 6 units were refunded", passed)
 		}
 	}
 }
 
-// Guards against an instance that lets all pass, or none, once it reaches no other.
-func TestInstanceAloneLetsPassAPart(t *testing.T) {
+// Guards against an instance that allows all requests, or none, when it reaches no other.
+func TestIsolatedInstanceAllowsAPart(t *testing.T) {
 	all := start(t, 3)
 	for _, i := range all[1:] {
 		i.stop()
@@ -195,17 +194,17 @@
 		others = append(others, i.id)
 	}
 	all[0].s.SetView(table(limited), others, 60)
-	passed, by := passes(all[:1], 4*lent)
+	passed, by := consume(all[:1], 4*floorBurst)
 	if passed != 1 || by != "" {
-		t.Errorf("%d requests passed, asked %q", passed, by)
+		t.Errorf("%d requests passed, decided by %q", passed, by)
 	}
 }
 
-// Guards against a workspace that an instance with an older configuration does not know.
-func TestHolderThatLagsIsDoneWithout(t *testing.T) {
+// Guards against a refusal because the owner has an older configuration without the workspace.
+func TestOwnerWithOlderConfigurationIsBypassed(t *testing.T) {
 	all := start(t, 2)
-	run(t, all)
-	_, by := passes(all, 4*lent)
+	startReports(t, all)
+	_, by := consume(all, 4*floorBurst)
 	lags, other := all[0], all[1]
 	if lags.id != by {
 		lags, other = other, lags
@@ -216,12 +215,12 @@
 	}
 }
 
-// Guards against a workspace that is refused for a limit which has just been taken away.
+// Guards against a refusal for a limit that was just removed.
 func TestRequestOfAWorkspaceThatLosesItsLimitPasses(t *testing.T) {
 	all := start(t, 1)
 	free := limited
 	free.Limit = routes.UseLimit{}
-	know(all, table(free))
+	setViews(all, table(free))
 	if a := all[0].s.Take(context.Background(), &limited, 1); !a.OK {
 		t.Errorf("refused: %+v", a)
 	}
