--- a/node/limits/limits.go
+++ b/node/limits/limits.go
@@ -1,27 +1,27 @@
 // Package limits keeps this instance's shares of the workspaces' limits.
 //
-// Workspaces are hashed into parts, each of which is owned by one of the live
-// instances of the region, which divides the limits in it. Every instance, the
-// owner too, spends leased shares and reports its demand every two seconds
-// (package coord/limit).
+// Workspaces are hashed into partitions. Each partition is owned by one of the
+// live instances of the region, which divides the limits in it. Every instance,
+// including the owner, consumes leased shares and reports its demand every two
+// seconds (package coord/limit).
 //
 // # The bound while owners change
 //
-// An owner grants no more than the limit, over all that report to it
-// (coord/limit). An instance asks only the owner in its own view. A new owner
-// grants nothing for a Lease, so where the last one has ended, or all views are
-// alike by then, its shares have ended. Three cases are worse:
+// An owner grants no more than the limit to all instances that report to it
+// (coord/limit). An instance reports only to the owner in its own view. A new
+// owner grants nothing for a Lease. The shares of the previous owner have ended
+// by then if it has ended, or if all views agree by then. Three cases are worse:
 //
-//   - In that Lease some instances still spend the last owner's shares, and
-//     others, whose shares ended, are on their floors: together at most twice
-//     the limit, for at most a Lease.
+//   - During that Lease some instances still consume the previous owner's
+//     shares, and others, whose shares ended, use their floors: together at most
+//     twice the limit, for at most a Lease.
 //   - While views differ for more than a Lease, two owners grant: together at
-//     most twice the limit (each never more than once), until the views are alike
-//     and for a Lease after. Where both have all instances in their views, each
-//     sets the floors of those aside that it does not hear, so that with k of n
-//     instances asking the one, it grants k/n in the long run, the other the rest.
-//   - Two halves of a region that hold each other for dead have an owner each
-//     for good: twice the limit, until they meet.
+//     most twice the limit (each at most the limit), until a Lease after the
+//     views agree. If both have all instances in their views, each reserves the
+//     floors of those that don't report to it, so that with k of n instances
+//     reporting to one owner, it grants k/n in the long run, the other the rest.
+//   - Two halves of a region that each consider the other dead have an owner
+//     each: twice the limit, until they reach each other again.
 package limits
 
 import (
@@ -44,18 +44,18 @@
 const (
 	// ReportInterval is the time between two reports.
 	ReportInterval = 2 * time.Second
-	// Lease of shares: three missed reports.
+	// Lease is how long a share is valid; it covers three missed reports.
 	Lease = 8 * time.Second
-	// callTimeout bounds the wait for shares.
+	// callTimeout bounds the wait for the answer to a report.
 	callTimeout = 1500 * time.Millisecond
-	// servers is how many reports an owner takes in at once.
-	servers = 4
-	// burst is how much of a limit may be spent at once, in seconds of its rate.
-	burst = 2.0
+	// reportWorkers is the number of reports that an owner handles concurrently.
+	reportWorkers = 4
+	// burstSeconds is the burst of a limit, in seconds of its rate.
+	burstSeconds = 2.0
 )
 
-// errLife answers a report of a life that this instance does not know (yet).
-var errLife = errors.New("unknown life of an instance")
+// errUnknownIncarnation answers a report of an incarnation that this instance doesn't know (yet).
+var errUnknownIncarnation = errors.New("unknown life of an instance")
 
 // Hub carries reports; *link.Hub is one.
 type Hub interface {
@@ -66,32 +66,32 @@
 // Options of a Service.
 type Options struct {
 	Self string
-	// Life names this start of the instance, so that shares of an earlier one
-	// stay counted until their leases end.
+	// Life returns the incarnation of an instance, so that shares of an earlier
+	// one stay counted until their leases end.
 	Life func(id string) string
 	Hub  Hub
-	// View is the bundle in force; nil before the first.
+	// View returns the bundle in force, nil before the first.
 	View func() *pipeline.View
 	Log  *zap.Logger
 }
 
-// Service runs a Book: one loop, and one goroutine for each report under way.
+// Service runs a Table with one loop, and one goroutine for each pending report.
 type Service struct {
 	o Options
 
-	mu   sync.Mutex
-	book *Table
+	mu    sync.Mutex
+	table *Table
 }
 
-// New makes a Service and registers it at the link.
+// New returns a Service and registers its channel at the hub.
 func New(o Options) *Service {
 	s := &Service{o: o}
-	s.book = NewTable(o.Self, s.lookup)
-	o.Hub.Serve(Channel, servers, s.serve)
+	s.table = NewTable(o.Self, s.lookup)
+	o.Hub.Serve(Channel, reportWorkers, s.serve)
 	return s
 }
 
-// lookup is the region's part of a workspace's limit.
+// lookup returns the region's part of a workspace's limit.
 func (s *Service) lookup(id limit.ID) (limit.Limit, bool) {
 	v := s.o.View()
 	if v == nil {
@@ -108,36 +108,36 @@
 	if rate <= 0 {
 		return limit.Limit{}, false
 	}
-	whole := limit.Limit{Rate: rate, Burst: rate * burst}
+	whole := limit.Limit{Rate: rate, Burst: rate * burstSeconds}
 	return limit.RegionPart(whole, w.Home == v.Region, len(v.Bundle.Regions)), true
 }
 
-// SetMembers tells the live instances of the region.
+// SetMembers replaces the live instances of the region.
 func (s *Service) SetMembers(members []string) {
-	lives := make([]string, 0, len(members))
+	incarnations := make([]string, 0, len(members))
 	for _, m := range members {
-		lives = append(lives, s.o.Life(m))
+		incarnations = append(incarnations, s.o.Life(m))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.SetMembers(time.Now(), members, lives)
+	s.table.SetMembers(time.Now(), members, incarnations)
 }
 
-// Take spends a request or tokens of a workspace's share.
+// Take consumes requests and tokens of a workspace's share; see Table.Take.
 func (s *Service) Take(now time.Time, workspace string, requests, tokens float64) ports.LimitAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Take(now, workspace, requests, tokens)
+	return s.table.Take(now, workspace, requests, tokens)
 }
 
-// Len is the number of limits in use here.
+// Len returns the number of limits in use at this instance.
 func (s *Service) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Len()
+	return s.table.Len()
 }
 
-// Run reports until ctx ends.
+// Run sends reports and sweeps until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	report := time.NewTicker(ReportInterval)
 	defer report.Stop()
@@ -158,26 +158,26 @@
 func (s *Service) sweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Sweep(time.Now())
+	s.table.Sweep(time.Now())
 }
 
-// report asks all owners at once and waits for them, so that one that is cut off
-// delays none of the others.
+// report reports to all owners concurrently and waits for them, so that one that
+// is cut off doesn't delay the others.
 func (s *Service) report(ctx context.Context) {
-	life := s.o.Life(s.o.Self)
+	incarnation := s.o.Life(s.o.Self)
 	s.mu.Lock()
-	reports := s.book.Reports(time.Now(), life)
+	reports := s.table.Reports(time.Now(), incarnation)
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, r := range reports {
-		calls.Go(func() { s.ask(ctx, r) })
+		calls.Go(func() { s.requestShares(ctx, r) })
 	}
 	calls.Wait()
 }
 
-func (s *Service) ask(ctx context.Context, r OwnerReport) {
+func (s *Service) requestShares(ctx context.Context, r OwnerReport) {
 	answer, err := s.call(ctx, r)
 	if err != nil {
 		s.o.Log.Debug("no shares of limits", zap.String("owner", r.Owner), zap.Error(err))
@@ -185,7 +185,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.ApplyShares(time.Now(), answer)
+	s.table.ApplyShares(time.Now(), answer)
 }
 
 func (s *Service) call(ctx context.Context, r OwnerReport) (Answer, error) {
@@ -206,10 +206,10 @@
 }
 
 func (s *Service) answer(from string, r Report) (Answer, error) {
-	life := s.o.Life(from)
+	incarnation := s.o.Life(from)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.HandleReport(time.Now(), life, r)
+	return s.table.HandleReport(time.Now(), incarnation, r)
 }
 
 func (s *Service) serve(_ context.Context, from string, data []byte) ([]byte, error) {
--- a/node/limits/limits_test.go
+++ b/node/limits/limits_test.go
@@ -14,44 +14,45 @@
 )
 
 var (
-	start = time.Unix(1_800_000_000, 0)
-	whole = limit.Limit{Rate: 100, Burst: 100 * burst}
+	start     = time.Unix(1_800_000_000, 0)
+	fullLimit = limit.Limit{Rate: 100, Burst: 100 * burstSeconds}
 )
 
 const (
-	step      = 250 * time.Millisecond
-	workspace = "w"
+	simulationStep = 250 * time.Millisecond
+	workspace      = "w"
 )
 
-func lookup(id limit.ID) (limit.Limit, bool) { return whole, id.Resource == limit.Requests }
+func lookup(id limit.ID) (limit.Limit, bool) { return fullLimit, id.Resource == limit.Requests }
 
-// region is the Books of its instances, which report at different moments.
+// region simulates the Tables of its instances, which report at different times.
 type region struct {
-	t     *rapid.T
-	now   time.Time
-	turn  int
-	names []string
-	books map[string]*Table
-	dead  map[string]bool
-	// asked are units that each asks for in a step.
+	t         *rapid.T
+	now       time.Time
+	stepCount int
+	names     []string
+	tables    map[string]*Table
+	dead      map[string]bool
+	// asked is the number of units that each instance requests per step.
 	asked map[string]int
-	// passed in the last step by each.
+	// passed is the number of units that each instance allowed in the last step.
 	passed map[string]int
 	lost   func() bool
-	// cut is one whose reports don't arrive.
+	// cut is an instance whose reports don't arrive.
 	cut string
-	// excess is what passed above what is allowed since its lowest point.
+	// excess is how many units passed above the allowed rate since the lowest
+	// point of that sum.
 	excess float64
-	// saved bounds what may have been saved up.
-	saved float64
+	// maxSaved bounds the units that buckets may have saved.
+	maxSaved float64
 }
 
 func newRegion(t *rapid.T) *region {
-	r := &region{t: t, now: start, books: map[string]*Table{}, dead: map[string]bool{}, asked: map[string]int{}, passed: map[string]int{}, saved: 2 * whole.Burst}
+	r := &region{t: t, now: start, tables: map[string]*Table{}, dead: map[string]bool{}, asked: map[string]int{}, passed: map[string]int{}, maxSaved: 2 * fullLimit.Burst}
 	for i := range rapid.IntRange(2, 9).Draw(t, "instances") {
 		name := fmt.Sprint("i", i)
 		r.names = append(r.names, name)
-		r.books[name] = NewTable(name, lookup)
+		r.tables[name] = NewTable(name, lookup)
 	}
 	for _, name := range r.names {
 		r.view(name, r.names)
@@ -60,16 +61,17 @@
 }
 
 func (r *region) view(of string, members []string) {
-	var lives []string
+	var incarnations []string
 	for _, m := range members {
-		lives = append(lives, lifeOf(m))
+		incarnations = append(incarnations, incarnationOf(m))
 	}
-	r.books[of].SetMembers(r.now, members, lives)
+	r.tables[of].SetMembers(r.now, members, incarnations)
 }
 
-func lifeOf(name string) string { return name + "/1" }
+func incarnationOf(name string) string { return name + "/1" }
 
-// step lets all ask, and some report; allowed is the rate that may pass.
+// step lets all instances request, and some report; allowed is the rate that may
+// pass, in units per second.
 func (r *region) step(allowed float64) {
 	passed := 0
 	for i, name := range r.names {
@@ -78,41 +80,41 @@
 			continue
 		}
 		for range r.asked[name] {
-			if r.books[name].Take(r.now, workspace, 1, 0).OK {
+			if r.tables[name].Take(r.now, workspace, 1, 0).OK {
 				r.passed[name]++
 			}
 		}
 		passed += r.passed[name]
-		if steps := int(ReportInterval / step); (r.turn+i)%steps == 0 {
+		if steps := int(ReportInterval / simulationStep); (r.stepCount+i)%steps == 0 {
 			r.report(name)
 		}
-		if r.turn%int(Lease/step) == 0 {
-			r.books[name].Sweep(r.now)
+		if r.stepCount%int(Lease/simulationStep) == 0 {
+			r.tables[name].Sweep(r.now)
 		}
 	}
-	r.excess = max(0, r.excess+float64(passed)-allowed*step.Seconds())
-	if most := r.saved + allowed*step.Seconds() + float64(len(r.names)); r.excess > most {
+	r.excess = max(0, r.excess+float64(passed)-allowed*simulationStep.Seconds())
+	if most := r.maxSaved + allowed*simulationStep.Seconds() + float64(len(r.names)); r.excess > most {
 		r.t.Fatalf("%v above %v a second, at most %v", r.excess, allowed, most)
 	}
-	r.turn++
-	r.now = r.now.Add(step)
+	r.stepCount++
+	r.now = r.now.Add(simulationStep)
 }
 
 func (r *region) report(name string) {
-	for _, a := range r.books[name].Reports(r.now, lifeOf(name)) {
+	for _, a := range r.tables[name].Reports(r.now, incarnationOf(name)) {
 		var sent Report
 		r.carry(a.Report, &sent)
 		if r.dead[a.Owner] || r.cut == name || r.lost != nil && r.lost() {
 			continue
 		}
-		answer, err := r.books[a.Owner].HandleReport(r.now, lifeOf(name), sent)
+		answer, err := r.tables[a.Owner].HandleReport(r.now, incarnationOf(name), sent)
 		if err != nil {
 			r.t.Fatal(err)
 		}
 		var got Answer
 		r.carry(answer, &got)
 		if r.lost == nil || !r.lost() {
-			r.books[name].ApplyShares(r.now, got)
+			r.tables[name].ApplyShares(r.now, got)
 		}
 	}
 }
@@ -127,10 +129,10 @@
 	}
 }
 
-// run steps for a time and returns the rate that passed.
+// run steps for d and returns the rate that passed, in units per second.
 func (r *region) run(d time.Duration, allowed float64) float64 {
 	sum := 0
-	for range d / step {
+	for range d / simulationStep {
 		r.step(allowed)
 		for _, n := range r.passed {
 			sum += n
@@ -141,12 +143,10 @@
 
 func (r *region) owner() string { return Owners(r.names)[PartitionOf(workspace)] }
 
-// Symptom: a workspace passes several times its limit, or little of it, after
-// the owner of its limit is gone; or for good, as shares of the new owner are
-// taken for old ones.
-// Events: the owner dies after any time, the others see it at different times;
-// messages are lost before; it comes back.
-// Cause: a new owner that grants at once; numbers of shares that start anew.
+// Guards against a workspace that passes several times its limit, or only a little
+// of it, after the owner of its limit died, which the others see at different
+// times, and after it came back: a new owner grants at once, or its shares count
+// as outdated as their numbers restart.
 func TestOwnerDies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(t)
@@ -156,62 +156,60 @@
 		dead := r.owner()
 		asks := slices.DeleteFunc(slices.Clone(r.names), func(n string) bool { return n == dead })
 		r.asked[asks[0]] = 40
-		r.run(time.Duration(rapid.IntRange(0, 60).Draw(t, "before"))*time.Second, 2*whole.Rate)
+		r.run(time.Duration(rapid.IntRange(0, 60).Draw(t, "before"))*time.Second, 2*fullLimit.Rate)
 		r.dead[dead] = true
 		// Views change within 6 s of each other.
 		seen := map[string]int{}
 		for _, name := range asks {
-			seen[name] = rapid.IntRange(0, int(6*time.Second/step)).Draw(t, "seen after")
+			seen[name] = rapid.IntRange(0, int(6*time.Second/simulationStep)).Draw(t, "seen after")
 		}
-		for i := range int(6*time.Second/step) + 1 {
+		for i := range int(6*time.Second/simulationStep) + 1 {
 			for _, name := range asks {
 				if seen[name] == i {
 					r.view(name, asks)
 				}
 			}
-			r.step(2 * whole.Rate)
+			r.step(2 * fullLimit.Rate)
 		}
-		// All new owners' quiet time and the leases of what they granted in it.
-		if got := r.run(2*Lease, 2*whole.Rate); got <= 0 {
-			t.Fatal("nothing passes while the new owner is quiet")
+		// The grace period of all new owners, and the leases that they granted in it.
+		if got := r.run(2*Lease, 2*fullLimit.Rate); got <= 0 {
+			t.Fatal("nothing passes in the grace period of the new owner")
 		}
-		r.run(2*Lease, whole.Rate)
-		if got := r.run(2*Lease, whole.Rate); got < 0.9*whole.Rate {
-			t.Fatalf("survivors pass %v of %v a second", got, whole.Rate)
+		r.run(2*Lease, fullLimit.Rate)
+		if got := r.run(2*Lease, fullLimit.Rate); got < 0.9*fullLimit.Rate {
+			t.Fatalf("survivors pass %v of %v a second", got, fullLimit.Rate)
 		}
 		r.dead[dead] = false
 		for _, name := range r.names {
 			r.view(name, r.names)
 		}
-		r.run(3*Lease, 2*whole.Rate)
-		if got := r.run(2*Lease, whole.Rate); got < 0.9*whole.Rate {
-			t.Fatalf("%v of %v a second pass after the owner came back", got, whole.Rate)
+		r.run(3*Lease, 2*fullLimit.Rate)
+		if got := r.run(2*Lease, fullLimit.Rate); got < 0.9*fullLimit.Rate {
+			t.Fatalf("%v of %v a second pass after the owner came back", got, fullLimit.Rate)
 		}
 	})
 }
 
-// Symptom: a workspace passes twice its limit for a while with each change of
-// owner. Events: a new instance becomes the owner and dies, which all see at
-// once; demand moves in the meantime and comes back; the one that kept asking is
-// cut off from the next owner. More than the limit is asked for.
-// Cause: an owner that grants before its predecessor's shares have ended, or one
-// that comes back with what it knew.
-func TestOwnersThatFollowEachOther(t *testing.T) {
+// Guards against twice the limit for a while at each change of owner, as an owner
+// grants before its predecessor's shares have ended, or returns with old state: a
+// new owner joins and dies, which all see at once; demand above the limit moves
+// to one instance and back; that one may be cut off from the next owner.
+func TestSuccessiveOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(t)
 		old := slices.Clone(r.names)
 		for _, name := range old {
 			r.asked[name] = 40
 		}
-		r.run(2*Lease+time.Duration(rapid.IntRange(0, 8).Draw(t, "before"))*time.Second, whole.Rate)
-		// Nothing was saved up under this demand.
-		r.excess, r.saved = 0, whole.Burst
+		r.run(2*Lease+time.Duration(rapid.IntRange(0, 8).Draw(t, "before"))*time.Second, fullLimit.Rate)
+		// Under this demand buckets have saved nothing.
+		r.excess, r.maxSaved = 0, fullLimit.Burst
 		first, last := r.owner(), ""
 		for i := 0; r.owner() == first; i++ {
 			last = fmt.Sprint("x", i)
 			r.names = append(slices.Clone(old), last)
 		}
-		r.books[last] = NewTable(last, lookup)
+		r.tables[last] = NewTable(last, lookup)
 		for _, name := range r.names {
 			r.view(name, r.names)
 		}
@@ -221,7 +219,7 @@
 				r.asked[name] = 0
 			}
 		}
-		r.run(5*Lease, whole.Rate)
+		r.run(5*Lease, fullLimit.Rate)
 		r.excess = 0
 		r.names = old
 		if rapid.Bool().Draw(t, "cut off") {
@@ -231,80 +229,78 @@
 			r.asked[name] = 40
 			r.view(name, old)
 		}
-		r.run(Lease, whole.Rate)
+		r.run(Lease, fullLimit.Rate)
 		r.cut = ""
-		r.run(2*Lease, whole.Rate)
+		r.run(2*Lease, fullLimit.Rate)
 	})
 }
 
-// Symptom: two owners that both believe grant more than the limit for good.
-// Events: some instances don't see one that others see, for a long time; all
-// are in both views otherwise.
-// Cause: an owner that counts on those that it doesn't hear to use nothing.
-func TestViewsThatDiffer(t *testing.T) {
+// Guards against two owners that together grant more than the limit permanently: for
+// a long time some instances have another owner in their views, and each owner
+// assumes that instances which don't report to it use nothing.
+func TestDifferingViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(t)
 		for _, name := range r.names {
 			r.asked[name] = rapid.SampledFrom([]int{0, 5, 40}).Draw(t, "asked")
 		}
-		r.run(2*Lease, whole.Rate)
-		// A ghost that owns the part is in the views of some; its reports go
-		// to the owner among the instances all the same.
+		r.run(2*Lease, fullLimit.Rate)
+		// In the views of some instances another instance owns the partition.
 		other := rapid.SampledFrom(r.names).Draw(t, "other owner")
 		for _, name := range r.names {
 			if name == other || rapid.Bool().Draw(t, "believes") {
-				r.books[name].owners[PartitionOf(workspace)] = other
+				r.tables[name].owners[PartitionOf(workspace)] = other
 			}
 		}
-		if b := r.books[other]; b.owned[PartitionOf(workspace)] == nil {
-			var lives []string
+		if b := r.tables[other]; b.owned[PartitionOf(workspace)] == nil {
+			var incarnations []string
 			for _, m := range r.names {
-				lives = append(lives, lifeOf(m))
+				incarnations = append(incarnations, incarnationOf(m))
 			}
-			b.owned[PartitionOf(workspace)] = newOwned(r.now, lookup, lives)
+			b.owned[PartitionOf(workspace)] = newOwnedPartition(r.now, lookup, incarnations)
 		}
-		r.run(3*Lease, 2*whole.Rate)
-		r.run(6*Lease, whole.Rate)
+		r.run(3*Lease, 2*fullLimit.Rate)
+		r.run(6*Lease, fullLimit.Rate)
 	})
 }
 
-// Symptom: a workspace that is asked for at one instance gets a part of its
-// limit only. Events: the other instances have no demand in its part.
-// Cause: instances that say nothing count as cut off, and floors are set aside.
-func TestOneThatAsksGetsTheWholeLimit(t *testing.T) {
+// Guards against a workspace that gets only a part of its limit if it is used at one
+// instance: the others, without demand in its partition, would count as cut off, and
+// their floors would be reserved.
+func TestOneActiveInstanceGetsTheWholeLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(t)
 		one := rapid.SampledFrom(r.names).Draw(t, "asks")
 		r.asked[one] = 40
 		r.lost = func() bool { return rapid.IntRange(0, 19).Draw(t, "lost") == 0 }
-		r.run(Lease, whole.Rate)
+		r.run(Lease, fullLimit.Rate)
 		r.lost = nil
-		r.run(3*Lease, whole.Rate)
-		if got := r.run(2*Lease, whole.Rate); got < 0.9*whole.Rate {
-			t.Fatalf("%v of %v a second pass at one of %d", got, whole.Rate, len(r.names))
+		r.run(3*Lease, fullLimit.Rate)
+		if got := r.run(2*Lease, fullLimit.Rate); got < 0.9*fullLimit.Rate {
+			t.Fatalf("%v of %v a second pass at one of %d", got, fullLimit.Rate, len(r.names))
 		}
 		r.asked[one] = 0
-		r.run(8*Lease, whole.Rate)
-		if n := r.books[one].Len() + r.books[r.owner()].owned[PartitionOf(workspace)].allocator.Len(); n != 0 {
+		r.run(8*Lease, fullLimit.Rate)
+		if n := r.tables[one].Len() + r.tables[r.owner()].owned[PartitionOf(workspace)].allocator.Len(); n != 0 {
 			t.Fatalf("%d limits are kept without demand", n)
 		}
 	})
 }
 
-// Symptom: a part with no owner or two, all parts move with each member, or an
-// owner is not asked for one of its parts.
-// Events: members join and leave. Cause: owners by place in a list.
-func TestPartsAndTheirOwners(t *testing.T) {
+// Guards against a partition with no owner or two, against partitions that move
+// between members which stay, as with owners by list position, and against an
+// owner that gets no report for one of its partitions.
+func TestPartitionsHaveOneOwnerEach(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 2, 80, rapid.ID[string]).Draw(t, "members")
 		owners := Owners(members)
 		fewer := Owners(members[1:])
-		for part, owner := range owners {
+		for partition, owner := range owners {
 			if !slices.Contains(members, owner) {
-				t.Fatalf("part %d is owned by %q", part, owner)
+				t.Fatalf("partition %d is owned by %q", partition, owner)
 			}
-			if owner != members[0] && fewer[part] != owner {
-				t.Fatalf("part %d moved from %s, which stays, to %s", part, owner, fewer[part])
+			if owner != members[0] && fewer[partition] != owner {
+				t.Fatalf("partition %d moved from %s, which stays, to %s", partition, owner, fewer[partition])
 			}
 		}
 		slices.Reverse(members)
@@ -318,19 +314,18 @@
 			for _, p := range a.Report.Partitions {
 				asked++
 				if owners[p.Index] != a.Owner {
-					t.Fatalf("part %d is asked of %s", p.Index, a.Owner)
+					t.Fatalf("partition %d is reported to %s", p.Index, a.Owner)
 				}
 			}
 		}
 		if asked != Partitions {
-			t.Fatalf("%d parts are asked for", asked)
+			t.Fatalf("%d partitions are reported", asked)
 		}
 	})
 }
 
-// Symptom: one instance divides most limits of a large region.
-// Cause: parts that don't spread.
-func TestPartsSpread(t *testing.T) {
+// Guards against one instance that owns most partitions of a large region.
+func TestPartitionsSpreadOverInstances(t *testing.T) {
 	var members []string
 	for i := range 60 {
 		members = append(members, fmt.Sprint("i", i))
@@ -343,39 +338,39 @@
 	for _, n := range parts {
 		most = max(most, n)
 	}
-	t.Logf("%d of 60 own parts, at most %d", len(parts), most)
+	t.Logf("%d of 60 own partitions, at most %d", len(parts), most)
 	if len(parts) < 30 || most > 5 {
-		t.Errorf("%d own parts, at most %d", len(parts), most)
+		t.Errorf("%d own partitions, at most %d", len(parts), most)
 	}
 	hashed := map[int]bool{}
 	for i := range 1000 {
 		hashed[PartitionOf(fmt.Sprint("workspace-", i))] = true
 	}
 	if len(hashed) != Partitions {
-		t.Errorf("a thousand workspaces are in %d parts", len(hashed))
+		t.Errorf("a thousand workspaces are in %d partitions", len(hashed))
 	}
 }
 
-// Symptom: an owner fails, or divides a limit wrongly, on bytes of a faulty
-// peer. Cause: values that nobody checks.
+// Guards against an owner that fails, or divides a limit wrongly, on unchecked values
+// of a faulty peer.
 func TestMalformedReportsAreRefused(t *testing.T) {
 	b := NewTable("a", lookup)
 	b.SetMembers(start, []string{"a"}, []string{"a/1"})
-	part := uint8(PartitionOf(workspace))
+	partition := uint8(PartitionOf(workspace))
 	nan := float32(0)
 	nan /= nan
 	for name, r := range map[string]Report{
-		"another life":     {Incarnation: 7},
-		"no such part":     {Incarnation: lifeHash("a/1"), Partitions: []PartitionReport{{Index: Partitions, Number: 1}}},
-		"negative rate":    {Incarnation: lifeHash("a/1"), Partitions: []PartitionReport{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, Requests: -1}}}}},
-		"no number":        {Incarnation: lifeHash("a/1"), Partitions: []PartitionReport{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, Tokens: nan}}}}},
-		"a number too big": {Incarnation: lifeHash("a/1"), Partitions: []PartitionReport{{Index: part, Number: 1, Rows: []Row{{Workspace: workspace, TokensHeld: 1 << 63}}}}},
+		"another incarnation": {Incarnation: 7},
+		"no such partition":   {Incarnation: incarnationHash("a/1"), Partitions: []PartitionReport{{Index: Partitions, Number: 1}}},
+		"negative rate":       {Incarnation: incarnationHash("a/1"), Partitions: []PartitionReport{{Index: partition, Number: 1, Rows: []Row{{Workspace: workspace, Requests: -1}}}}},
+		"not a number":        {Incarnation: incarnationHash("a/1"), Partitions: []PartitionReport{{Index: partition, Number: 1, Rows: []Row{{Workspace: workspace, Tokens: nan}}}}},
+		"a number too big":    {Incarnation: incarnationHash("a/1"), Partitions: []PartitionReport{{Index: partition, Number: 1, Rows: []Row{{Workspace: workspace, TokensHeld: 1 << 63}}}}},
 	} {
 		if _, err := b.HandleReport(start, "a/1", r); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 	if sharesOf([]string{workspace}, nil) != nil {
-		t.Error("an answer with other rows is taken")
+		t.Error("an answer with other rows is accepted")
 	}
 }
--- a/node/limits/owned.go
+++ b/node/limits/owned.go
@@ -6,32 +6,33 @@
 	"github.com/gullhaven/gullhaven/coord/limit"
 )
 
-// owned is a part that this instance owns.
+// ownedPartition is a partition that this instance owns.
 //
-// Instances take only shares with higher numbers than the one they use, and an
-// Allocator counts from 1. A new owner would be ignored until it had passed the
-// numbers of the last: all would stay on their floors for as long as that had
-// worked. So numbers are sent with base added, which is above all that were
-// reported. Where base is raised later, shares in use look like none to the
-// Allocator: it goes on counting them as out until their leases end, and sets a
-// floor aside for the holder, both on the safe side.
-type owned struct {
+// Instances accept only shares with a higher number than the one in use, and an
+// Allocator counts from 1. Without an offset, the shares of a new owner would be
+// ignored until it had passed the numbers of the previous one: all instances would
+// stay on their floors for as long as that one had worked. So base is added to the
+// numbers sent, and raised so that they exceed all that were reported. If base is
+// raised later, the Allocator sees no share in use for a holder that has one: it goes
+// on counting that share as granted until its lease ends, and also reserves a floor
+// for the holder; both err on the safe side.
+type ownedPartition struct {
 	allocator *limit.Allocator
-	// quietUntil: until then nothing is granted, so that what the last owner
-	// granted has ended. Instances go on with its shares and then on floors.
-	quietUntil time.Time
+	// graceUntil is the time before which nothing is granted, so that the shares
+	// of the previous owner have ended. Instances use those and then their floors.
+	graceUntil time.Time
 	base       uint64
-	// issued is the highest number of the Allocator so far.
+	// issued is the highest share number of the Allocator so far, without base.
 	issued uint64
 }
 
-func newOwned(now time.Time, lookup limit.Lookup, lives []string) *owned {
-	return &owned{allocator: limit.NewAllocator(now, lookup, Lease, lives), quietUntil: now.Add(Lease)}
+func newOwnedPartition(now time.Time, lookup limit.Lookup, incarnations []string) *ownedPartition {
+	return &ownedPartition{allocator: limit.NewAllocator(now, lookup, Lease, incarnations), graceUntil: now.Add(Lease)}
 }
 
-// report takes the demands of an instance. ok is false for one that is unknown
-// or was overtaken.
-func (o *owned) report(now time.Time, life string, p PartitionReport) (PartitionShares, bool, error) {
+// report handles the demands of an incarnation and returns its shares. ok is false
+// if the incarnation is unknown or a later report has arrived before.
+func (o *ownedPartition) report(now time.Time, incarnation string, p PartitionReport) (PartitionShares, bool, error) {
 	demands, err := demandsOf(p.Rows)
 	if err != nil {
 		return PartitionShares{}, false, err
@@ -44,7 +45,7 @@
 	for i := range demands {
 		demands[i].Held -= min(demands[i].Held, o.base)
 	}
-	shares := o.allocator.Report(now, life, p.Number, demands)
+	shares := o.allocator.Report(now, incarnation, p.Number, demands)
 	if shares == nil {
 		return PartitionShares{}, false, nil
 	}
@@ -52,7 +53,7 @@
 		o.issued = max(o.issued, shares[i].Seq)
 		shares[i].Seq += o.base
 	}
-	if now.Before(o.quietUntil) {
+	if now.Before(o.graceUntil) {
 		shares = nil
 	}
 	return PartitionShares{Index: p.Index, Number: p.Number, Rows: shareRows(p.Rows, shares)}, true, nil
--- a/node/limits/partition.go
+++ b/node/limits/partition.go
@@ -6,32 +6,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Partitions is the fixed number of parts that workspaces are hashed into. Each
-// has an owner. With one owner for all, its bytes grow with the region; with
-// fewer parts than members, those that own one have several times the mean. It
-// may not differ between instances.
+// Partitions is the number of partitions that workspaces are hashed into. Each has
+// an owner. With one owner for all workspaces, its traffic grows with the region;
+// with fewer partitions than members, the owners have several times the mean
+// traffic. It must be the same at all instances.
 const Partitions = 64
 
-// PartitionOf is the part of a workspace.
+// PartitionOf returns the partition of a workspace, from 0 to Partitions-1.
 func PartitionOf(workspace string) int {
 	return int(xxhash.Sum64String(workspace) % Partitions)
 }
 
-// Owners are the owners of all parts among members, by rendezvous hashing: a
-// change of one member moves its parts only. Without members they are "".
+// Owners returns the owners of all partitions among members, by rendezvous hashing:
+// a change of one member moves only its own partitions. Without members they are "".
 func Owners(members []string) [Partitions]string {
 	var owners [Partitions]string
-	for part := range owners {
+	for partition := range owners {
 		var most uint64
 		for _, m := range members {
-			if w := weight(part, m); owners[part] == "" || w > most || w == most && m < owners[part] {
-				owners[part], most = m, w
+			if w := weight(partition, m); owners[partition] == "" || w > most || w == most && m < owners[partition] {
+				owners[partition], most = m, w
 			}
 		}
 	}
 	return owners
 }
 
-func weight(part int, member string) uint64 {
-	return xxhash.Sum64(binary.BigEndian.AppendUint16([]byte(member+"\x00"), uint16(part)))
+func weight(partition int, member string) uint64 {
+	return xxhash.Sum64(binary.BigEndian.AppendUint16([]byte(member+"\x00"), uint16(partition)))
 }
--- a/node/limits/table.go
+++ b/node/limits/table.go
@@ -9,47 +9,48 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// Book holds the shares of one instance and the parts that it owns. It has no
-// input or output and is not safe for several goroutines.
+// Table holds the shares of one instance and the partitions that it owns. It does
+// no input or output and is not safe for concurrent use.
 type Table struct {
 	self     string
 	lookup   limit.Lookup
 	limiters [Partitions]*limit.Limiter
 	owners   [Partitions]string
-	owned    [Partitions]*owned
-	// asked are the workspaces of reports whose answer is still taken.
-	asked map[question][]string
+	owned    [Partitions]*ownedPartition
+	// pending are the workspaces of the reports whose answers are still accepted.
+	pending map[reportKey][]string
 }
 
-// question names a report of a part.
-type question struct {
-	part   uint8
-	number uint64
+// reportKey identifies a report of a partition.
+type reportKey struct {
+	partition uint8
+	number    uint64
 }
 
-// maxUnanswered is how many reports of a part may be answered out of turn.
-const maxUnanswered = 4
+// maxPendingReports is the number of reports of a partition whose answers may
+// arrive out of order.
+const maxPendingReports = 4
 
-// Addressed is a report and whom it is for.
+// OwnerReport is a report and the owner to send it to.
 type OwnerReport struct {
 	Owner  string
 	Report Report
 }
 
-// NewBook makes the Book of an instance. lookup gives the region's part of a
+// NewTable returns the Table of an instance. lookup returns the region's part of a
 // limit, with a burst of two seconds.
 func NewTable(self string, lookup limit.Lookup) *Table {
-	b := &Table{self: self, lookup: lookup, asked: map[question][]string{}}
+	b := &Table{self: self, lookup: lookup, pending: map[reportKey][]string{}}
 	for i := range b.limiters {
 		b.limiters[i] = limit.NewLimiter(lookup, 1, Lease)
 	}
 	return b
 }
 
-// SetMembers tells the live instances of the region and their lives. A part
-// that comes to this instance starts anew, one that came back too: somebody else
-// may have granted in the meantime.
-func (b *Table) SetMembers(now time.Time, members, lives []string) {
+// SetMembers replaces the live instances of the region and their incarnations. A
+// partition that becomes this instance's starts without state, also if it was this
+// instance's before: another owner may have granted shares in the meantime.
+func (b *Table) SetMembers(now time.Time, members, incarnations []string) {
 	b.owners = Owners(members)
 	for i, owner := range b.owners {
 		b.limiters[i].SetInstances(len(members))
@@ -57,14 +58,15 @@
 		case owner != b.self:
 			b.owned[i] = nil
 		case b.owned[i] == nil:
-			b.owned[i] = newOwned(now, b.lookup, lives)
+			b.owned[i] = newOwnedPartition(now, b.lookup, incarnations)
 		default:
-			b.owned[i].allocator.SetInstances(now, lives)
+			b.owned[i].allocator.SetInstances(now, incarnations)
 		}
 	}
 }
 
-// Take spends requests or tokens of a workspace's share.
+// Take consumes one request and the tokens of a workspace's share if requests is
+// above 0, else the tokens only. RetryAfter is set if it is refused.
 func (b *Table) Take(now time.Time, workspace string, requests, tokens float64) ports.LimitAnswer {
 	l := b.limiters[PartitionOf(workspace)]
 	var ok bool
@@ -77,7 +79,7 @@
 	return ports.LimitAnswer{OK: ok, RetryAfter: wait}
 }
 
-// Len is the number of limits in use here.
+// Len returns the number of limits in use at this instance.
 func (b *Table) Len() int {
 	n := 0
 	for _, l := range b.limiters {
@@ -86,23 +88,23 @@
 	return n
 }
 
-// Reports returns what to ask each owner, this instance included, in the order
-// of their names. It is called once in a ReportInterval.
-func (b *Table) Reports(now time.Time, life string) []OwnerReport {
+// Reports returns the reports to all owners, including this instance, sorted by
+// owner. It is called once per ReportInterval.
+func (b *Table) Reports(now time.Time, incarnation string) []OwnerReport {
 	parts := map[string][]PartitionReport{}
 	for i, l := range b.limiters {
 		number, demands := l.Report(now)
 		p := PartitionReport{Index: uint8(i), Number: number, Rows: rowsOf(demands)}
 		parts[b.owners[i]] = append(parts[b.owners[i]], p)
-		delete(b.asked, question{p.Index, number - min(number, maxUnanswered)})
+		delete(b.pending, reportKey{p.Index, number - min(number, maxPendingReports)})
 		if len(p.Rows) > 0 {
-			b.asked[question{p.Index, number}] = workspacesOf(p.Rows)
+			b.pending[reportKey{p.Index, number}] = workspacesOf(p.Rows)
 		}
 	}
 	delete(parts, "")
 	var reports []OwnerReport
 	for owner, p := range parts {
-		reports = append(reports, OwnerReport{Owner: owner, Report: Report{Incarnation: lifeHash(life), Partitions: p}})
+		reports = append(reports, OwnerReport{Owner: owner, Report: Report{Incarnation: incarnationHash(incarnation), Partitions: p}})
 	}
 	slices.SortFunc(reports, func(x, y OwnerReport) int { return cmp.Compare(x.Owner, y.Owner) })
 	return reports
@@ -116,21 +118,22 @@
 	return names
 }
 
-// Answer answers the report of an instance. Parts that this instance does not
-// own are left out: views differ for a while.
-func (b *Table) HandleReport(now time.Time, life string, r Report) (Answer, error) {
-	if r.Incarnation != lifeHash(life) {
-		return Answer{}, errLife
+// HandleReport answers the report of an instance. It omits the partitions that this
+// instance doesn't own, as views may differ. It returns an error for an unknown
+// incarnation and for malformed values.
+func (b *Table) HandleReport(now time.Time, incarnation string, r Report) (Answer, error) {
+	if r.Incarnation != incarnationHash(incarnation) {
+		return Answer{}, errUnknownIncarnation
 	}
 	var a Answer
 	for _, p := range r.Partitions {
 		if p.Index >= Partitions {
-			return Answer{}, errRow
+			return Answer{}, errMalformedReport
 		}
 		if b.owned[p.Index] == nil {
 			continue
 		}
-		shares, ok, err := b.owned[p.Index].report(now, life, p)
+		shares, ok, err := b.owned[p.Index].report(now, incarnation, p)
 		if err != nil {
 			return Answer{}, err
 		}
@@ -141,21 +144,21 @@
 	return a, nil
 }
 
-// Granted takes an owner's answer. Without one the shares in use last until
-// their leases end, and floors hold after that.
+// ApplyShares applies an owner's answer. Without one the shares in use last until
+// their leases end, and the floors apply after that.
 func (b *Table) ApplyShares(now time.Time, a Answer) {
 	for _, p := range a.Partitions {
-		workspaces, asked := b.asked[question{p.Index, p.Number}]
+		workspaces, asked := b.pending[reportKey{p.Index, p.Number}]
 		if !asked {
 			continue
 		}
-		delete(b.asked, question{p.Index, p.Number})
+		delete(b.pending, reportKey{p.Index, p.Number})
 		b.limiters[p.Index].Granted(now, p.Number, sharesOf(workspaces, p.Rows))
 	}
 }
 
-// Sweep forgets limits of the owned parts that nobody uses. It is called about
-// once in a Lease.
+// Sweep removes the unused limits of the owned partitions. It is called about once
+// per Lease.
 func (b *Table) Sweep(now time.Time) {
 	for _, o := range b.owned {
 		if o != nil {
--- a/node/limits/wire.go
+++ b/node/limits/wire.go
@@ -9,17 +9,17 @@
 	"github.com/gullhaven/gullhaven/coord/limit"
 )
 
-// Report is what an instance asks an owner, for each part of that owner's, also
-// those without demand: who says nothing counts as cut off and may be on its
-// floor, which the owner would set aside for it.
+// Report is the demand that an instance reports to an owner, for each of the
+// owner's partitions, including those without demand: an instance that doesn't
+// report counts as cut off and may use its floor, which the owner would reserve.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
-	// Life is the hash of the life of the instance.
+	// Incarnation is the hash of the instance's incarnation.
 	Incarnation uint32
 	Partitions  []PartitionReport
 }
 
-// Part is a report of one part.
+// PartitionReport is the report of one partition.
 type PartitionReport struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint8
@@ -27,8 +27,8 @@
 	Rows   []Row
 }
 
-// Row is the demand for one workspace: rates in units a second, and the numbers
-// of the shares in use. Both zero is no demand.
+// Row is the demand for one workspace: rates in units per second, and the numbers
+// of the shares in use. A rate and number of 0 mean no demand.
 type Row struct {
 	_            struct{} `cbor:",toarray"`
 	Workspace    string
@@ -38,14 +38,14 @@
 	TokensHeld   uint64
 }
 
-// Answer of an owner.
+// Answer is the answer of an owner to a Report.
 type Answer struct {
 	_          struct{} `cbor:",toarray"`
 	Partitions []PartitionShares
 }
 
-// PartShares answer a Part, a row for a row in the same order: names are not
-// sent again, nor the burst and the lease, which follow.
+// PartitionShares answers a PartitionReport with one row per row, in the same order.
+// Workspace names are omitted, and so are burst and lease, which the receiver derives.
 type PartitionShares struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint8
@@ -53,7 +53,7 @@
 	Rows   []ShareRow
 }
 
-// ShareRow are the shares of one workspace; a number of 0 is none.
+// ShareRow holds the shares of one workspace; a number (Seq) of 0 means none.
 type ShareRow struct {
 	_           struct{} `cbor:",toarray"`
 	RequestsSeq uint64
@@ -62,15 +62,15 @@
 	Tokens      float32
 }
 
-// errRow: a row holds a value that no instance sends.
-var errRow = errors.New("malformed report of limits")
+// errMalformedReport is returned for a value that no correct instance sends.
+var errMalformedReport = errors.New("malformed report of limits")
 
-// maxSeq bounds numbers of shares, so that they can be added.
+// maxSeq bounds the numbers of shares, so that adding them can't overflow.
 const maxSeq = 1 << 62
 
-func lifeHash(life string) uint32 { return uint32(xxhash.Sum64String(life)) }
+func incarnationHash(incarnation string) uint32 { return uint32(xxhash.Sum64String(incarnation)) }
 
-// rowsOf puts the demands, which are sorted by workspace, into rows.
+// rowsOf converts the demands, which must be sorted by workspace, to rows.
 func rowsOf(demands []limit.Demand) []Row {
 	var rows []Row
 	for _, d := range demands {
@@ -91,7 +91,7 @@
 	demands := make([]limit.Demand, 0, 2*len(rows))
 	for _, r := range rows {
 		if !validRate(r.Requests) || !validRate(r.Tokens) || max(r.RequestsHeld, r.TokensHeld) > maxSeq {
-			return nil, errRow
+			return nil, errMalformedReport
 		}
 		demands = append(demands,
 			limit.Demand{ID: limit.ID{Workspace: r.Workspace, Resource: limit.Requests}, Rate: float64(r.Requests), Held: r.RequestsHeld},
@@ -102,7 +102,7 @@
 
 func validRate(r float32) bool { return r >= 0 && r <= math.MaxFloat32 }
 
-// shareRows are the shares in the order of the rows.
+// shareRows returns the shares in the order of the rows.
 func shareRows(rows []Row, shares []limit.Share) []ShareRow {
 	byID := map[limit.ID]limit.Share{}
 	for _, s := range shares {
@@ -120,7 +120,7 @@
 	return out
 }
 
-// roundDown never makes a share larger: the sum of all is bounded.
+// roundDown rounds towards 0, as the sum of all shares must not exceed the limit.
 func roundDown(rate float64) float32 {
 	r := float32(rate)
 	if float64(r) > rate {
@@ -129,7 +129,8 @@
 	return r
 }
 
-// sharesOf are the shares of an answer to rows that were sent.
+// sharesOf returns the shares of an answer to a report of workspaces, or nil if the
+// numbers of rows differ.
 func sharesOf(workspaces []string, rows []ShareRow) []limit.Share {
 	if len(rows) != len(workspaces) {
 		return nil
@@ -139,7 +140,7 @@
 		if seq == 0 || !validRate(rate) {
 			return
 		}
-		l := limit.Limit{Rate: float64(rate), Burst: float64(rate) * burst}
+		l := limit.Limit{Rate: float64(rate), Burst: float64(rate) * burstSeconds}
 		shares = append(shares, limit.Share{ID: id, Seq: seq, Limit: l, Lease: Lease})
 	}
 	for i, r := range rows {
