--- a/node/loads/loads.go
+++ b/node/loads/loads.go
@@ -18,8 +18,8 @@
 const Channel = "loads"
 
 const (
-	// ringSize bounds what waits for the loop; lost observations are replaced
-	// by the next.
+	// ringSize bounds the messages and poll results that wait for the loop. A
+	// dropped observation is replaced by the next one.
 	ringSize = 1024
 	// pollTimeout bounds one poll.
 	pollTimeout = 500 * time.Millisecond
@@ -27,7 +27,7 @@
 	eventInterval = time.Second
 )
 
-// Sink takes what was learned; *pipeline.Routing is one.
+// Sink receives the observations; *pipeline.Routing implements it.
 type Sink interface {
 	Report(route.Report)
 	CacheEvent(route.CacheEvent)
@@ -43,55 +43,55 @@
 	Log     *zap.Logger
 }
 
-// polled is the end of a poll.
-type polled struct {
+// pollResult is the result of a poll.
+type pollResult struct {
 	target string
 	report ports.LoadReport
 	events []ports.CacheEvent
 	err    error
 }
 
-// Service runs a Book: one loop, and one goroutine for each poll under way.
+// Service runs a Table with one loop, and one goroutine for each pending poll.
 type Service struct {
-	o      Options
-	inbox  *ring.Ring[[]byte]
-	polled *ring.Ring[polled]
+	o           Options
+	inbox       *ring.Ring[[]byte]
+	pollResults *ring.Ring[pollResult]
 
-	mu      sync.Mutex
-	book    *Table
-	specs   []route.TargetSpec
-	members []string
-	states  map[route.TargetID]route.State
-	events  map[string]eventCursor
+	mu              sync.Mutex
+	table           *Table
+	specs           []route.TargetSpec
+	members         []string
+	publishedStates map[route.TargetID]route.State
+	events          map[string]eventCursor
 }
 
-// eventCursor is how far the events of an engine were read.
+// eventCursor is the position up to which the events of an engine were read.
 type eventCursor struct {
-	seq  uint64
-	read time.Time
+	seq    uint64
+	readAt time.Time
 }
 
-// New makes a Service and registers it at the link.
+// New returns a Service and registers its channel at the hub.
 func New(o Options) *Service {
 	s := &Service{
-		o:      o,
-		inbox:  ring.New[[]byte](ringSize),
-		polled: ring.New[polled](ringSize),
-		book:   NewTable(o.Self),
-		states: map[route.TargetID]route.State{},
-		events: map[string]eventCursor{},
+		o:               o,
+		inbox:           ring.New[[]byte](ringSize),
+		pollResults:     ring.New[pollResult](ringSize),
+		table:           NewTable(o.Self),
+		publishedStates: map[route.TargetID]route.State{},
+		events:          map[string]eventCursor{},
 	}
 	o.Hub.Handle(Channel, s.receive)
 	return s
 }
 
-// SetTargets replaces the targets of the region: specs of all, and the engines
-// among them that are polled.
+// SetTargets replaces the targets of the region: specs are all targets, engines the
+// ones to poll.
 func (s *Service) SetTargets(specs []route.TargetSpec, engines []Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.specs = specs
-	s.book.SetTargets(engines)
+	s.table.SetTargets(engines)
 	s.overlay(time.Now(), true)
 }
 
@@ -100,14 +100,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.members = members
-	s.book.SetMembers(members)
+	s.table.SetMembers(members)
 }
 
-// SetLeaving replaces the targets that the platform says are leaving.
+// SetLeaving replaces the targets that the platform lists as leaving.
 func (s *Service) SetLeaving(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.SetLeaving(ids)
+	s.table.SetLeaving(ids)
 	s.overlay(time.Now(), false)
 }
 
@@ -115,25 +115,25 @@
 func (s *Service) LastObservation(target string) (Observation, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.LastObservation(target)
+	return s.table.LastObservation(target)
 }
 
 // States returns the targets of the region with their states in force.
 func (s *Service) States() []route.TargetSpec {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Overlay(time.Now(), s.specs)
+	return s.table.Overlay(time.Now(), s.specs)
 }
 
-// Unknown is how many rows were dropped as their target is not in the bundle.
+// UnknownTargets returns the number of rows dropped as their target is not in the bundle.
 func (s *Service) UnknownTargets() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.UnknownTargets()
+	return s.table.UnknownTargets()
 }
 
-// Refused is how many messages and polls found their ring full.
-func (s *Service) Refused() uint64 { return s.inbox.Stats().Refused + s.polled.Stats().Refused }
+// Refused returns the number of messages and poll results dropped as their ring was full.
+func (s *Service) Refused() uint64 { return s.inbox.Stats().Refused + s.pollResults.Stats().Refused }
 
 func (s *Service) receive(_ string, data []byte) { s.inbox.TryPush(data) }
 
@@ -141,7 +141,7 @@
 func (s *Service) Run(ctx context.Context) {
 	poll := time.NewTicker(PollInterval / 4)
 	defer poll.Stop()
-	share := time.NewTicker(tick)
+	share := time.NewTicker(tickInterval)
 	defer share.Stop()
 	for {
 		select {
@@ -152,9 +152,9 @@
 		case <-share.C:
 			s.share()
 		case data := <-s.inbox.C():
-			s.take(data)
-		case p := <-s.polled.C():
-			s.end(p)
+			s.handleMessage(data)
+		case p := <-s.pollResults.C():
+			s.handlePollResult(p)
 		}
 	}
 }
@@ -163,11 +163,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	for _, t := range s.book.Due(now) {
+	for _, t := range s.table.Due(now) {
 		cursor := s.events[t.ID]
-		withEvents := now.Sub(cursor.read) >= eventInterval
+		withEvents := now.Sub(cursor.readAt) >= eventInterval
 		if withEvents {
-			cursor.read = now
+			cursor.readAt = now
 			s.events[t.ID] = cursor
 		}
 		go s.poll(ctx, t, cursor.seq, withEvents)
@@ -175,38 +175,38 @@
 	s.overlay(now, false)
 }
 
-// poll asks one engine.
+// poll polls one engine, and reads its cache events after a sequence number if withEvents.
 func (s *Service) poll(ctx context.Context, t Target, after uint64, withEvents bool) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	engine := s.o.Engines.Engine(t.Address)
-	p := polled{target: t.ID}
+	p := pollResult{target: t.ID}
 	p.report, p.err = engine.Load(ctx)
 	if p.err == nil && withEvents {
-		// Events are hints: without them affinity rests on own sendings.
+		// Events are hints: without them affinity uses this instance's own attempts.
 		p.events, _ = engine.CacheEvents(ctx, after)
 	}
-	s.polled.TryPush(p)
+	s.pollResults.TryPush(p)
 }
 
-// end notes a poll; what others should know waits for the next share.
-func (s *Service) end(p polled) {
+// handlePollResult applies the result of a poll. The other members get it with the next share.
+func (s *Service) handlePollResult(p pollResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if o, known := s.book.HandlePoll(now, p.target, p.report, p.err); known {
+	if o, known := s.table.HandlePoll(now, p.target, p.report, p.err); known {
 		s.learn(now, o)
 	}
 	for _, e := range p.events {
 		s.learnEvent(cacheEvent{p.target, e})
-		s.book.QueueEvent(p.target, e)
+		s.table.QueueEvent(p.target, e)
 	}
 }
 
 // share sends what is due to the other members.
 func (s *Service) share() {
 	s.mu.Lock()
-	data, err := s.book.Share(time.Now())
+	data, err := s.table.Share(time.Now())
 	members := slices.Clone(s.members)
 	s.mu.Unlock()
 	if err != nil {
@@ -223,12 +223,12 @@
 	}
 }
 
-// take notes a message of another member.
-func (s *Service) take(data []byte) {
+// handleMessage applies a message of another member.
+func (s *Service) handleMessage(data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	observations, events, err := s.book.HandleMessage(now, data)
+	observations, events, err := s.table.HandleMessage(now, data)
 	if err != nil {
 		s.o.Log.Debug("malformed load observations", zap.Error(err))
 		return
@@ -261,13 +261,13 @@
 	})
 }
 
-// overlay hands the targets to routing where a state changed.
+// overlay passes the targets to routing if a state changed, or in any case with force.
 func (s *Service) overlay(now time.Time, force bool) {
-	specs := s.book.Overlay(now, s.specs)
+	specs := s.table.Overlay(now, s.specs)
 	changed := force
 	for _, spec := range specs {
-		if old, known := s.states[spec.ID]; !known || old != spec.State {
-			s.states[spec.ID] = spec.State
+		if old, known := s.publishedStates[spec.ID]; !known || old != spec.State {
+			s.publishedStates[spec.ID] = spec.State
 			changed = true
 			if known {
 				s.o.Log.Info("target changed state", zap.String("target", string(spec.ID)), zap.Stringer("state", spec.State))
--- a/node/loads/publisher.go
+++ b/node/loads/publisher.go
@@ -9,120 +9,124 @@
 )
 
 const (
-	// burstTime is how much of the budget may be saved up, in time.
-	burstTime = 10 * time.Second
-	// leastBurst lets a version or an event through in a large region.
-	leastBurst = 256
-	// refresh is the time after which details are told again: the message with
-	// them may have been lost.
-	refresh = 30 * time.Second
-	// maxQueued bounds the events that wait.
-	maxQueued = 256
-	// eventRowBytes and hashBytes bound an event and each hash in it.
+	// budgetBurst is the largest unused budget that is kept, in time at the rate.
+	budgetBurst = 10 * time.Second
+	// minBurstBytes is the least burst, so that a version or an event fits in a
+	// large region.
+	minBurstBytes = 256
+	// detailRefresh is the time after which details are sent again, as the message
+	// with them may have been lost.
+	detailRefresh = 30 * time.Second
+	// maxQueuedEvents bounds the queued events.
+	maxQueuedEvents = 256
+	// eventRowBytes and hashBytes bound the size of an event and of each hash in it.
 	eventRowBytes, hashBytes = 24, 9
-	// detailRowBytes bounds a detail without its names.
+	// detailRowBytes bounds the size of a detail row without its names.
 	detailRowBytes = 18
 )
 
-// teller decides what an owner tells the other members and when. It bounds the
-// bytes to each of them: a round with all its engines in each Share, and
-// ExtraBytes divided by the members for the rest.
+// publisher decides what an owner sends to the other members and when. It bounds the
+// bytes to each of them: a round with all its engines per ShareInterval, and
+// ExtraBytesPerSecond divided by the number of other members for the rest.
 //
-// What takes a target out of work (it leaves, loads or went down, or crashed
-// and came back) does not wait for the round: work sent in the meantime would
-// be lost or late. That a target is warm again waits, so that an engine that
-// comes and goes costs one message beside the rounds in each Share.
-type teller struct {
-	pace  Timing
-	peers int
-	// rate in bytes a second to each member, and what is left of it.
+// A change that makes a target unusable (it leaves, loads, went down, or crashed and
+// came back) is sent without waiting for the round, as requests sent in the meantime
+// would be lost or late. That a target is warm again waits, so that an engine that
+// alternates costs one message per ShareInterval besides the rounds.
+type publisher struct {
+	timing Timing
+	peers  int
+	// rate is the budget to each member in bytes per second, tokens its unused bytes.
 	rate, tokens float64
-	countedAt    time.Time
-	next         time.Time
-	told         map[string]*telling
-	// order keeps the rows of a message in one order.
+	refilledAt   time.Time
+	nextRound    time.Time
+	publications map[string]*publication
+	// order is the order of the rows in a message.
 	order  []string
 	urgent bool
 	events []cacheEvent
 }
 
-// telling is what the others know of one engine that is polled here.
-type telling struct {
-	now   Observation
-	nowAt time.Time
-	// fresh: now was not told yet.
-	fresh bool
-	last  Observation
-	// lastAt is when last was told, detailAt when with its details; zero for
-	// never.
+// publication is what was sent of one engine that this instance polls.
+type publication struct {
+	current   Observation
+	currentAt time.Time
+	// unpublished is set if current was not sent yet.
+	unpublished bool
+	last        Observation
+	// lastAt is when last was sent, detailAt when it was sent with its details;
+	// zero for never.
 	lastAt, detailAt time.Time
-	// repeat in the next round: the message that did not wait may be lost.
+	// repeat is set to send it again in the next round, as an urgent message may
+	// be lost.
 	repeat bool
 }
 
-func newTeller() *teller { return &teller{told: map[string]*telling{}} }
+func newPublisher() *publisher { return &publisher{publications: map[string]*publication{}} }
 
-// set takes new members and targets. again: a member is new and knows nothing.
-func (t *teller) set(pace Timing, peers, owned int, known map[string]*entry, again bool) {
-	t.pace, t.peers = pace, peers
+// configure sets the timing, the number of other members, the number of engines that
+// this instance owns, and all known engines. With resend, everything is sent again, as
+// there is a new member or target.
+func (t *publisher) configure(timing Timing, peers, owned int, known map[string]*engineState, resend bool) {
+	t.timing, t.peers = timing, peers
 	round := float64(MessageBytes + owned*LoadBytes)
-	t.rate = round/pace.ShareInterval.Seconds() + ExtraBytesPerSecond/float64(max(1, peers))
-	for id, told := range t.told {
+	t.rate = round/timing.ShareInterval.Seconds() + ExtraBytesPerSecond/float64(max(1, peers))
+	for id, p := range t.publications {
 		if known[id] == nil {
-			delete(t.told, id)
+			delete(t.publications, id)
 		}
-		if again {
-			told.lastAt, told.detailAt = time.Time{}, time.Time{}
+		if resend {
+			p.lastAt, p.detailAt = time.Time{}, time.Time{}
 		}
 	}
-	t.order = slices.DeleteFunc(t.order, func(id string) bool { return t.told[id] == nil })
+	t.order = slices.DeleteFunc(t.order, func(id string) bool { return t.publications[id] == nil })
 }
 
-// observe takes what was found of an engine.
-func (t *teller) observe(now time.Time, o Observation) {
-	e := t.told[o.Target]
+// observe sets the current observation of an engine.
+func (t *publisher) observe(now time.Time, o Observation) {
+	e := t.publications[o.Target]
 	if e == nil {
-		e = &telling{}
-		t.told[o.Target] = e
+		e = &publication{}
+		t.publications[o.Target] = e
 		t.order = append(t.order, o.Target)
 	}
-	e.now, e.nowAt, e.fresh = o, now, true
+	e.current, e.currentAt, e.unpublished = o, now, true
 	t.urgent = t.urgent || e.urgent()
 }
 
-// urgent says that others may send work which the engine won't do.
-func (e *telling) urgent() bool {
-	if !e.fresh || !e.lastAt.IsZero() && e.last.State != route.Warm {
+// urgent reports whether others may send requests that the engine won't serve.
+func (e *publication) urgent() bool {
+	if !e.unpublished || !e.lastAt.IsZero() && e.last.State != route.Warm {
 		return false
 	}
-	crashed := !e.lastAt.IsZero() && e.now.Incarnation != e.last.Incarnation
-	return e.now.State != route.Warm || crashed
+	crashed := !e.lastAt.IsZero() && e.current.Incarnation != e.last.Incarnation
+	return e.current.State != route.Warm || crashed
 }
 
-// queue takes an event; the oldest is dropped where too many wait.
-func (t *teller) queue(target string, e ports.CacheEvent) {
-	if len(t.events) == maxQueued {
+// queueEvent queues an event, and drops the oldest if the queue is full.
+func (t *publisher) queueEvent(target string, e ports.CacheEvent) {
+	if len(t.events) == maxQueuedEvents {
 		t.events = slices.Delete(t.events, 0, 1)
 	}
 	t.events = append(t.events, cacheEvent{target, e})
 }
 
-// take returns the message that is due; false if there is nothing to say.
-func (t *teller) take(now time.Time, k keys) (message, bool) {
-	t.count(now)
-	round := !now.Before(t.next)
+// nextMessage returns the message that is due, false if there is none.
+func (t *publisher) nextMessage(now time.Time, k keys) (message, bool) {
+	t.refill(now)
+	round := !now.Before(t.nextRound)
 	if t.peers == 0 || !round && !t.urgent {
 		return message{}, false
 	}
 	if round {
-		t.next = now.Add(t.pace.ShareInterval)
+		t.nextRound = now.Add(t.timing.ShareInterval)
 	}
 	t.urgent = false
 	var m message
 	for _, id := range t.order {
-		e := t.told[id]
-		if e.urgent() || round && e.due(now, t.pace) {
-			t.add(now, &m, k.of[id], e)
+		e := t.publications[id]
+		if e.urgent() || round && e.due(now, t.timing) {
+			t.addRow(now, &m, k.of[id], e)
 		}
 	}
 	if round {
@@ -135,27 +139,28 @@
 	return m, true
 }
 
-// count adds what the rate gave since the last time.
-func (t *teller) count(now time.Time) {
-	most := max(leastBurst, t.rate*burstTime.Seconds())
-	if !t.countedAt.IsZero() {
-		t.tokens += t.rate * now.Sub(t.countedAt).Seconds()
+// refill adds the budget accrued since the last call.
+func (t *publisher) refill(now time.Time) {
+	most := max(minBurstBytes, t.rate*budgetBurst.Seconds())
+	if !t.refilledAt.IsZero() {
+		t.tokens += t.rate * now.Sub(t.refilledAt).Seconds()
 	}
 	t.tokens = min(max(t.tokens, -most), most)
-	t.countedAt = now
+	t.refilledAt = now
 }
 
-// due says that an observation is worth a place in the round: it differs from
-// what was told, or has to be repeated before the next.
-func (e *telling) due(now time.Time, p Timing) bool {
-	if !e.fresh {
+// due reports whether an observation belongs in the round: it differs from what was
+// sent, or has to be repeated before the next round.
+func (e *publication) due(now time.Time, p Timing) bool {
+	if !e.unpublished {
 		return false
 	}
 	repeat := e.repeat || e.lastAt.IsZero() || now.Add(p.ShareInterval).Sub(e.lastAt) > p.RepeatInterval
-	return repeat || differs(e.now, e.last)
+	return repeat || differs(e.current, e.last)
 }
 
-// differs by so much that routing would decide otherwise.
+// differs reports whether routing may decide differently on a than on b: a difference
+// in a count of at least 10 %, or in KV cache use of 0.02.
 func differs(a, b Observation) bool {
 	far := func(x, y, least int) bool {
 		d := max(x-y, y-x)
@@ -170,26 +175,26 @@
 	return a.Incarnation == b.Incarnation && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// add writes a row, and the details where they changed or are to be told again
-// and the budget allows. A new life is told with the row in any case: a crash
-// is known by it.
-func (t *teller) add(now time.Time, m *message, key uint64, e *telling) {
-	o := e.now
-	o.AgeMillis += now.Sub(e.nowAt).Milliseconds()
+// addRow adds a row, and the details if they changed or are due for a refresh and the
+// budget allows. A new incarnation is always sent with the row, as others detect a
+// crash by it.
+func (t *publisher) addRow(now time.Time, m *message, key uint64, e *publication) {
+	o := e.current
+	o.AgeMillis += now.Sub(e.currentAt).Milliseconds()
 	m.Loads = append(m.Loads, rowOf(key, o))
 	t.tokens -= LoadBytes
 	e.repeat = e.urgent()
-	changed := e.detailAt.IsZero() || !sameDetails(e.now, e.last)
-	if o.Incarnation != e.last.Incarnation || t.tokens > 0 && (changed || now.Sub(e.detailAt) >= refresh) {
-		m.Details = append(m.Details, detailRow{Target: key, Life: o.Incarnation, Version: o.Version, Adapters: o.Adapters})
+	changed := e.detailAt.IsZero() || !sameDetails(e.current, e.last)
+	if o.Incarnation != e.last.Incarnation || t.tokens > 0 && (changed || now.Sub(e.detailAt) >= detailRefresh) {
+		m.Details = append(m.Details, detailRow{Target: key, Incarnation: o.Incarnation, Version: o.Version, Adapters: o.Adapters})
 		t.tokens -= float64(detailSize(o))
 		e.detailAt = now
 	} else if changed {
-		// Keep them untold for the next round.
+		// The details remain unsent for a later round.
 		o.Incarnation, o.Version, o.Adapters = e.last.Incarnation, e.last.Version, e.last.Adapters
 		e.detailAt = time.Time{}
 	}
-	e.last, e.lastAt, e.fresh = o, now, false
+	e.last, e.lastAt, e.unpublished = o, now, false
 }
 
 func detailSize(o Observation) int {
@@ -200,9 +205,9 @@
 	return n
 }
 
-// addEvents writes as many events as the budget has room for, the latest of
-// them, in order. The others are dropped: events are hints and have gaps.
-func (t *teller) addEvents(m *message, k keys) {
+// addEvents adds the latest events that fit the budget, in order, and drops the
+// others: events are hints and have gaps.
+func (t *publisher) addEvents(m *message, k keys) {
 	from := len(t.events)
 	left := t.tokens
 	for from > 0 {
--- a/node/loads/publisher_test.go
+++ b/node/loads/publisher_test.go
@@ -12,24 +12,25 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// sizes of regions: the smallest, an example's, the planned largest, twice that
-// and uneven ones. Each Book has its own view, so a step takes their square.
-var sizes = []struct{ members, targets int }{{2, 1}, {2, 400}, {3, 6}, {9, 30}, {60, 115}, {120, 5}, {120, 400}}
+// regionSizes are the smallest, an example's, the planned largest, twice that, and
+// uneven sizes of a region. Each Table has its own view, so the time of a step grows
+// with the square of the members.
+var regionSizes = []struct{ members, targets int }{{2, 1}, {2, 400}, {3, 6}, {9, 30}, {60, 115}, {120, 5}, {120, 400}}
 
-// measuredFrame are the bytes of a link around a payload (BenchmarkPaced).
-const measuredFrame = 37
+// frameBytes is the overhead of a link around a payload; see BenchmarkPaced in coord/link.
+const frameBytes = 37
 
-// region is the Books of all members, whose messages arrive at once.
+// region simulates the Tables of all members, whose messages arrive at once.
 type region struct {
 	t       rapid.TB
 	now     time.Time
 	names   []string
-	books   []*Table
+	tables  []*Table
 	targets []Target
-	// report is what an engine says now.
+	// report returns the current load report of an engine.
 	report func(target string) (ports.LoadReport, error)
-	// received are bytes at the first member, and sent by each; messages those
-	// that the first received.
+	// received and messages are the bytes and messages that the first member
+	// received, sent the bytes that each member sent.
 	received, messages int
 	sent               []int
 	lost               func() bool
@@ -44,15 +45,15 @@
 		b := NewTable(name)
 		b.SetTargets(r.targets)
 		b.SetMembers(r.names)
-		r.books = append(r.books, b)
+		r.tables = append(r.tables, b)
 	}
 	return r
 }
 
-// step is one turn of every loop.
+// step runs one iteration of every member's loop.
 func (r *region) step() {
-	r.now = r.now.Add(tick)
-	for i, b := range r.books {
+	r.now = r.now.Add(tickInterval)
+	for i, b := range r.tables {
 		for _, due := range b.Due(r.now) {
 			report, err := r.report(due.ID)
 			report.At = r.now
@@ -63,19 +64,19 @@
 			r.t.Fatal(err)
 		}
 		if data != nil {
-			r.tell(i, data)
+			r.deliver(i, data)
 		}
 	}
 }
 
-func (r *region) tell(from int, data []byte) {
-	for i, b := range r.books {
+func (r *region) deliver(from int, data []byte) {
+	for i, b := range r.tables {
 		if i == from || r.lost != nil && r.lost() {
 			continue
 		}
-		r.sent[from] += len(data) + measuredFrame
+		r.sent[from] += len(data) + frameBytes
 		if i == 0 {
-			r.received += len(data) + measuredFrame
+			r.received += len(data) + frameBytes
 			r.messages++
 		}
 		if _, _, err := b.HandleMessage(r.now, data); err != nil {
@@ -84,12 +85,11 @@
 	}
 }
 
-// Symptom: load observations take nine times the budget of control.
-// Events: any size of a region; loads of all engines change with every poll,
-// versions and adapters now and then, each poll finds cache events.
-// Cause: messages that grow with the square of the region.
-func TestBytesStayInTheBudgetAtAnySize(t *testing.T) {
-	for _, size := range sizes {
+// Guards against load observations that exceed their traffic budget (nine times), as
+// messages grow with the square of the region: at any size, the loads of all engines
+// change with every poll, versions sometimes, and there are always cache events.
+func TestTrafficStaysInBudgetAtAnyRegionSize(t *testing.T) {
+	for _, size := range regionSizes {
 		r := newRegion(t, size.members, size.targets)
 		n := 0
 		r.report = func(string) (ports.LoadReport, error) {
@@ -107,12 +107,12 @@
 		for range steps {
 			r.step()
 			for i, target := range r.targets {
-				r.books[i%size.members].QueueEvent(target.ID, ports.CacheEvent{Seq: uint64(n), Stored: []uint64{1 << 60, 1 << 61}})
+				r.tables[i%size.members].QueueEvent(target.ID, ports.CacheEvent{Seq: uint64(n), Stored: []uint64{1 << 60, 1 << 61}})
 			}
 		}
-		window := (steps * tick).Seconds()
-		saved := burstTime.Seconds() + float64(leastBurst*size.members)/(SteadyBytesPerSecond+ExtraBytesPerSecond)
-		share := r.books[0].pace.ShareInterval.Seconds()
+		window := (steps * tickInterval).Seconds()
+		saved := budgetBurst.Seconds() + float64(minBurstBytes*size.members)/(SteadyBytesPerSecond+ExtraBytesPerSecond)
+		share := r.tables[0].timing.ShareInterval.Seconds()
 		most := (SteadyBytesPerSecond + ExtraBytesPerSecond) * (window + saved + share)
 		got := r.received - from
 		if float64(got) > most {
@@ -126,16 +126,16 @@
 			t.Errorf("%v: sent %.0f B in %v s, at most %.0f", size, busiest, window, 2*most)
 		}
 		t.Logf("%v: share %v, received %.0f B/s, in %.1f messages/s, the busiest sent %.0f B/s",
-			size, r.books[0].pace.ShareInterval, float64(got)/window, float64(r.messages-messages)/window, busiest/window)
+			size, r.tables[0].timing.ShareInterval, float64(got)/window, float64(r.messages-messages)/window, busiest/window)
 	}
 }
 
-// firstOf loses the first message that tells of a state.
-func (r *region) firstOf(id string, state route.State) func() bool {
+// loseFirst returns a loss function that drops the first message with a state.
+func (r *region) loseFirst(id string, state route.State) func() bool {
 	var at time.Time
 	return func() bool {
-		for _, b := range r.books {
-			e := b.teller.told[id]
+		for _, b := range r.tables {
+			e := b.publisher.publications[id]
 			if e != nil && e.last.State == state && e.lastAt.Equal(r.now) && (at.IsZero() || at.Equal(r.now)) {
 				at = r.now
 				return true
@@ -145,13 +145,11 @@
 	}
 }
 
-// Symptom: a leaving target gets work for seconds, since the next round of its
-// owner is that far; or the interval is long and nobody hears of an engine.
-// Events: any size; engines leave, load, go down, come back, crash between two
-// polls; the first message of it is lost.
-// Cause: changes of state that wait for the round, are told once only, or deputies that step in for
-// owners that are not silent.
-func TestChangesOfStateSpreadAtOnce(t *testing.T) {
+// Guards against state changes that reach others seconds late, as they wait for the
+// owner's next round or are sent only once, and against backups that poll although the
+// owner sends: engines leave, load, go down, come back, crash between two polls, and
+// the first message may be lost.
+func TestStateChangesAreSentAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SampledFrom([]int{2, 3, 9, 20, 60}).Draw(t, "members")
 		r := newRegion(t, members, rapid.IntRange(1, 40).Draw(t, "targets"))
@@ -166,14 +164,14 @@
 			return reports[id], nil
 		}
 		settle := func() {
-			for range int(2*r.books[0].pace.BackupDelay/tick) + 1 {
+			for range int(2*r.tables[0].timing.BackupDelay/tickInterval) + 1 {
 				r.step()
 			}
 		}
 		settle()
 		for range rapid.IntRange(1, 3).Draw(t, "changes") {
 			id := rapid.SampledFrom(r.targets).Draw(t, "target").ID
-			want, within := route.Down, (downAfter+1)*slowestPoll
+			want, within := route.Down, (downAfterFailures+1)*maxPollInterval
 			switch rapid.IntRange(0, 3).Draw(t, "change") {
 			case 0:
 				want, reports[id] = route.Leaving, ports.LoadReport{Draining: true}
@@ -185,26 +183,26 @@
 				down[id] = true
 			}
 			if !down[id] {
-				within = slowestPoll + tick
+				within = maxPollInterval + tickInterval
 			}
 			if want != route.Warm && rapid.Bool().Draw(t, "first message lost") {
-				r.lost = r.firstOf(id, want)
-				within += r.books[0].pace.ShareInterval + 2*tick
+				r.lost = r.loseFirst(id, want)
+				within += r.tables[0].timing.ShareInterval + 2*tickInterval
 			}
-			for range within / tick {
+			for range within / tickInterval {
 				r.step()
 			}
-			for _, b := range r.books {
+			for _, b := range r.tables {
 				seen, _ := b.LastObservation(id)
-				if state, _ := b.State(r.now, id); state != want || seen.Incarnation != r.books[0].entries[id].seen.Incarnation {
-					t.Fatalf("%s holds %s for %v of life %d, want %v", b.self, id, state, seen.Incarnation, want)
+				if state, _ := b.State(r.now, id); state != want || seen.Incarnation != r.tables[0].engines[id].observed.Incarnation {
+					t.Fatalf("%s has %s as %v of incarnation %d, want %v", b.self, id, state, seen.Incarnation, want)
 				}
 			}
 			r.lost, reports[id], down[id] = nil, ports.LoadReport{}, false
 			settle()
-			for _, b := range r.books {
+			for _, b := range r.tables {
 				if state, known := b.State(r.now, id); state != route.Warm || !known {
-					t.Fatalf("%s holds %s for %v for good", b.self, id, state)
+					t.Fatalf("%s still has %s as %v", b.self, id, state)
 				}
 			}
 		}
@@ -212,54 +210,52 @@
 		for range 40 {
 			r.step()
 		}
-		if most := len(r.targets) * (int(40*tick/r.books[0].pace.PollInterval) + 1); polls > most {
-			t.Fatalf("%d polls, at most %d: deputies poll although owners speak", polls, most)
+		if most := len(r.targets) * (int(40*tickInterval/r.tables[0].timing.PollInterval) + 1); polls > most {
+			t.Fatalf("%d polls, at most %d: backups poll although owners send", polls, most)
 		}
 	})
 }
 
-// Symptom: what is known of an engine differs between instances for good, or
-// one bundle's names are taken for another's.
-// Events: messages are lost; bundles of sender and receiver differ; bytes are
-// changed on the way.
-// Cause: details told once, rows by place in a list, values that nobody checks.
-func TestLossAndOtherBundlesHeal(t *testing.T) {
+// Guards against instances that keep different knowledge of an engine, or mix up engines
+// of different bundles: messages are lost, bundles of sender and receiver differ, and
+// bytes are malformed.
+func TestTablesConvergeAfterLossAndDifferentBundles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(t, rapid.IntRange(2, 12).Draw(t, "members"), rapid.IntRange(2, 40).Draw(t, "targets"))
 		r.report = func(id string) (ports.LoadReport, error) {
 			return ports.LoadReport{Version: "v" + id, Running: len(id), Started: start}, nil
 		}
-		r.books[0].SetTargets(r.targets[1:])
+		r.tables[0].SetTargets(r.targets[1:])
 		r.lost = func() bool { return rapid.IntRange(0, 3).Draw(t, "lost") == 0 }
 		for range 30 {
 			r.step()
 		}
 		r.lost = nil
-		r.books[0].SetTargets(r.targets)
-		for range int((refresh+2*r.books[0].pace.BackupDelay)/tick) + 1 {
+		r.tables[0].SetTargets(r.targets)
+		for range int((detailRefresh+2*r.tables[0].timing.BackupDelay)/tickInterval) + 1 {
 			r.step()
 		}
-		for _, b := range r.books {
+		for _, b := range r.tables {
 			for _, target := range r.targets {
 				seen, at := b.LastObservation(target.ID)
-				if seen.Version != "v"+target.ID || seen.Incarnation != uint64(start.UnixMilli()) || r.now.Sub(at) > b.pace.BackupDelay {
+				if seen.Version != "v"+target.ID || seen.Incarnation != uint64(start.UnixMilli()) || r.now.Sub(at) > b.timing.BackupDelay {
 					t.Fatalf("%s knows %+v of %s since %v", b.self, seen, target.ID, r.now.Sub(at))
 				}
 			}
 		}
 		data := rapid.SliceOfN(rapid.Byte(), 0, 60).Draw(t, "bytes")
-		if o, _, err := r.books[0].HandleMessage(r.now, data); err != nil && len(o) > 0 {
-			t.Fatal("malformed bytes are believed")
+		if o, _, err := r.tables[0].HandleMessage(r.now, data); err != nil && len(o) > 0 {
+			t.Fatal("malformed bytes are accepted")
 		}
 	})
 }
 
-// Symptom: a row is larger than the budget was worked out with.
-// Cause: a field added, a bound raised.
-func TestRowsAreWithinTheirBounds(t *testing.T) {
+// Guards against rows that are larger than the sizes that the budget is computed with,
+// after a field is added or a bound raised.
+func TestRowsAreWithinTheirSizes(t *testing.T) {
 	k := newKeys([]Target{{ID: "a"}})
-	teller := newTeller()
-	teller.set(TimingOf(2, 1, 1), 1, 1, map[string]*entry{"a": {}}, true)
+	pub := newPublisher()
+	pub.configure(TimingOf(2, 1, 1), 1, 1, map[string]*engineState{"a": {}}, true)
 	huge := Observation{
 		Target: "a", AgeMillis: 1 << 50, Running: 1 << 50, Waiting: 1 << 50, WaitingTokens: 1 << 50, KVUsed: 7, State: route.Down,
 	}
@@ -271,13 +267,13 @@
 		return len(data)
 	}
 	none := size(message{})
-	if none+measuredFrame > MessageBytes {
-		t.Errorf("an empty message takes %d B", none+measuredFrame)
+	if none+frameBytes > MessageBytes {
+		t.Errorf("an empty message takes %d B", none+frameBytes)
 	}
 	if got := size(message{Loads: []loadRow{rowOf(k.of["a"], huge)}}) - none; got > LoadBytes {
 		t.Errorf("a row takes %d B", got)
 	}
-	detail := detailRow{Target: k.of["a"], Life: 1 << 50, Version: "2026-11", Adapters: []string{"x", "yy"}}
+	detail := detailRow{Target: k.of["a"], Incarnation: 1 << 50, Version: "2026-11", Adapters: []string{"x", "yy"}}
 	if got := size(message{Details: []detailRow{detail}}) - none; got > detailSize(Observation{Version: "2026-11", Adapters: []string{"x", "yy"}}) {
 		t.Errorf("a detail takes %d B", got)
 	}
@@ -287,8 +283,8 @@
 	}
 }
 
-// Symptom: two engines are taken for one. Cause: hashes that share their bits.
-func TestKeysThatCollideAreLong(t *testing.T) {
+// Guards against two engines with the same key, as their hashes share the low bits.
+func TestCollidingKeysAreLong(t *testing.T) {
 	seen := map[uint64]string{}
 	var a, b string
 	for i := 0; a == ""; i++ {
--- a/node/loads/table.go
+++ b/node/loads/table.go
@@ -1,8 +1,9 @@
-// Package loads polls the region's engines and shares what they report.
+// Package loads polls the region's engines and shares their load reports among the
+// region's instances.
 //
 // Each engine is polled by one owner among the region's live instances, chosen
-// by rendezvous hashing, and by a deputy where the owner's reports stay out.
-// Polling by all would load the engines with the number of instances.
+// by rendezvous hashing, and by a backup if the owner's reports don't arrive.
+// If all instances polled, the load on engines would grow with their number.
 package loads
 
 import (
@@ -15,8 +16,9 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// downAfter is how many polls in a row fail before a target counts as down.
-const downAfter = 3
+// downAfterFailures is the number of consecutive failed polls after which a target
+// counts as down.
+const downAfterFailures = 3
 
 // Target is an engine to poll.
 type Target struct {
@@ -24,93 +26,93 @@
 	Address string
 }
 
-// Observation is what one poll found.
+// Observation is the result of one poll.
 type Observation struct {
 	Target string
-	// Age of the report when it was sent, in milliseconds: clocks of instances
+	// AgeMillis is the age of the report when it was sent. The clocks of instances
 	// differ, so no time of day is sent.
 	AgeMillis     int64
 	Running       int
 	Waiting       int
 	WaitingTokens int
-	// KVUsed is the share of KV cache memory in use, 0 to 1.
+	// KVUsed is the fraction of KV cache memory in use, 0 to 1.
 	KVUsed float32
 	// State is Warm, Loading, Leaving or Down.
 	State route.State
-	// Brief: what follows is left out, as it was told before.
+	// DetailsOmitted is set if the fields below are not set, as they were sent before.
 	DetailsOmitted bool
 	// Version and Adapters are what the engine has loaded.
 	Version  string
 	Adapters []string
-	// Life numbers the lives of the engine, alike at all instances: when it
-	// started, in Unix milliseconds, where it tells so; else it counts on each
-	// time that the engine comes back.
+	// Incarnation identifies the incarnation of the engine, with the same number
+	// at all instances: its start in Unix milliseconds if it reports that, else a
+	// counter that increases each time the engine comes back.
 	Incarnation uint64
 }
 
-// entry is what is known of one engine.
-type entry struct {
+// engineState is the knowledge of one engine.
+type engineState struct {
 	target   Target
 	owner    bool
-	deputy   bool
+	backup   bool
 	polledAt time.Time
 	failures int
-	seen     Observation
-	// seenAt is when seen was received or made here; zero for never.
-	seenAt time.Time
-	// heardAt is when another instance last told of it.
-	heardAt time.Time
+	observed Observation
+	// observedAt is when observed was received or made here; zero for never.
+	observedAt time.Time
+	// receivedAt is when the last observation of another instance was received.
+	receivedAt time.Time
 }
 
-// Book is the knowledge of one instance. It has no input or output and is not
-// safe for several goroutines.
+// Table is the knowledge of one instance of the region's engines. It does no input
+// or output and is not safe for concurrent use.
 type Table struct {
 	self    string
 	targets []Target
 	members []string
-	entries map[string]*entry
-	// leaving are the targets that the platform's list says are leaving.
-	leaving map[string]bool
-	pace    Timing
-	keys    keys
-	teller  *teller
-	// unknown counts rows of targets that the bundle here does not have.
-	unknown uint64
+	engines map[string]*engineState
+	// leaving are the targets that the platform's list marks as leaving.
+	leaving   map[string]bool
+	timing    Timing
+	keys      keys
+	publisher *publisher
+	// unknownTargets counts rows of targets that this instance's bundle doesn't have.
+	unknownTargets uint64
 }
 
-// NewBook makes the Book of an instance.
+// NewTable returns the Table of an instance.
 func NewTable(self string) *Table {
-	return &Table{self: self, entries: map[string]*entry{}, pace: TimingOf(1, 0, 0), teller: newTeller()}
+	return &Table{self: self, engines: map[string]*engineState{}, timing: TimingOf(1, 0, 0), publisher: newPublisher()}
 }
 
 // SetTargets replaces the engines of the region.
 func (b *Table) SetTargets(targets []Target) {
-	kept := map[string]*entry{}
+	kept := map[string]*engineState{}
 	for _, t := range targets {
-		e := b.entries[t.ID]
+		e := b.engines[t.ID]
 		if e == nil || e.target.Address != t.Address {
-			e = &entry{}
+			e = &engineState{}
 		}
 		e.target = t
 		kept[t.ID] = e
 	}
-	isNew := func(t Target) bool { return b.entries[t.ID] == nil }
-	again := slices.ContainsFunc(targets, isNew)
-	b.targets, b.entries, b.keys = slices.Clone(targets), kept, newKeys(targets)
-	b.assign(again)
+	isNew := func(t Target) bool { return b.engines[t.ID] == nil }
+	resend := slices.ContainsFunc(targets, isNew)
+	b.targets, b.engines, b.keys = slices.Clone(targets), kept, newKeys(targets)
+	b.assign(resend)
 }
 
 // SetMembers replaces the live instances of the region.
 func (b *Table) SetMembers(members []string) {
 	known := func(m string) bool { return slices.Contains(b.members, m) }
-	again := slices.ContainsFunc(members, func(m string) bool { return !known(m) })
+	resend := slices.ContainsFunc(members, func(m string) bool { return !known(m) })
 	b.members = members
-	b.assign(again)
+	b.assign(resend)
 }
 
-// SetLeaving replaces the targets that the platform says are leaving. It lags
-// and may be wrong; a target that it names takes no new work, and takes it up
-// again when it is no longer named.
+// SetLeaving replaces the targets that the platform lists as leaving. The list lags
+// and may be wrong: a target on it gets no new work, and gets work again once it is
+// no longer listed.
 func (b *Table) SetLeaving(ids []string) {
 	b.leaving = map[string]bool{}
 	for _, id := range ids {
@@ -118,24 +120,24 @@
 	}
 }
 
-// assign computes owner and deputy of each engine, and the times that follow.
-// During a change of members two instances may both poll; that costs a little
-// and harms nothing. again: tell everything anew.
-func (b *Table) assign(again bool) {
+// assign computes owner and backup of each engine, and the timing that follows.
+// During a change of members two instances may both poll, which costs some polls
+// and is harmless. With resend, everything is sent again.
+func (b *Table) assign(resend bool) {
 	owned := map[string]int{}
 	busiest := 0
-	for _, e := range b.entries {
+	for _, e := range b.engines {
 		first, second := topTwo(e.target.ID, b.members)
 		e.owner = first == b.self || first == ""
-		e.deputy = second == b.self
+		e.backup = second == b.self
 		owned[first]++
 		busiest = max(busiest, owned[first])
 	}
-	b.pace = TimingOf(len(b.members), len(b.targets), busiest)
-	b.teller.set(b.pace, max(0, len(b.members)-1), owned[b.self], b.entries, again)
+	b.timing = TimingOf(len(b.members), len(b.targets), busiest)
+	b.publisher.configure(b.timing, max(0, len(b.members)-1), owned[b.self], b.engines, resend)
 }
 
-// topTwo are the members with the highest rendezvous weights.
+// topTwo returns the members with the highest rendezvous weights for a target.
 func topTwo(target string, members []string) (first, second string) {
 	var w1, w2 uint64
 	for _, m := range members {
@@ -154,10 +156,10 @@
 func (b *Table) Due(now time.Time) []Target {
 	var due []Target
 	for _, t := range b.targets {
-		e := b.entries[t.ID]
-		silent := now.Sub(e.heardAt) > b.pace.BackupDelay
-		mine := e.owner || e.deputy && silent
-		if !mine || now.Sub(e.polledAt) < b.pace.PollInterval {
+		e := b.engines[t.ID]
+		silent := now.Sub(e.receivedAt) > b.timing.BackupDelay
+		mine := e.owner || e.backup && silent
+		if !mine || now.Sub(e.polledAt) < b.timing.PollInterval {
 			continue
 		}
 		e.polledAt = now
@@ -166,44 +168,45 @@
 	return due
 }
 
-// Polled takes the end of a poll and returns what to learn of it. A single
-// failure is told to nobody: the poll itself may have been what was slow.
+// HandlePoll handles the end of a poll and returns the observation, false if there is
+// none to apply. Fewer than downAfterFailures failures are not reported, as the poll
+// itself may have been slow.
 func (b *Table) HandlePoll(now time.Time, target string, r ports.LoadReport, err error) (Observation, bool) {
-	e := b.entries[target]
+	e := b.engines[target]
 	if e == nil {
 		return Observation{}, false
 	}
 	if err != nil {
 		e.failures++
-		if e.failures < downAfter {
+		if e.failures < downAfterFailures {
 			return Observation{}, false
 		}
-		o := Observation{Target: target, State: route.Down, Incarnation: e.seen.Incarnation}
-		b.teller.observe(now, o)
-		return b.note(now, e, o), true
+		o := Observation{Target: target, State: route.Down, Incarnation: e.observed.Incarnation}
+		b.publisher.observe(now, o)
+		return b.record(now, e, o), true
 	}
 	e.failures = 0
-	o := observe(target, now, r)
-	o.Incarnation = e.life(r)
-	b.teller.observe(now, o)
-	return b.note(now, e, o), true
+	o := observationOf(target, now, r)
+	o.Incarnation = e.incarnation(r)
+	b.publisher.observe(now, o)
+	return b.record(now, e, o), true
 }
 
-// life is the number of the engine's life that a report belongs to. Where the
-// engine doesn't tell its start, a crash between two polls is not noticed, and
-// two lives share a number.
-func (e *entry) life(r ports.LoadReport) uint64 {
+// incarnation returns the number of the engine's incarnation that a report belongs
+// to. If the engine doesn't report its start, a crash between two polls goes
+// unnoticed, and two incarnations share a number.
+func (e *engineState) incarnation(r ports.LoadReport) uint64 {
 	if !r.Started.IsZero() {
 		return uint64(r.Started.UnixMilli())
 	}
-	if e.seen.State == route.Down {
-		return e.seen.Incarnation + 1
+	if e.observed.State == route.Down {
+		return e.observed.Incarnation + 1
 	}
-	return e.seen.Incarnation
+	return e.observed.Incarnation
 }
 
-// observe turns an engine's report into what is shared.
-func observe(target string, now time.Time, r ports.LoadReport) Observation {
+// observationOf converts an engine's report to an Observation, without Incarnation.
+func observationOf(target string, now time.Time, r ports.LoadReport) Observation {
 	o := Observation{
 		Target:        target,
 		AgeMillis:     max(0, now.Sub(r.At).Milliseconds()),
@@ -223,78 +226,82 @@
 	return o
 }
 
-func (b *Table) note(now time.Time, e *entry, o Observation) Observation {
-	e.seen, e.seenAt = o, now
+func (b *Table) record(now time.Time, e *engineState, o Observation) Observation {
+	e.observed, e.observedAt = o, now
 	return o
 }
 
-// Received takes an observation of another instance.
+// Merge applies an observation of another instance. Observations of unknown targets
+// are ignored.
 func (b *Table) Merge(now time.Time, o Observation) {
-	e := b.entries[o.Target]
+	e := b.engines[o.Target]
 	if e == nil {
 		return
 	}
 	if o.DetailsOmitted {
-		o.Version, o.Adapters, o.Incarnation, o.DetailsOmitted = e.seen.Version, e.seen.Adapters, e.seen.Incarnation, false
+		o.Version, o.Adapters, o.Incarnation, o.DetailsOmitted = e.observed.Version, e.observed.Adapters, e.observed.Incarnation, false
 	}
-	e.heardAt = now
-	b.note(now, e, o)
+	e.receivedAt = now
+	b.record(now, e, o)
 }
 
-// Queue takes a cache event of an engine to tell, if there is room.
-func (b *Table) QueueEvent(target string, e ports.CacheEvent) { b.teller.queue(target, e) }
+// QueueEvent queues a cache event of an engine for sending. If the queue is full, the
+// oldest event is dropped.
+func (b *Table) QueueEvent(target string, e ports.CacheEvent) { b.publisher.queueEvent(target, e) }
 
-// Share returns what to send to every other member now; nil if nothing is due.
+// Share returns the message to send to every other member now, nil if nothing is due.
 // It is called every 100 ms.
 func (b *Table) Share(now time.Time) ([]byte, error) {
-	m, due := b.teller.take(now, b.keys)
+	m, due := b.publisher.nextMessage(now, b.keys)
 	if !due {
 		return nil, nil
 	}
 	return encode(m)
 }
 
-// Heard takes a message of another member and returns what to learn of it. The
-// error is of malformed bytes, of which nothing is taken.
+// HandleMessage applies a message of another member and returns its observations and
+// events. A malformed message returns an error and is not applied in part.
 func (b *Table) HandleMessage(now time.Time, data []byte) ([]Observation, []cacheEvent, error) {
 	h, err := b.keys.decode(data)
 	if err != nil {
 		return nil, nil, err
 	}
-	b.unknown += uint64(h.unknown)
+	b.unknownTargets += uint64(h.unknown)
 	for _, o := range h.observations {
 		b.Merge(now, o)
 	}
 	return h.observations, h.events, nil
 }
 
-// Unknown is how many rows were dropped as their target is not in the bundle.
-func (b *Table) UnknownTargets() uint64 { return b.unknown }
+// UnknownTargets returns the number of rows dropped as their target is not in the bundle.
+func (b *Table) UnknownTargets() uint64 { return b.unknownTargets }
 
-// State is what was observed of an engine, for requests: Down is forgotten when
-// nobody repeats it.
+// State returns the observed state of an engine for routing, false if there is none.
+// Down expires after Timing.DownExpiry unless it is reported again.
 func (b *Table) State(now time.Time, target string) (route.State, bool) {
-	e := b.entries[target]
-	if e == nil || e.seenAt.IsZero() {
+	e := b.engines[target]
+	if e == nil || e.observedAt.IsZero() {
 		return route.Warm, false
 	}
-	if e.seen.State == route.Down && now.Sub(e.seenAt) > b.pace.DownExpiry {
+	if e.observed.State == route.Down && now.Sub(e.observedAt) > b.timing.DownExpiry {
 		return route.Warm, false
 	}
-	return e.seen.State, true
+	return e.observed.State, true
 }
 
-// Seen returns the last observation of an engine and when it was received.
+// LastObservation returns the last observation of an engine and when it was received
+// or made here; zero values if there is none.
 func (b *Table) LastObservation(target string) (Observation, time.Time) {
-	e := b.entries[target]
+	e := b.engines[target]
 	if e == nil {
 		return Observation{}, time.Time{}
 	}
-	return e.seen, e.seenAt
+	return e.observed, e.observedAt
 }
 
-// Overlay sets the observed states on what the bundle says. What the bundle
-// says of leaving stands; an engine that loads or is down takes no work.
+// Overlay returns specs, the targets with their states in the bundle, with the
+// observed states applied. Leaving in the bundle isn't overwritten by an observation
+// other than Down; an engine that loads or is down gets no work.
 func (b *Table) Overlay(now time.Time, specs []route.TargetSpec) []route.TargetSpec {
 	out := slices.Clone(specs)
 	for i := range out {
@@ -309,7 +316,7 @@
 	return out
 }
 
-// ReportOf is an observation in the form that routing takes.
+// ReportOf converts an observation to routing's form.
 func ReportOf(now time.Time, o Observation) route.Report {
 	return route.Report{
 		Target:        route.TargetID(o.Target),
--- a/node/loads/table_test.go
+++ b/node/loads/table_test.go
@@ -26,9 +26,8 @@
 	return list
 }
 
-// Symptom: engines are polled by every instance, or by none after a failure.
-// Events: members come and go; observations of the owner reach the others.
-// Cause: an owner chosen by each instance for itself, or none in its place.
+// Guards against engines that are polled by several instances or by none, with any
+// members, while the owner's observations reach the others.
 func TestEachEngineHasOnePoller(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members []string
@@ -56,10 +55,8 @@
 	})
 }
 
-// Symptom: nobody knows the load of an engine whose owner is cut off.
-// Events: the owner's observations stay out.
-// Cause: no deputy.
-func TestTheDeputyPollsInTheOwnersSilence(t *testing.T) {
+// Guards against an engine without load reports while its owner is cut off.
+func TestBackupPollsWithoutReportsOfTheOwner(t *testing.T) {
 	members := []string{"a", "b", "c"}
 	polled := 0
 	for _, m := range members {
@@ -67,22 +64,21 @@
 		b.SetTargets(targets(1))
 		b.SetMembers(members)
 		b.Merge(start, Observation{Target: "t0"})
-		silent := start.Add(b.pace.BackupDelay + time.Millisecond)
+		silent := start.Add(b.timing.BackupDelay + time.Millisecond)
 		for i := range 3 {
-			now := silent.Add(time.Duration(i) * b.pace.PollInterval)
+			now := silent.Add(time.Duration(i) * b.timing.PollInterval)
 			polled += len(b.Due(now))
 			b.HandlePoll(now, "t0", ports.LoadReport{At: now}, nil)
 		}
 	}
 	if polled != 2*3 {
-		t.Fatalf("%d polls of owner and deputy in three intervals", polled)
+		t.Fatalf("%d polls of owner and backup in three intervals", polled)
 	}
 }
 
-// Symptom: a target is lost for good after one bad moment, or gets work while
-// it is down. Events: polls fail and succeed in any order; time passes.
-// Cause: one failure taken for death, or death never forgotten.
-func TestDownNeedsSeveralFailuresAndIsForgotten(t *testing.T) {
+// Guards against a target that counts as down after one failed poll, or forever, and
+// against one that gets requests while it is down: polls fail and succeed in any order.
+func TestDownNeedsSeveralFailuresAndExpires(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewTable("a")
 		b.SetTargets(targets(1))
@@ -98,20 +94,19 @@
 				b.HandlePoll(now, "t0", ports.LoadReport{At: now}, nil)
 			}
 			state, _ := b.State(now, "t0")
-			if (state == route.Down) != (failures >= downAfter) {
+			if (state == route.Down) != (failures >= downAfterFailures) {
 				t.Fatalf("%v after %d failures in a row", state, failures)
 			}
 		}
-		if state, known := b.State(now.Add(b.pace.DownExpiry+time.Second), "t0"); known && state == route.Down {
-			t.Fatal("down for good although nobody says so")
+		if state, known := b.State(now.Add(b.timing.DownExpiry+time.Second), "t0"); known && state == route.Down {
+			t.Fatal("down forever although no instance reports it")
 		}
 	})
 }
 
-// Symptom: a leaving target gets new work. Events: bundle, engine or platform
-// say that it leaves, in any combination with what is observed.
-// Cause: an observation that overwrites what operators decided.
-func TestLeavingStands(t *testing.T) {
+// Guards against new requests at a leaving target, as an observation overwrites what the
+// bundle or the platform says.
+func TestLeavingIsNotOverwritten(t *testing.T) {
 	warm := route.TargetSpec{ID: "t0", State: route.Warm}
 	leaving := route.TargetSpec{ID: "t0", State: route.Leaving}
 	for _, tc := range []struct {
@@ -121,7 +116,7 @@
 		platform []string
 		want     route.State
 	}{
-		{"nobody says so", warm, ports.LoadReport{}, nil, route.Warm},
+		{"none", warm, ports.LoadReport{}, nil, route.Warm},
 		{"the bundle", leaving, ports.LoadReport{}, nil, route.Leaving},
 		{"the engine", warm, ports.LoadReport{Draining: true}, nil, route.Leaving},
 		{"the platform", warm, ports.LoadReport{}, []string{"t0"}, route.Leaving},
@@ -139,23 +134,22 @@
 	}
 }
 
-// Symptom: two crashes of an engine are taken for one.
-// Events: it goes down and comes back, or tells when it started.
-// Cause: lives that are not told apart.
-func TestLivesAreNumbered(t *testing.T) {
+// Guards against two crashes of an engine that count as one: it goes down and comes
+// back, or reports when it started.
+func TestIncarnationsAreDistinguished(t *testing.T) {
 	b := NewTable("a")
 	b.SetTargets(targets(1))
 	b.SetMembers([]string{"a"})
-	lives := map[uint64]bool{}
+	incarnations := map[uint64]bool{}
 	for range 3 {
-		for range downAfter {
+		for range downAfterFailures {
 			b.HandlePoll(start, "t0", ports.LoadReport{}, errPoll)
 		}
 		o, _ := b.HandlePoll(start, "t0", ports.LoadReport{At: start}, nil)
-		lives[o.Incarnation] = true
+		incarnations[o.Incarnation] = true
 	}
 	o, _ := b.HandlePoll(start, "t0", ports.LoadReport{At: start, Started: start}, nil)
-	if len(lives) != 3 || o.Incarnation != uint64(start.UnixMilli()) {
-		t.Fatalf("lives %v and %d", lives, o.Incarnation)
+	if len(incarnations) != 3 || o.Incarnation != uint64(start.UnixMilli()) {
+		t.Fatalf("incarnations %v and %d", incarnations, o.Incarnation)
 	}
 }
--- a/node/loads/wire.go
+++ b/node/loads/wire.go
@@ -10,8 +10,8 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// message is what an owner tells the other members. Arrays in place of maps and
-// hashes in place of names make a row a third of its size by name.
+// message is what an owner sends to the other members. Arrays instead of maps and
+// hashes instead of names reduce a row to a third of its size.
 type message struct {
 	_       struct{} `cbor:",toarray"`
 	Loads   []loadRow
@@ -19,25 +19,25 @@
 	Events  []eventRow
 }
 
-// loadRow is an observation without what seldom changes.
+// loadRow is an observation without the fields that seldom change.
 type loadRow struct {
 	_ struct{} `cbor:",toarray"`
-	// Target is its key, see keys.
+	// Target is the target's key; see keys.
 	Target                       uint64
 	AgeMillis                    uint64
 	Running, Waiting, WaitTokens uint64
-	// KVUsed in thousandths.
+	// KVUsed is in thousandths.
 	KVUsed uint64
 	State  route.State
 }
 
-// detailRow is what seldom changes of an engine.
+// detailRow holds the fields of an engine that seldom change.
 type detailRow struct {
-	_        struct{} `cbor:",toarray"`
-	Target   uint64
-	Life     uint64
-	Version  string
-	Adapters []string
+	_           struct{} `cbor:",toarray"`
+	Target      uint64
+	Incarnation uint64
+	Version     string
+	Adapters    []string
 }
 
 // eventRow is one cache event of an engine.
@@ -49,27 +49,27 @@
 	Evicted []uint64
 }
 
-// Largest values sent: a larger one says nothing more to routing, and these
-// keep a row within LoadBytes.
+// Largest values sent, so that a row fits into LoadBytes. Larger values make no
+// difference to routing.
 const (
-	maxAge    = 1<<16 - 1
-	maxCount  = 1<<16 - 1
-	maxTokens = 1<<32 - 1
-	kvScale   = 1000
+	maxAgeMillis = 1<<16 - 1
+	maxCount     = 1<<16 - 1
+	maxTokens    = 1<<32 - 1
+	kvScale      = 1000
 )
 
-// errRow: a row holds a value that no sender writes.
-var errRow = errors.New("malformed row of load observations")
+// errMalformedRow is returned for a value that no correct sender writes.
+var errMalformedRow = errors.New("malformed row of load observations")
 
-// keys names targets by the low 32 bits of their hashes, which takes 5 bytes
-// and, unlike a place in a list, means the same at instances with different
-// bundles. Targets that share these bits are named by the whole hash.
+// keys maps targets to the low 32 bits of their hashes and back. A key takes 5 bytes
+// and, unlike a list position, means the same at instances with different bundles.
+// Targets that share these bits use the whole hash.
 type keys struct {
 	of map[string]uint64
 	id map[uint64]string
 }
 
-// longKey marks a whole hash, so that it can't be taken for a short one.
+// longKey marks a whole hash, so that it can't equal a short key.
 const longKey = 1 << 63
 
 func newKeys(targets []Target) keys {
@@ -93,7 +93,7 @@
 func rowOf(key uint64, o Observation) loadRow {
 	return loadRow{
 		Target:     key,
-		AgeMillis:  clamp(int(o.AgeMillis), maxAge),
+		AgeMillis:  clamp(int(o.AgeMillis), maxAgeMillis),
 		Running:    clamp(o.Running, maxCount),
 		Waiting:    clamp(o.Waiting, maxCount),
 		WaitTokens: clamp(o.WaitingTokens, maxTokens),
@@ -118,19 +118,19 @@
 }
 
 func (r loadRow) valid() bool {
-	return r.AgeMillis <= maxAge && r.Running <= maxCount && r.Waiting <= maxCount && r.WaitTokens <= maxTokens &&
+	return r.AgeMillis <= maxAgeMillis && r.Running <= maxCount && r.Waiting <= maxCount && r.WaitTokens <= maxTokens &&
 		r.KVUsed <= kvScale && r.State <= route.Down
 }
 
-// heard is a received message with the names of this instance's bundle.
-type heard struct {
+// receivedMessage is a decoded message with the target IDs of this instance's bundle.
+type receivedMessage struct {
 	observations []Observation
 	events       []cacheEvent
-	// unknown rows are of targets that this instance's bundle does not have.
+	// unknown is the number of rows of targets that this instance's bundle doesn't have.
 	unknown int
 }
 
-// cacheEvent is an event of one engine.
+// cacheEvent is a cache event of an engine.
 type cacheEvent struct {
 	target string
 	event  ports.CacheEvent
@@ -138,12 +138,12 @@
 
 func encode(m message) ([]byte, error) { return cbor.Marshal(m) }
 
-func (k keys) decode(data []byte) (heard, error) {
+func (k keys) decode(data []byte) (receivedMessage, error) {
 	var m message
 	if err := cbor.Unmarshal(data, &m); err != nil {
-		return heard{}, err
+		return receivedMessage{}, err
 	}
-	var h heard
+	var h receivedMessage
 	details := map[uint64]detailRow{}
 	for _, d := range m.Details {
 		details[d.Target] = d
@@ -151,7 +151,7 @@
 	for _, r := range m.Loads {
 		id, known := k.id[r.Target]
 		if !r.valid() {
-			return heard{}, errRow
+			return receivedMessage{}, errMalformedRow
 		}
 		if !known {
 			h.unknown++
@@ -159,7 +159,7 @@
 		}
 		o := r.observation(id)
 		if d, ok := details[r.Target]; ok {
-			o.Incarnation, o.Version, o.Adapters, o.DetailsOmitted = d.Life, d.Version, d.Adapters, false
+			o.Incarnation, o.Version, o.Adapters, o.DetailsOmitted = d.Incarnation, d.Version, d.Adapters, false
 		}
 		h.observations = append(h.observations, o)
 	}
