--- a/node/placing/placing.go
+++ b/node/placing/placing.go
@@ -1,11 +1,10 @@
-// Package placing runs a region's placement.Planner: it polls the engines,
-// sends the orders and warm-ups, and tells the planner how they ended.
+// Package placing runs a region's placement.Planner: it polls the engines, sends
+// orders and warm-ups, and passes their results to the planner.
 //
-// The service runs at each voter of the region's group; only the one that leads
-// polls and orders. One loop owns the planner. Each poll, order and warm-up
-// under way has a goroutine, whose end comes back through a bounded ring. A ring
-// that is full refuses ends; the planner then counts the order as unanswered,
-// which is safe.
+// The service runs at each voter of the region's group; only the leader polls and
+// sends orders. One loop owns the planner. Each pending poll, order and warm-up has
+// a goroutine, whose result returns through a bounded ring. If the ring is full the
+// result is dropped; the planner then counts the order as unanswered, which is safe.
 package placing
 
 import (
@@ -30,9 +29,9 @@
 )
 
 const (
-	// ringSize bounds the ends that wait for the loop.
+	// ringSize bounds the results that wait for the loop.
 	ringSize = 4096
-	// defaultTick is the time between two looks at the lease.
+	// defaultTick is the time between two checks of the lease.
 	defaultTick = 100 * time.Millisecond
 	// pollTimeout bounds one poll.
 	pollTimeout = time.Second
@@ -40,9 +39,9 @@
 
 // Leadership tells whether this instance leads its region.
 type Leadership interface {
-	// Term returns the fencing number under which this instance led at a moment
-	// after the call, so that no newer leader existed before it. ok is false if
-	// it does not lead.
+	// Term returns the fencing number under which this instance was the leader at
+	// a moment after the call began, so that no newer leader existed before the
+	// call. ok is false if it is not the leader.
 	Term() (fence uint64, ok bool)
 }
 
@@ -50,9 +49,9 @@
 type GroupLeadership struct{ Node *replhost.Node }
 
 // Term returns the term of the group's log while its lease is held. The term is
-// read before and after the lease: were it read once, the lease could be one of
-// another term, between which others have led. A leader has committed in its
-// term before it has a lease.
+// read before and after the lease: if it were read once, the lease could belong to
+// another term, with other leaders in between. A leader has committed in its term
+// before it has a lease.
 func (g GroupLeadership) Term() (uint64, bool) {
 	before, ok := g.leads()
 	if !ok || g.Node.LeaseUntil().IsZero() {
@@ -73,31 +72,31 @@
 	Engines    ports.Engines
 	Leadership Leadership
 	Log        *zap.Logger
-	// Planner may change the planner's times; Region is taken from above.
+	// Planner sets the planner's times; its Region is overwritten by the one above.
 	Planner placement.Options
-	// Tick is the time between two looks at the lease; default 100 ms.
+	// Tick is the time between two checks of the lease; default 100 ms.
 	Tick time.Duration
 }
 
 // Service runs a Planner.
 type Service struct {
-	o    Options
-	ends *ring.Ring[placement.Event]
-	// wanted waits for the loop; a later bundle replaces it.
-	wanted atomic.Pointer[placement.Wanted]
+	o       Options
+	results *ring.Ring[placement.Event]
+	// desired waits for the loop; a later bundle replaces it.
+	desired atomic.Pointer[placement.Wanted]
 
 	mu      sync.Mutex
 	planner *placement.Planner
-	logged  logged
+	logged  loggedStatus
 }
 
-// logged is what the last lines of the log told.
-type logged struct {
+// loggedStatus is the status that was logged last.
+type loggedStatus struct {
 	leading bool
 	targets map[string]placement.TargetStatus
 }
 
-// New makes a Service.
+// New returns a Service.
 func New(o Options) *Service {
 	if o.Tick <= 0 {
 		o.Tick = defaultTick
@@ -105,16 +104,16 @@
 	o.Planner.Region = o.Region
 	return &Service{
 		o:       o,
-		ends:    ring.New[placement.Event](ringSize),
+		results: ring.New[placement.Event](ringSize),
 		planner: placement.New(o.Planner),
-		logged:  logged{targets: map[string]placement.TargetStatus{}},
+		logged:  loggedStatus{targets: map[string]placement.TargetStatus{}},
 	}
 }
 
 // SetBundle replaces the bundle in force. It may be called from any goroutine.
 func (s *Service) SetBundle(b *bundle.Bundle) {
-	w := placement.WantedOf(b, s.o.Region)
-	s.wanted.Store(&w)
+	d := placement.WantedOf(b, s.o.Region)
+	s.desired.Store(&d)
 }
 
 // Status returns the planner's state.
@@ -124,14 +123,14 @@
 	return s.planner.Status()
 }
 
-// Ends returns the counters of the ring between the sendings and the loop.
-func (s *Service) ResultStats() ring.Stats { return s.ends.Stats() }
+// ResultStats returns the counters of the ring of results.
+func (s *Service) ResultStats() ring.Stats { return s.results.Stats() }
 
-// Run acts while this instance leads, until ctx ends, and returns once all that
-// it sent has ended.
+// Run polls and sends orders while this instance is the leader, until ctx ends. It
+// returns once all pending calls have ended.
 func (s *Service) Run(ctx context.Context) {
-	var under sync.WaitGroup
-	defer under.Wait()
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	tick := time.NewTicker(s.o.Tick)
 	defer tick.Stop()
 	for {
@@ -139,18 +138,18 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if w := s.wanted.Swap(nil); w != nil {
-				s.step(ctx, &under, placement.SetWanted{Wanted: *w})
+			if d := s.desired.Swap(nil); d != nil {
+				s.step(ctx, &pending, placement.SetWanted{Wanted: *d})
 			}
-			s.step(ctx, &under, s.lease())
+			s.step(ctx, &pending, s.lease())
 			s.report()
-		case e := <-s.ends.C():
-			s.step(ctx, &under, e)
+		case e := <-s.results.C():
+			s.step(ctx, &pending, e)
 		}
 	}
 }
 
-// lease turns the leadership into an event.
+// lease returns the leadership as an event. The time is read before the leadership.
 func (s *Service) lease() placement.Event {
 	at := time.Now()
 	if fence, ok := s.o.Leadership.Term(); ok {
@@ -159,19 +158,19 @@
 	return placement.LeaseLost{}
 }
 
-// step steps the planner and starts what it asks for. The clock is read before
-// the planner decides and again right before each order is written: between the
-// two the process may have been stopped for any time.
-func (s *Service) step(ctx context.Context, under *sync.WaitGroup, e placement.Event) {
+// step steps the planner and starts the effects that it returns. The clock is read
+// before the planner decides and again right before each order is written, as the
+// process may have been suspended in between for any time.
+func (s *Service) step(ctx context.Context, pending *sync.WaitGroup, e placement.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, effect := range s.planner.Step(time.Now(), e) {
-		under.Go(func() { s.ends.TryPush(s.carryOut(ctx, effect)) })
+		pending.Go(func() { s.results.TryPush(s.execute(ctx, effect)) })
 	}
 }
 
-// carryOut does one effect and returns how it ended.
-func (s *Service) carryOut(ctx context.Context, effect placement.Effect) placement.Event {
+// execute executes one effect and returns its result.
+func (s *Service) execute(ctx context.Context, effect placement.Effect) placement.Event {
 	switch e := effect.(type) {
 	case placement.Send:
 		return s.send(ctx, e)
@@ -193,15 +192,15 @@
 	return placement.Observed{Target: p.Target, Asked: p.Asked, Report: &r}
 }
 
-// send gives an order. The engine's client refuses one that has expired right
-// before it writes and gives up at the expiry.
+// send sends an order. The engine's client rejects one that has expired right before
+// it is written, and stops waiting at its expiry.
 func (s *Service) send(ctx context.Context, e placement.Send) placement.Event {
 	_, err := s.o.Engines.Engine(e.Address).Order(ctx, e.Order)
 	return placement.OrderEnded{Target: e.Target, ID: e.Order.ID, Outcome: outcomeOf(err)}
 }
 
-// outcomeOf reads the end of a sending. What is not known to have missed the
-// engine may have reached it.
+// outcomeOf returns the outcome of an order. An order that isn't known to have missed
+// the engine counts as unanswered, as it may have reached it.
 func outcomeOf(err error) placement.Outcome {
 	var e *verdict.Error
 	switch {
@@ -222,7 +221,7 @@
 	}
 }
 
-// warmUpRequest is the shortest request of the OpenAI form.
+// warmUpRequest is a minimal request of the OpenAI API.
 type warmUpRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -230,7 +229,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// warmUp has an engine answer one short request to its end.
+// warmUp sends one short request to an engine and reads the whole answer.
 func (s *Service) warmUp(ctx context.Context, e placement.WarmUp) placement.Event {
 	ctx, cancel := context.WithTimeout(ctx, s.planner.Options().WarmUpTime)
 	defer cancel()
@@ -251,7 +250,7 @@
 	return end
 }
 
-// readAll reads an answer to its end; nil means that it was whole.
+// readAll reads a stream to its end; nil means that the answer was complete.
 func readAll(stream ports.Stream) error {
 	defer stream.Close()
 	for {
@@ -276,7 +275,7 @@
 	}
 }
 
-// report logs changes of state.
+// report logs changes of the planner's status.
 func (s *Service) report() {
 	status := s.Status()
 	if status.Leading != s.logged.leading {
@@ -285,7 +284,7 @@
 	}
 	for _, t := range status.Targets {
 		old := s.logged.targets[t.Target]
-		if old.Phase == t.Phase && (old.Blocked == t.Blocked || !needsPerson(t.Blocked)) {
+		if old.Phase == t.Phase && (old.Blocked == t.Blocked || !needsOperator(t.Blocked)) {
 			continue
 		}
 		s.logged.targets[t.Target] = t
@@ -294,7 +293,7 @@
 	}
 }
 
-// needsPerson reports whether a target may wait until a person acts.
-func needsPerson(b placement.Blocked) bool {
+// needsOperator reports whether a target may stay blocked until an operator acts.
+func needsOperator(b placement.Blocked) bool {
 	return b == placement.BlockedDrainOverdue || b == placement.BlockedDrainedElsewhere
 }
--- a/node/placing/placing_test.go
+++ b/node/placing/placing_test.go
@@ -25,16 +25,16 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// leads is a leadership that is never lost.
-type leads struct{}
+// alwaysLeader is a leadership that is never lost.
+type alwaysLeader struct{}
 
-func (leads) Term() (uint64, bool) { return 1, true }
+func (alwaysLeader) Term() (uint64, bool) { return 1, true }
 
-const engines = 3
+const engineCount = 3
 
 // fleet is a region of stand-in engines behind their HTTP interface.
 type fleet struct {
-	stand     []*standin.Engine
+	standins  []*standin.Engine
 	addresses []string
 	set       *enginehttp.Set
 }
@@ -43,21 +43,21 @@
 	tr := sending.NewTransports(sending.Options{})
 	t.Cleanup(tr.Close)
 	f := &fleet{set: enginehttp.NewSet(tr)}
-	for i := range engines {
+	for i := range engineCount {
 		e := standin.NewEngine(standin.EngineConfig{
 			ID: fmt.Sprintf("e%d", i), PerToken: time.Millisecond, LoadTime: 50 * time.Millisecond, IgnoresFence: i == 0,
 		})
-		s := httptest.NewServer(f.guard(t, e))
+		s := httptest.NewServer(f.checkOrders(t, e))
 		t.Cleanup(s.Close)
-		f.stand = append(f.stand, e)
+		f.standins = append(f.standins, e)
 		f.addresses = append(f.addresses, strings.TrimPrefix(s.URL, "http://"))
 	}
 	return f
 }
 
-// guard stands before an engine and checks orders against what is true then: the
-// stand-in itself loads beside requests without harm.
-func (f *fleet) guard(t *testing.T, e *standin.Engine) http.Handler {
+// checkOrders wraps an engine and checks each order against the engines' state, as the
+// stand-in itself would load a version while requests are in progress.
+func (f *fleet) checkOrders(t *testing.T, e *standin.Engine) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == enginehttp.PathOrders {
 			body, err := io.ReadAll(r.Body)
@@ -65,29 +65,29 @@
 			if err != nil || json.Unmarshal(body, &o) != nil {
 				t.Errorf("malformed order %q", body)
 			}
-			f.check(t, e, o.Kind)
+			f.checkOrder(t, e, o.Kind)
 			r.Body = io.NopCloser(bytes.NewReader(body))
 		}
 		e.ServeHTTP(w, r)
 	})
 }
 
-func (f *fleet) check(t *testing.T, e *standin.Engine, kind ports.OrderKind) {
-	own := report(t, e)
-	if kind == ports.OrderLoadVersion && own.Running+own.Waiting > 0 {
-		t.Errorf("load of a version beside %d requests in progress", own.Running+own.Waiting)
+func (f *fleet) checkOrder(t *testing.T, e *standin.Engine, kind ports.OrderKind) {
+	load := report(t, e)
+	if kind == ports.OrderLoadVersion && load.Running+load.Waiting > 0 {
+		t.Errorf("load of a version beside %d requests in progress", load.Running+load.Waiting)
 	}
-	if kind != ports.OrderDrain || own.Version == "" {
+	if kind != ports.OrderDrain || load.Version == "" {
 		return
 	}
-	for _, o := range f.stand {
+	for _, o := range f.standins {
 		if o != e && report(t, o).Draining {
 			t.Error("a second engine of three drained")
 		}
 	}
 }
 
-// report asks a stand-in past its server.
+// report reads the load report of a stand-in without its server.
 func report(t *testing.T, e *standin.Engine) (l ports.LoadReport) {
 	w := httptest.NewRecorder()
 	e.ServeHTTP(w, httptest.NewRequest(http.MethodGet, enginehttp.PathLoad, nil))
@@ -97,7 +97,7 @@
 	return l
 }
 
-// bundle wants a version of all engines of the fleet.
+// bundle returns a bundle that places a version at all engines of the fleet.
 func (f *fleet) bundle(version string) *bundle.Bundle {
 	b := &bundle.Bundle{
 		Models: []bundle.Model{{
@@ -117,13 +117,13 @@
 	return b
 }
 
-// service runs the placement with short times in place of those of a region.
+// service runs the placement with shorter times than those of a region.
 func (f *fleet) service(t *testing.T) *placing.Service {
 	ms := time.Millisecond
 	o := placement.Options{ReportLag: 20 * ms, SpreadTime: 20 * ms, PollInterval: 10 * ms, RetryBase: 50 * ms}
 	o.Lease.Duration, o.Lease.Drift = 500*ms, 0.005
 	s := placing.New(placing.Options{
-		Region: "r", Engines: f.set, Leadership: leads{}, Log: zap.NewNop(), Planner: o, Tick: 10 * ms,
+		Region: "r", Engines: f.set, Leadership: alwaysLeader{}, Log: zap.NewNop(), Planner: o, Tick: 10 * ms,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -132,11 +132,10 @@
 	return s
 }
 
-// await waits until all engines have a version and take work; the time is
-// bounded by the test's own.
+// await waits until all engines have a version and accept requests, or the test ends.
 func (f *fleet) await(t *testing.T, s *placing.Service, version string) {
 	for t.Context().Err() == nil {
-		done := len(s.Status().Targets) == engines
+		done := len(s.Status().Targets) == engineCount
 		for _, target := range s.Status().Targets {
 			done = done && target.Reached
 		}
@@ -147,17 +146,17 @@
 		if done {
 			return
 		}
-		time.Sleep(5 * time.Millisecond) // Paces the questions; nothing rests on it.
+		time.Sleep(5 * time.Millisecond) // Limits the polling rate; nothing depends on it.
 	}
 }
 
-// caller streams requests until stop, going on to the next engine where one
-// takes no more, as the request path does.
-func (f *fleet) caller(ctx context.Context, n int, stop *atomic.Bool, whole *atomic.Int64) error {
+// sendRequests streams requests until stop. If an engine rejects one, it goes on with
+// the next engine, as the request path does.
+func (f *fleet) sendRequests(ctx context.Context, n int, stop *atomic.Bool, completed *atomic.Int64) error {
 	body := []byte(`{"model":"s","stream":true,"max_tokens":20,"prompt":"hello"}`)
 	for i := n; !stop.Load(); i++ {
 		c := ports.Completion{Attempt: ports.AttemptID(fmt.Sprintf("%d-%d", n, i)), Stream: true, Body: body}
-		stream, err := f.set.Engine(f.addresses[i%engines]).Complete(ctx, c)
+		stream, err := f.set.Engine(f.addresses[i%engineCount]).Complete(ctx, c)
 		if err != nil {
 			if !strings.Contains(err.Error(), string(ports.CodeRejected)) {
 				return err
@@ -171,30 +170,28 @@
 		if err != io.EOF {
 			return err
 		}
-		whole.Add(1)
+		completed.Add(1)
 	}
 	return nil
 }
 
-// Symptom: a roll of a new version cuts off answers under way, or leaves an
-// engine with the old one.
-// Events: a bundle with a new version arrives while requests stream from all
-// three engines.
-// Cause: loading before the requests in progress have ended.
-func TestRollOfVersionCutsNothing(t *testing.T) {
+// Guards against a roll of a new version that interrupts answers, as an engine loads
+// before its requests in progress have ended, or that leaves an engine with the old
+// version: a new bundle arrives while requests stream from all three engines.
+func TestRollOfVersionInterruptsNoRequest(t *testing.T) {
 	f := newFleet(t)
 	s := f.service(t)
 	s.SetBundle(f.bundle("v1"))
 	f.await(t, s, "v1")
-	before := make([]int, engines)
-	for i, e := range f.stand {
+	before := make([]int, engineCount)
+	for i, e := range f.standins {
 		before[i] = len(e.Orders())
 	}
 	var stop atomic.Bool
-	var whole atomic.Int64
+	var completed atomic.Int64
 	errs := make(chan error, 4)
 	for n := range cap(errs) {
-		go func() { errs <- f.caller(t.Context(), n*1000, &stop, &whole) }()
+		go func() { errs <- f.sendRequests(t.Context(), n*1000, &stop, &completed) }()
 	}
 	s.SetBundle(f.bundle("v2"))
 	f.await(t, s, "v2")
@@ -204,11 +201,11 @@
 			t.Errorf("an answer ended with %v", err)
 		}
 	}
-	if whole.Load() == 0 {
+	if completed.Load() == 0 {
 		t.Error("no request was answered during the roll")
 	}
 	want := []ports.OrderKind{ports.OrderDrain, ports.OrderLoadVersion, ports.OrderLoadAdapter, ports.OrderResume}
-	for i, e := range f.stand {
+	for i, e := range f.standins {
 		var kinds []ports.OrderKind
 		for _, o := range e.Orders()[before[i]:] {
 			kinds = append(kinds, o.Kind)
