--- a/node/suspects/lone.go
+++ b/node/suspects/lone.go
@@ -16,41 +16,44 @@
 
 // Errors of Begin.
 var (
-	errNoOwner    = errors.New("no instance owns the lone runs")
-	errReserved   = errors.New("another copy of the request runs alone")
-	errNoTarget   = errors.New("no target is free to be kept")
-	errNotAllHold = errors.New("not every instance keeps the target free")
+	errNoOwner           = errors.New("no instance owns the lone runs")
+	errReserved          = errors.New("another copy of the request runs alone")
+	errNoTarget          = errors.New("no target is free to be kept")
+	errNotHeldEverywhere = errors.New("not every instance keeps the target free")
 )
 
-// maxHeldShare bounds the targets of a service kept free at once, but for one
-// that always may be: resends of the innocent would else hold every target of
-// the region after a crash.
+// maxHeldShare bounds the fraction of a service's targets that are held at once,
+// except that one always may be. Without it, retries of innocent requests would hold
+// every target of the region after a crash.
 const maxHeldShare = 0.25
 
-// reservation asks the owner for a lone run.
+// reservation requests a lone run from the owner.
 type reservation struct {
 	Digest  suspect.Digest `cbor:"1,keyasint"`
 	Service string         `cbor:"2,keyasint"`
-	// Target is what was granted, in the answer and in a release.
+	// Target is the granted target, set in a release.
 	Target string `cbor:"3,keyasint,omitempty"`
 }
 
-// hold asks an instance to send nothing to a target for a while; a zero time
-// ends it.
+// hold asks an instance to send no requests to a target for a time; a zero time
+// ends the hold.
 type hold struct {
 	Target string        `cbor:"1,keyasint"`
 	For    time.Duration `cbor:"2,keyasint"`
 }
 
-// Begin reserves a target for a lone run and waits until it is idle.
+// Begin reserves a target for a lone run of a suspect and waits until the target is
+// idle. The caller must call Release of the result. It returns an error if there is no
+// owner, no target can be held, another copy of the request runs alone, or the target
+// isn't idle in time.
 func (s *Service) Begin(ctx context.Context, service string, d ports.Digest) (ports.LoneRun, error) {
 	owner := s.o.Region.Owner()
 	if owner == "" {
 		return ports.LoneRun{}, errNoOwner
 	}
-	ctx, cancel := context.WithTimeout(ctx, loneTime)
+	ctx, cancel := context.WithTimeout(ctx, loneRunTimeout)
 	defer cancel()
-	r := reservation{Digest: short(d), Service: service}
+	r := reservation{Digest: shortDigest(d), Service: service}
 	target, err := s.reserve(ctx, owner, r)
 	if err != nil {
 		return ports.LoneRun{}, err
@@ -79,17 +82,17 @@
 
 func (s *Service) release(owner string, r reservation) {
 	if owner == s.o.Self {
-		s.free(r)
+		s.endLoneRun(r)
 		return
 	}
-	// A lost release ends with the hold's own time.
-	s.tell(owner, channelRelease, r, holdTimeout)
+	// If the release is lost, the hold expires.
+	s.call(owner, channelRelease, r, holdTimeout)
 }
 
-// awaitIdle waits until the target itself says that it runs nothing: what was
-// sent there before it was kept free may take long. A target that has gone never
-// says so, and would hold the request up to its deadline: the wait ends once it
-// is no candidate any more, so that the caller is told at once to come back.
+// awaitIdle waits until the target reports that it runs nothing, as requests sent
+// there before the hold may take long. A target that is gone never reports that, and
+// would delay the request up to its deadline: the wait ends with errNoTarget once it
+// is no candidate any more, so that the caller is told at once to retry.
 func (s *Service) awaitIdle(ctx context.Context, service, target string) error {
 	tick := time.NewTicker(idleInterval)
 	defer tick.Stop()
@@ -106,16 +109,16 @@
 	return nil
 }
 
-// grant picks a target at the owner and has it kept free everywhere.
+// grant, at the owner, chooses a target and holds it at all instances.
 func (s *Service) grant(r reservation) (string, error) {
 	now := time.Now()
 	s.mu.Lock()
-	ok := s.table.Reserve(now, r.Digest, now.Add(loneTime))
+	ok := s.table.Reserve(now, r.Digest, now.Add(loneRunTimeout))
 	s.mu.Unlock()
 	if !ok {
 		return "", errReserved
 	}
-	target, err := s.keepFree(r.Service)
+	target, err := s.holdTarget(r.Service)
 	if err != nil {
 		s.mu.Lock()
 		s.table.Release(r.Digest)
@@ -124,13 +127,13 @@
 	return target, err
 }
 
-// keepFree holds the least loaded target that is not held yet. An instance that
-// doesn't answer might go on sending there, so all must.
-func (s *Service) keepFree(service string) (string, error) {
+// holdTarget holds the least loaded target that is not held yet. All instances must
+// answer, as one that doesn't might go on sending there.
+func (s *Service) holdTarget(service string) (string, error) {
 	candidates := s.o.Region.Candidates(service)
 	held := 0
 	for _, target := range candidates {
-		if s.held(target) {
+		if s.isHeld(target) {
 			held++
 		}
 	}
@@ -138,52 +141,52 @@
 		return "", errNoTarget
 	}
 	for _, target := range candidates {
-		if s.held(target) {
+		if s.isHeld(target) {
 			continue
 		}
-		h := hold{Target: target, For: loneTime}
+		h := hold{Target: target, For: loneRunTimeout}
 		s.setHold(h)
-		if !s.toAll(channelHold, h, holdTimeout) {
-			s.free(reservation{Target: target})
-			return "", errNotAllHold
+		if !s.callAll(channelHold, h, holdTimeout) {
+			s.endLoneRun(reservation{Target: target})
+			return "", errNotHeldEverywhere
 		}
 		return target, nil
 	}
 	return "", errNoTarget
 }
 
-func (s *Service) held(target string) bool {
+func (s *Service) isHeld(target string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, held := s.holds[target]
+	_, held := s.heldUntil[target]
 	return held
 }
 
-// free ends a reservation at the owner.
-func (s *Service) free(r reservation) {
+// endLoneRun ends a reservation at the owner, and the hold at all instances.
+func (s *Service) endLoneRun(r reservation) {
 	s.mu.Lock()
 	s.table.Release(r.Digest)
 	s.mu.Unlock()
 	h := hold{Target: r.Target}
 	s.setHold(h)
-	go s.toAll(channelHold, h, holdTimeout)
+	go s.callAll(channelHold, h, holdTimeout)
 }
 
-// setHold begins or ends keeping a target free at this instance.
+// setHold begins or ends a hold at this instance.
 func (s *Service) setHold(h hold) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h.For > 0 {
-		s.holds[h.Target] = time.Now().Add(min(h.For, loneTime))
+		s.heldUntil[h.Target] = time.Now().Add(min(h.For, loneRunTimeout))
 	} else {
-		delete(s.holds, h.Target)
+		delete(s.heldUntil, h.Target)
 	}
-	s.applyHolds()
+	s.updateReserved()
 }
 
-func (s *Service) applyHolds() {
-	targets := make([]route.TargetID, 0, len(s.holds))
-	for target := range s.holds {
+func (s *Service) updateReserved() {
+	targets := make([]route.TargetID, 0, len(s.heldUntil))
+	for target := range s.heldUntil {
 		targets = append(targets, route.TargetID(target))
 	}
 	s.o.Holder.SetReserved(targets)
@@ -206,7 +209,7 @@
 	if err := cbor.Unmarshal(data, &r); err != nil {
 		return nil, err
 	}
-	s.free(r)
+	s.endLoneRun(r)
 	return nil, nil
 }
 
--- a/node/suspects/suspects.go
+++ b/node/suspects/suspects.go
@@ -1,8 +1,8 @@
-// Package suspects shares among a region's instances which requests may take
-// targets down, and gives a suspect a target of its own (package coord/suspect).
+// Package suspects shares among a region's instances which requests may have crashed
+// targets (suspects), and runs a suspect alone on a target (package coord/suspect).
 //
-// The first relay of the region owns the lone runs: it keeps one target free at
-// every instance before it lets a suspect run there.
+// The first relay of the region owns the lone runs: before a suspect runs on a target,
+// the owner has every instance hold the target, that is, send no other requests to it.
 package suspects
 
 import (
@@ -29,35 +29,37 @@
 )
 
 const (
-	// servers is how many calls of each kind are taken in at once.
-	servers = 8
-	// publishTimeout bounds the wait for the others to know of a crash. The
-	// requests in flight are held up by it, once for each crash.
+	// serveWorkers is the number of calls of each kind that are served concurrently.
+	serveWorkers = 8
+	// publishTimeout bounds the wait for the others to learn of a crash. It delays
+	// the requests in flight, once for each crash.
 	publishTimeout = 300 * time.Millisecond
-	// holdTimeout bounds the wait for the others to keep a target free.
+	// holdTimeout bounds the wait for the others to hold a target.
 	holdTimeout = 500 * time.Millisecond
-	// loneTime bounds a lone run with the wait for its target.
-	loneTime = 2 * time.Minute
-	// idleInterval is the time between two looks at a target that is to be idle.
+	// loneRunTimeout bounds a lone run including the wait for its target.
+	loneRunTimeout = 2 * time.Minute
+	// idleInterval is the time between two checks whether a target is idle.
 	idleInterval = 50 * time.Millisecond
-	// expireInterval is the time between two rounds of forgetting.
+	// expireInterval is the time between two expirations of entries and holds.
 	expireInterval = time.Second
 )
 
-// Region is what the service reads of the region.
+// Region is the state of the region that the service reads.
 type Region interface {
-	// Others are the live instances but this one; Owner owns the lone runs.
+	// Others returns the live instances except this one.
 	Others() []string
+	// Owner returns the instance that owns the lone runs, "" if none is known.
 	Owner() string
-	// Life numbers the lives of a target, alike at all instances.
+	// Incarnation returns the number of a target's incarnation, the same at all
+	// instances.
 	Incarnation(target string) uint64
-	// Candidates are the warm targets of a service, least loaded first.
+	// Candidates returns the warm targets of a service, least loaded first.
 	Candidates(service string) []string
-	// Idle asks a target itself whether it runs nothing.
+	// Idle asks a target whether it runs nothing.
 	Idle(ctx context.Context, target string) bool
 }
 
-// Holder keeps targets free of other requests; *pipeline.Routing is one.
+// Holder excludes targets from routing of other requests; *pipeline.Routing implements it.
 type Holder interface {
 	SetReserved(targets []route.TargetID)
 }
@@ -71,46 +73,46 @@
 	Log    *zap.Logger
 }
 
-// attempt is a sending under way.
+// attempt is an attempt in progress.
 type attempt struct {
 	number suspect.Attempt
 	target string
 }
 
-// Service is the running exchange.
+// Service exchanges suspects with the region's instances, and grants lone runs at the owner.
 type Service struct {
 	o Options
 
-	mu       sync.Mutex
-	table    *suspect.Table
-	attempts map[ports.AttemptID]attempt
-	next     suspect.Attempt
-	holds    map[string]time.Time
+	mu        sync.Mutex
+	table     *suspect.Table
+	attempts  map[ports.AttemptID]attempt
+	next      suspect.Attempt
+	heldUntil map[string]time.Time
 }
 
-// New makes a Service and registers it at the link.
+// New returns a Service and registers its channels at the hub.
 func New(o Options) *Service {
 	s := &Service{
-		o:        o,
-		table:    suspect.New(suspect.DefaultConfig()),
-		attempts: map[ports.AttemptID]attempt{},
-		holds:    map[string]time.Time{},
+		o:         o,
+		table:     suspect.New(suspect.DefaultConfig()),
+		attempts:  map[ports.AttemptID]attempt{},
+		heldUntil: map[string]time.Time{},
 	}
-	o.Hub.Serve(channelEntries, servers, s.serveEntries)
-	o.Hub.Serve(channelReserve, servers, s.serveReserve)
-	o.Hub.Serve(channelRelease, servers, s.serveRelease)
-	o.Hub.Serve(channelHold, servers, s.serveHold)
+	o.Hub.Serve(channelEntries, serveWorkers, s.serveEntries)
+	o.Hub.Serve(channelReserve, serveWorkers, s.serveReserve)
+	o.Hub.Serve(channelRelease, serveWorkers, s.serveRelease)
+	o.Hub.Serve(channelHold, serveWorkers, s.serveHold)
 	return s
 }
 
-// short is the form of a digest that tables keep.
-func short(d ports.Digest) suspect.Digest { return suspect.Digest(d[:len(suspect.Digest{})]) }
+// shortDigest returns the prefix of a digest that tables use.
+func shortDigest(d ports.Digest) suspect.Digest { return suspect.Digest(d[:len(suspect.Digest{})]) }
 
-// Check tells how a request may run.
+// Check reports how a request may run: normally, alone, or not at all.
 func (s *Service) Check(_ time.Time, d ports.Digest) ports.Suspicion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch s.table.Decide(short(d)) {
+	switch s.table.Decide(shortDigest(d)) {
 	case suspect.RunAlone:
 		return ports.SuspectAlone
 	case suspect.Refuse:
@@ -120,17 +122,17 @@
 	}
 }
 
-// Started records a sending of this instance.
+// Started records the start of an attempt of this instance; alone is set for a lone run.
 func (s *Service) Started(_ time.Time, id ports.AttemptID, target string, d ports.Digest, alone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
 	s.attempts[id] = attempt{number: s.next, target: target}
-	s.table.Sent(s.next, short(d), target, alone)
+	s.table.Sent(s.next, shortDigest(d), target, alone)
 }
 
-// Ended records its end. What a crash made known is published before it
-// returns, for a resend may come to any instance as soon as the caller knows.
+// Ended records the end of an attempt. Entries that result from a crash are published
+// before it returns, as a retry may reach any instance as soon as the caller knows.
 func (s *Service) Ended(now time.Time, id ports.AttemptID, e ports.AttemptEnd) {
 	s.mu.Lock()
 	a, known := s.attempts[id]
@@ -152,22 +154,22 @@
 	s.publish(entries)
 }
 
-// Run forgets what is over until ctx ends.
+// Run expires entries and holds until ctx ends.
 func (s *Service) Run(ctx context.Context) { duty.Every(ctx, expireInterval, s.expire) }
 
 func (s *Service) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Expire(now)
-	for target, until := range s.holds {
+	for target, until := range s.heldUntil {
 		if now.After(until) {
-			delete(s.holds, target)
+			delete(s.heldUntil, target)
 		}
 	}
-	s.applyHolds()
+	s.updateReserved()
 }
 
-// Joined sends all that is known to an instance that has just come.
+// Joined sends all entries to an instance that has just joined. It doesn't wait.
 func (s *Service) Joined(id string) {
 	s.mu.Lock()
 	entries := s.table.Entries()
@@ -175,40 +177,41 @@
 	if len(entries) == 0 || id == s.o.Self {
 		return
 	}
-	go s.tell(id, channelEntries, entries, publishTimeout)
+	go s.call(id, channelEntries, entries, publishTimeout)
 }
 
-// Len is the number of entries held.
+// Len returns the number of entries.
 func (s *Service) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Len()
 }
 
-// publish tells the others, and returns when they know or after a bounded time.
+// publish sends entries to the others, and returns when they have answered or after
+// publishTimeout.
 func (s *Service) publish(entries []suspect.Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	s.toAll(channelEntries, entries, publishTimeout)
+	s.callAll(channelEntries, entries, publishTimeout)
 }
 
-// toAll calls all other instances and reports whether each one answered.
-func (s *Service) toAll(channel string, v any, timeout time.Duration) bool {
+// callAll calls all other instances concurrently and reports whether all answered.
+func (s *Service) callAll(channel string, v any, timeout time.Duration) bool {
 	others := s.o.Region.Others()
 	answers := make(chan bool, len(others))
 	for _, id := range others {
-		go func() { answers <- s.tell(id, channel, v, timeout) }()
+		go func() { answers <- s.call(id, channel, v, timeout) }()
 	}
-	all := true
+	allAnswered := true
 	for range others {
-		all = <-answers && all
+		allAnswered = <-answers && allAnswered
 	}
-	return all
+	return allAnswered
 }
 
-// tell calls one instance and reports whether it answered.
-func (s *Service) tell(id, channel string, v any, timeout time.Duration) bool {
+// call calls one instance and reports whether it answered.
+func (s *Service) call(id, channel string, v any, timeout time.Duration) bool {
 	data, err := cbor.Marshal(v)
 	if err != nil {
 		return false
@@ -225,10 +228,10 @@
 		return nil, err
 	}
 	s.mu.Lock()
-	news := s.table.Merge(time.Now(), entries)
+	added := s.table.Merge(time.Now(), entries)
 	s.mu.Unlock()
-	if len(news) > 0 {
-		go s.publish(news)
+	if len(added) > 0 {
+		go s.publish(added)
 	}
 	return nil, nil
 }
