--- a/node/regions/regions.go
+++ b/node/regions/regions.go
@@ -1,5 +1,5 @@
-// Package regions runs the exchange between regions over the link: who can be
-// reached there, and how much work each grants to its neighbours.
+// Package regions runs the exchange between regions over the link: which instances
+// can be reached there, and how much work each region grants to its neighbours.
 package regions
 
 import (
@@ -22,7 +22,8 @@
 // ringSize bounds the messages that wait for the loop.
 const ringSize = 256
 
-// Routing is what the exchange reads from and writes to; *pipeline.Routing is one.
+// Routing provides this region's summaries and receives those of others;
+// *pipeline.Routing implements it.
 type Routing interface {
 	Summarise() []route.RegionSummary
 	RegionSummary(route.RegionSummary)
@@ -35,11 +36,11 @@
 	Hub     *link.Hub
 	Routing Routing
 	Log     *zap.Logger
-	// OnChange is told when a neighbour becomes reachable or ceases to be.
+	// OnChange, if set, is called when a neighbour becomes reachable or unreachable.
 	OnChange func()
 }
 
-type received struct {
+type receivedMessage struct {
 	from string
 	data []byte
 }
@@ -47,7 +48,7 @@
 // Service runs a roster.Table.
 type Service struct {
 	o     Options
-	inbox *ring.Ring[received]
+	inbox *ring.Ring[receivedMessage]
 
 	mu         sync.Mutex
 	table      *roster.Table
@@ -55,29 +56,29 @@
 	reachable  map[string]bool
 }
 
-// New makes a Service and registers it at the link.
+// New returns a Service and registers its channel at the hub.
 func New(o Options) *Service {
 	s := &Service{
 		o:         o,
-		inbox:     ring.New[received](ringSize),
+		inbox:     ring.New[receivedMessage](ringSize),
 		table:     roster.New(o.Self, o.Seeds),
 		reachable: map[string]bool{},
 	}
-	o.Hub.Handle(Channel, func(from string, data []byte) { s.inbox.TryPush(received{from, data}) })
+	o.Hub.Handle(Channel, func(from string, data []byte) { s.inbox.TryPush(receivedMessage{from, data}) })
 	return s
 }
 
-// Refused is how many messages found the inbox full.
+// Refused returns the number of messages dropped as the inbox was full.
 func (s *Service) Refused() uint64 { return s.inbox.Stats().Refused }
 
-// SetOwn replaces the view of the own region.
+// SetOwn replaces the view of this instance's region.
 func (s *Service) SetOwn(own roster.Own) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.SetOwn(own)
 }
 
-// SetNeighbours replaces the regions that are told the summary.
+// SetNeighbours replaces the regions that receive this region's summary.
 func (s *Service) SetNeighbours(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,28 +86,28 @@
 	s.table.SetNeighbours(ids)
 }
 
-// Reachable reports whether a region was heard lately.
+// Reachable reports whether a message of a region was received recently.
 func (s *Service) Reachable(region string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Reachable(time.Now(), region)
 }
 
-// Rosters returns what is known of other regions.
+// Rosters returns the known instances of other regions.
 func (s *Service) Rosters() []roster.Roster {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Rosters()
 }
 
-// Address returns where an instance of another region listens.
+// Address returns the address of an instance of another region, false if unknown.
 func (s *Service) Address(id string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Address(id)
 }
 
-// Run steps the table until ctx ends.
+// Run runs the exchange until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	tick := time.NewTicker(roster.TickInterval)
 	defer tick.Stop()
@@ -133,10 +134,10 @@
 	out := s.table.Tick(time.Now())
 	s.mu.Unlock()
 	s.send(out)
-	s.noteReachable()
+	s.updateReachable()
 }
 
-func (s *Service) receive(r received) {
+func (s *Service) receive(r receivedMessage) {
 	m, err := roster.Decode(r.data)
 	if err != nil {
 		s.o.Log.Debug("malformed message between regions", zap.String("from", r.from), zap.Error(err))
@@ -144,19 +145,19 @@
 	}
 	s.mu.Lock()
 	out := s.table.Step(time.Now(), r.from, m)
-	fresh := s.table.Summaries()
+	summaries := s.table.Summaries()
 	s.mu.Unlock()
 	s.send(out)
-	for _, f := range fresh {
+	for _, f := range summaries {
 		s.learn(f)
 	}
-	if len(fresh) > 0 {
-		s.noteReachable()
+	if len(summaries) > 0 {
+		s.updateReachable()
 	}
 }
 
-// learn hands a neighbour's summary to routing. The time is that of receipt
-// here, as the clocks of regions differ.
+// learn passes a neighbour's summary to routing, with the time of receipt here, as the
+// clocks of regions differ.
 func (s *Service) learn(f roster.Summary) {
 	var list []route.RegionSummary
 	if err := cbor.Unmarshal(f.Data, &list); err != nil {
@@ -178,8 +179,8 @@
 	}
 }
 
-// noteReachable tells the host when a neighbour's state changed.
-func (s *Service) noteReachable() {
+// updateReachable logs changes of the neighbours' reachability and calls OnChange.
+func (s *Service) updateReachable() {
 	s.mu.Lock()
 	changed := false
 	now := time.Now()
