--- a/node/duty/shared_test.go
+++ b/node/duty/coalescer_test.go
@@ -8,10 +8,9 @@
 	"github.com/gullhaven/gullhaven/node/duty"
 )
 
-// Symptom: hundreds of instances that start have a state confirmed each, one after the other.
-// Events: they ask while a confirmation is under way.
-// Cause: each asked for one of its own; or one that had begun before was taken for an answer.
-func TestWorkIsSharedByThoseThatComeBeforeIt(t *testing.T) {
+// Guards against one confirmation of a state for each of hundreds of starting instances, one after
+// the other, and against a run that began before the request and counts as its answer.
+func TestCallersBeforeARunShareIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s duty.Coalescer
 		runs, goOn := 0, make(chan struct{})
@@ -20,7 +19,7 @@
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
 		work := func() { runs++ }
-		// One that gives up does not keep the others from the work.
+		// A caller that gives up doesn't cancel the run for the others.
 		s.Do(gone, work)
 		for range 100 {
 			go s.Do(t.Context(), work)
--- a/node/duty/duty.go
+++ b/node/duty/duty.go
@@ -1,4 +1,4 @@
-// Package duty has what the goroutines of an instance's duties have in common.
+// Package duty has helpers for the background goroutines of an instance.
 package duty
 
 import (
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Every calls do with the time of each tick until ctx ends. A tick that comes while do
-// runs is left out.
+// Every calls do with the time of each tick until ctx ends. Ticks are dropped while do runs.
 func Every(ctx context.Context, interval time.Duration, do func(now time.Time)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -21,8 +20,8 @@
 	}
 }
 
-// Pause waits for d, or until ctx ends, which it reports. A loop that looks at ctx by
-// itself need not look at the error.
+// Pause waits for d, or until ctx ends, and then returns ctx.Err(). A loop that checks ctx
+// itself may ignore the error.
 func Pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/node/duty/duty_test.go
+++ b/node/duty/duty_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestPauseTellsWhetherItWasCutShort(t *testing.T) {
+func TestPauseReportsCancellation(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	for _, d := range []time.Duration{-time.Second, 0, time.Microsecond} {
 		if err := duty.Pause(ctx, d); err != nil {
