--- a/experiment/quotas/broadcast.go
+++ b/experiment/quotas/broadcast.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Told is told use: each instance tells what it let pass a few times a second, and lets pass
-// by what is left of one bucket as far as it has heard.
+// UsageBroadcast is a scheme in which each instance broadcasts its use a few times a second, and
+// allows requests by its own copy of one bucket for all instances.
 type UsageBroadcast struct {
 	load   *Load
 	tokens [Regions][Instances]float64
 	at     time.Time
-	// untold is what each instance has let pass since it told last.
-	untold [Regions][Instances]float64
-	toldAt time.Time
-	news   []use
+	// unsent is the use of each instance since its last broadcast.
+	unsent    [Regions][Instances]float64
+	sentAt    time.Time
+	inTransit []usageUpdate
 }
 
-type use struct {
+type usageUpdate struct {
 	region, instance int
 	units            float64
 	at               time.Time
 }
 
-// NewTold makes the scheme.
+// NewUsageBroadcast returns the scheme.
 func NewUsageBroadcast(l *Load) *UsageBroadcast {
 	t := &UsageBroadcast{load: l}
 	for r := range Regions {
@@ -37,7 +37,7 @@
 		return false
 	}
 	t.tokens[region][instance] -= units
-	t.untold[region][instance] += units
+	t.unsent[region][instance] += units
 	return true
 }
 
@@ -52,36 +52,36 @@
 		}
 	}
 	t.at = now
-	if now.Sub(t.toldAt) >= reportEvery {
-		t.toldAt = now
+	if now.Sub(t.sentAt) >= reportInterval {
+		t.sentAt = now
 		for r := range Regions {
 			for i := range Instances {
-				if t.untold[r][i] > 0 {
-					t.news = append(t.news, use{r, i, t.untold[r][i], now})
+				if t.unsent[r][i] > 0 {
+					t.inTransit = append(t.inTransit, usageUpdate{r, i, t.unsent[r][i], now})
 				}
-				t.untold[r][i] = 0
+				t.unsent[r][i] = 0
 			}
 		}
 	}
-	left := t.news[:0]
-	for _, n := range t.news {
+	left := t.inTransit[:0]
+	for _, n := range t.inTransit {
 		if t.deliver(now, n) {
 			left = append(left, n)
 		}
 	}
-	t.news = left
+	t.inTransit = left
 }
 
-// deliver takes an instance's news to the others, inside the region at the next telling and to
-// other regions a trip later, and reports whether it is still on its way.
-func (t *UsageBroadcast) deliver(now time.Time, n use) bool {
+// deliver applies an instance's update at the others: inside the region after one reportInterval,
+// in other regions after two and crossRegionDelay. It reports whether the update is still in transit.
+func (t *UsageBroadcast) deliver(now time.Time, n usageUpdate) bool {
 	age := now.Sub(n.at)
 	for r := range Regions {
-		due := reportEvery
+		due := reportInterval
 		if r != n.region {
-			due = 2*reportEvery + trip
+			due = 2*reportInterval + crossRegionDelay
 		}
-		if age >= due && age < due+step {
+		if age >= due && age < due+timeStep {
 			for i := range Instances {
 				if r != n.region || i != n.instance {
 					t.tokens[r][i] -= n.units
@@ -89,5 +89,5 @@
 			}
 		}
 	}
-	return age < 2*reportEvery+trip+step
+	return age < 2*reportInterval+crossRegionDelay+timeStep
 }
--- a/experiment/quotas/quotas_test.go
+++ b/experiment/quotas/quotas_test.go
@@ -7,16 +7,16 @@
 
 const seeds = 3
 
-// Guards against workspaces that get more than the tolerance beyond their limit, and against
-// a way to divide limits that refuses more below them than a share at each instance: peaks
-// move round the regions, workspaces flood, a limit is lowered.
-func TestOneHolderOfARegionKeepsLimitsAndRefusesLess(t *testing.T) {
+// Guards against workspaces that exceed their limit by more than the tolerance, and against a
+// scheme that refuses more below the limit than a share at each instance does: peaks move from
+// region to region, workspaces flood, a limit is lowered.
+func TestOneHolderPerRegionKeepsLimitsAndRefusesLess(t *testing.T) {
 	each, one := Schemes[0], Schemes[1]
 	for _, p := range Patterns() {
 		t.Run(p.Name, func(t *testing.T) {
 			mean, most := Mean(p.Load, one, seeds)
-			if most.Excess > p.Load.most() {
-				t.Errorf("%.3f beyond the limit, %.3f is allowed", most.Excess, p.Load.most())
+			if most.Excess > p.Load.allowedExcess() {
+				t.Errorf("%.3f beyond the limit, %.3f is allowed", most.Excess, p.Load.allowedExcess())
 			}
 			if other, _ := Mean(p.Load, each, seeds); mean.FalseRefusals > other.FalseRefusals {
 				t.Errorf("%.4f refused below the limit, %.4f with a share at each instance", mean.FalseRefusals, other.FalseRefusals)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestTableNamesAllLoadsAndWays(t *testing.T) {
+func TestTableHasAllPatternsAndSchemes(t *testing.T) {
 	var out strings.Builder
 	if err := WriteTable(&out, 1); err != nil {
 		t.Fatal(err)
--- a/experiment/quotas/shares.go
+++ b/experiment/quotas/shares.go
@@ -8,19 +8,19 @@
 	"github.com/gullhaven/gullhaven/node/quota"
 )
 
-// Shares are leased shares by demand, which the leader divides: over one holder in each
-// region that all instances of the region ask, or over all instances.
+// Shares is the scheme of leased shares, which the leader grants by demand: to one holder per
+// region that all instances of the region call, or to each instance.
 type Shares struct {
 	load    *Load
 	each    int
-	holders [][]*holder
+	holders [][]*simulatedHolder
 	divider *quota.Divider
 }
 
 // leaderAt is the region of the leader.
-const leaderAt = 0
+const leaderRegion = 0
 
-type holder struct {
+type simulatedHolder struct {
 	region  int
 	id      string
 	h       *quota.Holder
@@ -32,20 +32,21 @@
 }
 
 const (
-	sharesWorkspace = "w"
-	reportEvery     = 200 * time.Millisecond
-	urgentEvery     = 50 * time.Millisecond
+	workspace      = "w"
+	reportInterval = 200 * time.Millisecond
+	urgentInterval = 50 * time.Millisecond
 )
 
-// NewShares makes the scheme with so many holders in each region; 1 is one that all ask.
+// NewShares returns the scheme with each holders per region; with 1, all instances of a region
+// share a holder.
 func NewShares(l *Load, each int, t quota.Tolerance) *Shares {
 	s := &Shares{load: l, each: each}
 	limits := func(string) (limit.Limit, bool) { return l.Limit, true }
 	start := time.Unix(1_800_000_000, 0).Add(-quota.Lease)
 	for region := range Regions {
-		var list []*holder
+		var list []*simulatedHolder
 		for n := range each {
-			x := &holder{region: region, id: fmt.Sprint(region, "-", n)}
+			x := &simulatedHolder{region: region, id: fmt.Sprint(region, "-", n)}
 			x.h = quota.NewHolder(start, uint64(region*each+n+1), s.part(region, n), Regions*each, t)
 			x.h.SetLimits(1, limits)
 			x.h.SetEntryInstances(Regions*Instances, func(string) bool { return true })
@@ -57,7 +58,7 @@
 	return s
 }
 
-// part is what has a floor of its own: a region with one holder, or each holder.
+// part names what has a floor of its own: a region with one holder, or each holder.
 func (s *Shares) part(region, n int) string {
 	if s.each == 1 {
 		return fmt.Sprint("region-", region)
@@ -77,7 +78,7 @@
 
 // Take implements Scheme.
 func (s *Shares) Take(now time.Time, region, instance int, units float64) bool {
-	return s.holders[region][instance%s.each].h.Consume(now, sharesWorkspace, units).Allowed
+	return s.holders[region][instance%s.each].h.Consume(now, workspace, units).Allowed
 }
 
 // Step implements Scheme.
@@ -89,23 +90,23 @@
 	}
 }
 
-func (s *Shares) step(now time.Time, x *holder) {
-	way := near
-	if x.region != leaderAt {
-		way = trip
+func (s *Shares) step(now time.Time, x *simulatedHolder) {
+	delay := inRegionDelay
+	if x.region != leaderRegion {
+		delay = crossRegionDelay
 	}
-	if x.report != nil && !now.Before(x.sent.Add(way)) {
+	if x.report != nil && !now.Before(x.sent.Add(delay)) {
 		a := s.divider.Report(now, x.id, x.report)
-		x.answer, x.due, x.report = &a, now.Add(way), nil
+		x.answer, x.due, x.report = &a, now.Add(delay), nil
 	}
 	if x.answer != nil && !now.Before(x.due) {
 		x.h.ApplyShares(now, x.answer)
 		x.answer = nil
 	}
-	if x.report != nil || x.answer != nil || now.Sub(x.sent) < urgentEvery {
+	if x.report != nil || x.answer != nil || now.Sub(x.sent) < urgentInterval {
 		return
 	}
-	urgent := now.Sub(x.regular) < reportEvery
+	urgent := now.Sub(x.regular) < reportInterval
 	r, ok := x.h.Report(now, urgent)
 	if !ok {
 		return
--- a/experiment/quotas/table.go
+++ b/experiment/quotas/table.go
@@ -10,15 +10,16 @@
 	"github.com/gullhaven/gullhaven/node/quota"
 )
 
-// length is how long a load is played, in virtual time: each region has its peak, and the
-// first one has it again.
-const length = 48 * time.Second
+// duration is the virtual time of a simulation: each region has its peak, and the first one has
+// a second one.
+const duration = 48 * time.Second
 
-// tolerance is what may pass beyond a limit in a window.
+// tolerance is how much may pass beyond a limit in a window.
 var tolerance = quota.Tolerance{Window: window, Share: 0.1, Units: 110_000}
 
-// most is how much more may pass in a window than a limit gives, as a part of that.
-func (l *Load) most() float64 { return tolerance.Share + tolerance.Units/l.gives() }
+// allowedExcess returns how much more than the limit's allowance may pass in a window, as a
+// fraction of the allowance.
+func (l *Load) allowedExcess() float64 { return tolerance.Share + tolerance.Units/l.allowance() }
 
 // Pattern is a load with its name.
 type Pattern struct {
@@ -26,8 +27,8 @@
 	Load Load
 }
 
-// Patterns are the loads that are played: workspaces of three sizes as a rule, in a flood, and
-// one whose limit was lowered.
+// Patterns returns the simulated loads: workspaces of three sizes in normal use and in a flood,
+// and one whose limit was lowered.
 func Patterns() []Pattern {
 	of := func(rate, mean, hot float64) Load {
 		return Load{Limit: limit.Limit{Rate: rate, Burst: rate}, Mean: mean, FloodFactor: hot, FloodAt: 6 * time.Second, FloodDuration: 9 * time.Second}
@@ -44,24 +45,25 @@
 	}
 }
 
-// Way is a scheme with its name.
+// NamedScheme is a scheme with its name.
 type NamedScheme struct {
 	Name string
 	New  func(l *Load) Scheme
 }
 
-// Ways are the schemes that are compared.
+// Schemes are the compared schemes.
 var Schemes = []NamedScheme{
 	{"each-instance", func(l *Load) Scheme { return NewShares(l, Instances, tolerance) }},
 	{"one-of-a-region", func(l *Load) Scheme { return NewShares(l, 1, tolerance) }},
 	{"told-use", func(l *Load) Scheme { return NewUsageBroadcast(l) }},
 }
 
-// Mean plays a load with some seeds, and returns the mean and the most of each figure.
+// Mean simulates a load with the seeds from 0 to seeds-1, and returns the mean and the maximum of
+// each figure.
 func Mean(l Load, w NamedScheme, seeds int) (mean, most Result) {
 	n := float64(seeds)
 	for seed := range uint64(seeds) {
-		r := Simulate(seed, &l, w.New(&l), length)
+		r := Simulate(seed, &l, w.New(&l), duration)
 		mean.Excess += r.Excess / n
 		mean.FalseRefusals += r.FalseRefusals / n
 		mean.WorstFalseRefusals += r.WorstFalseRefusals / n
@@ -72,7 +74,7 @@
 	return mean, most
 }
 
-// WriteTable plays all loads in all ways and prints their figures.
+// WriteTable simulates all loads with all schemes and writes a table of their figures.
 func WriteTable(out io.Writer, seeds int) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "load\tway\texcess\tmost\tallowed\tneedless\tworst 2 s\tmost")
@@ -80,7 +82,7 @@
 		for _, w := range Schemes {
 			mean, most := Mean(p.Load, w, seeds)
 			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.4f\t%.3f\t%.3f\n", p.Name, w.Name,
-				mean.Excess, most.Excess, p.Load.most(), mean.FalseRefusals, mean.WorstFalseRefusals, most.WorstFalseRefusals)
+				mean.Excess, most.Excess, p.Load.allowedExcess(), mean.FalseRefusals, mean.WorstFalseRefusals, most.WorstFalseRefusals)
 		}
 	}
 	return t.Flush()
