--- a/node/deciding/service.go
+++ b/node/deciding/service.go
@@ -127,7 +127,7 @@
 	ticket := fmt.Sprint(s.self, " ", id, " ", s.nextTicket.Add(1))
 	payload, err := cbor.Marshal(targetRequest{Ticket: ticket, Call: c, LeftMillis: left.Milliseconds(), Known: s.pool.KnownLimits(time.Now(), c.Service)})
 	if err != nil {
-		s.log.Error("a question for a target cannot be written", zap.Error(err))
+		s.log.Error("cannot encode the request for a target", zap.Error(err))
 		return exchange.Decision{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, decideTimeout)
@@ -169,7 +169,7 @@
 func (s *Service) sendUpdate(owner string, u update) {
 	payload, err := cbor.Marshal(u)
 	if err != nil {
-		s.log.Error("news of a request cannot be written", zap.Error(err))
+		s.log.Error("cannot encode the update of a request", zap.Error(err))
 		return
 	}
 	// If the message is lost, the owner's sweep expires the ticket.
--- a/node/limits/limits.go
+++ b/node/limits/limits.go
@@ -180,7 +180,7 @@
 func (s *Service) requestShares(ctx context.Context, r OwnerReport) {
 	answer, err := s.call(ctx, r)
 	if err != nil {
-		s.o.Log.Debug("no shares of limits", zap.String("owner", r.Owner), zap.Error(err))
+		s.o.Log.Debug("no answer to the report of limits", zap.String("owner", r.Owner), zap.Error(err))
 		return
 	}
 	s.mu.Lock()
--- a/node/loads/loads.go
+++ b/node/loads/loads.go
@@ -210,7 +210,7 @@
 	members := slices.Clone(s.members)
 	s.mu.Unlock()
 	if err != nil {
-		s.o.Log.Error("load observations can't be encoded", zap.Error(err))
+		s.o.Log.Error("cannot encode load observations", zap.Error(err))
 		return
 	}
 	if data == nil {
--- a/node/placing/placing.go
+++ b/node/placing/placing.go
@@ -280,7 +280,7 @@
 	status := s.Status()
 	if status.Leading != s.logged.leading {
 		s.logged.leading = status.Leading
-		s.o.Log.Info("placement leadership", zap.Bool("leading", status.Leading), zap.Uint64("fence", status.Fence))
+		s.o.Log.Info("placement leadership changed", zap.Bool("leading", status.Leading), zap.Uint64("fence", status.Fence))
 	}
 	for _, t := range status.Targets {
 		old := s.logged.targets[t.Target]
@@ -288,7 +288,7 @@
 			continue
 		}
 		s.logged.targets[t.Target] = t
-		s.o.Log.Info("placement of a target", zap.String("target", t.Target),
+		s.o.Log.Info("placement of a target changed", zap.String("target", t.Target),
 			zap.String("phase", string(t.Phase)), zap.String("blocked", string(t.Blocked)))
 	}
 }
--- a/node/quota/service.go
+++ b/node/quota/service.go
@@ -206,7 +206,7 @@
 	}
 	payload, err := cbor.Marshal(ConsumeRequest{Workspace: w.Name, Units: -units})
 	if err != nil {
-		s.o.Log.Error("units of a workspace cannot be given back", zap.Error(err))
+		s.o.Log.Error("cannot encode the refund of a workspace's units", zap.Error(err))
 		return
 	}
 	// If the message is lost, the workspace loses these units.
@@ -272,7 +272,7 @@
 func (s *Service) report(ctx context.Context, r *Report) {
 	payload, err := cbor.Marshal(r)
 	if err != nil {
-		s.o.Log.Error("a report of limits cannot be written", zap.Error(err))
+		s.o.Log.Error("cannot encode the report of limits", zap.Error(err))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -283,7 +283,7 @@
 		err = cbor.Unmarshal(data, &a)
 	}
 	if err != nil {
-		s.o.Log.Debug("no shares of limits", zap.Error(err))
+		s.o.Log.Debug("no answer to the report of limits", zap.Error(err))
 		return
 	}
 	s.mu.Lock()
--- a/node/regions/regions.go
+++ b/node/regions/regions.go
@@ -126,7 +126,7 @@
 func (s *Service) tick() {
 	summary, err := cbor.Marshal(s.o.Routing.Summarise())
 	if err != nil {
-		s.o.Log.Error("region summary can't be encoded", zap.Error(err))
+		s.o.Log.Error("cannot encode the region summary", zap.Error(err))
 		return
 	}
 	s.mu.Lock()
@@ -191,7 +191,7 @@
 		}
 		s.reachable[region] = reachable
 		changed = true
-		s.o.Log.Info("neighbour changed state", zap.String("region", region), zap.Bool("reachable", reachable))
+		s.o.Log.Info("neighbour reachability changed", zap.String("region", region), zap.Bool("reachable", reachable))
 	}
 	s.mu.Unlock()
 	if changed && s.o.OnChange != nil {
--- a/node/suspects/suspects.go
+++ b/node/suspects/suspects.go
@@ -149,7 +149,7 @@
 	entries = append(entries, s.table.Ended(now, a.number, e == ports.AttemptFinished)...)
 	s.mu.Unlock()
 	if e == ports.AttemptCrashed && len(entries) > 0 {
-		s.o.Log.Warn("target broke off", zap.String("target", a.target), zap.Int("suspects", len(entries)))
+		s.o.Log.Warn("target crashed during an attempt", zap.String("target", a.target), zap.Int("suspects", len(entries)))
 	}
 	s.publish(entries)
 }
