--- a/experiment/quotas/shares.go
+++ b/experiment/quotas/shares.go
@@ -17,7 +17,7 @@
 	divider *quota.Divider
 }
 
-// leaderAt is the region of the leader.
+// leaderRegion is the region of the leader.
 const leaderRegion = 0
 
 type simulatedHolder struct {
--- a/node/loads/loads.go
+++ b/node/loads/loads.go
@@ -111,7 +111,8 @@
 	s.overlay(time.Now(), false)
 }
 
-// Seen returns the last observation of an engine and when it was received.
+// LastObservation returns the last observation of an engine and when it was received or made
+// here; zero values if there is none.
 func (s *Service) LastObservation(target string) (Observation, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/quota/divider.go
+++ b/node/quota/divider.go
@@ -17,7 +17,7 @@
 	// awaited are the instances that may hold a previous leader's shares and have not reported
 	// in this term.
 	awaited map[string]bool
-	// heardAt is when each instance last reported in this term, which began at since.
+	// lastReportAt is when each instance last reported in this term, which began at startedAt.
 	lastReportAt map[string]time.Time
 	startedAt    time.Time
 }
--- a/node/quota/simulation_test.go
+++ b/node/quota/simulation_test.go
@@ -49,7 +49,7 @@
 	now     time.Time
 	term    uint64
 	divider *Divider
-	// leaderAt is when the next leader starts; zero while there is one.
+	// nextLeaderAt is when the next leader starts; zero while there is one.
 	nextLeaderAt time.Time
 	processes    []*process
 	started      uint64
--- a/node/region.go
+++ b/node/region.go
@@ -33,7 +33,7 @@
 // Owner owns the lone runs of the region.
 func (r regionView) Owner() string { return r.n.view().Relays[0] }
 
-// Life numbers the lives of a target.
+// Incarnation returns the number of a target's incarnation.
 func (r regionView) Incarnation(target string) uint64 {
 	seen, _ := r.n.loads.LastObservation(target)
 	return seen.Incarnation
--- a/operate/capacity/duties.go
+++ b/operate/capacity/duties.go
@@ -101,8 +101,9 @@
 	return loads.TimingOf(int(w.region.members), int(w.region.targets), int(math.Ceil(busiest*w.owned())))
 }
 
-// observations are the bounds that loads.PaceOf keeps: a message of each other
-// member and a row of each target in an interval, and both within SteadyBytes.
+// observations are the bounds that loads.TimingOf keeps: a message of each other
+// member and a row of each target in an interval, and both within
+// SteadyBytesPerSecond.
 func (w worker) observations() (messages, rows, bytes float64) {
 	messages = min((w.region.members-1)*batchesPerSecond, loads.SteadyBytesPerSecond/(w.slopes.of("loads_message_bytes")+w.slopes.of("link_message_bytes")))
 	rows = min(w.region.targets*batchesPerSecond, loads.SteadyBytesPerSecond/w.slopes.of("observation_bytes"))
