--- a/node/quota/simulation_test.go
+++ b/node/quota/simulation_test.go
@@ -78,10 +78,10 @@
 
 func (w *simulation) start(id, region string) *process {
 	w.started++
-	l := &process{id: id, region: region, holder: NewHolder(w.now, w.started, region, len(regions), Tolerance{})}
-	l.holder.SetLimits(1, func(string) (limit.Limit, bool) { return fullLimit, true })
-	l.holder.SetEntryInstances(len(regions), func(string) bool { return !l.notOwner })
-	return l
+	p := &process{id: id, region: region, holder: NewHolder(w.now, w.started, region, len(regions), Tolerance{})}
+	p.holder.SetLimits(1, func(string) (limit.Limit, bool) { return fullLimit, true })
+	p.holder.SetEntryInstances(len(regions), func(string) bool { return !p.notOwner })
+	return p
 }
 
 func (w *simulation) chance(what string, in int) bool {
@@ -90,21 +90,21 @@
 
 // step advances time by simulationStep with faults, messages, reports and requests. It returns
 // how many requests were refused.
-func (w *simulation) step(asked func(l *process) int) (refused int) {
+func (w *simulation) step(asked func(p *process) int) (refused int) {
 	w.now = w.now.Add(simulationStep)
 	w.faults()
 	if w.divider == nil && !w.now.Before(w.nextLeaderAt) {
 		w.startLeader()
 	}
 	w.deliver()
-	for _, l := range w.processes {
-		w.report(l)
+	for _, p := range w.processes {
+		w.report(p)
 	}
 	return w.pass(asked)
 }
 
 // expectNoRefusals advances time by d, in which no request may be refused.
-func (w *simulation) expectNoRefusals(d time.Duration, asked func(l *process) int) {
+func (w *simulation) expectNoRefusals(d time.Duration, asked func(p *process) int) {
 	for range int(d / simulationStep) {
 		if refused := w.step(asked); refused > 0 {
 			w.t.Fatalf("%d requests refused", refused)
@@ -118,9 +118,9 @@
 		w.divider = nil
 		w.nextLeaderAt = w.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(w.t, "election")) * time.Millisecond)
 	}
-	for k, l := range w.processes {
+	for k, p := range w.processes {
 		if w.chance("restart", 200) {
-			w.processes[k] = w.start(l.id, l.region)
+			w.processes[k] = w.start(p.id, p.region)
 		}
 		if w.chance("cut or joined", 200) {
 			w.processes[k].cut = !w.processes[k].cut
@@ -164,34 +164,34 @@
 	}
 }
 
-func (w *simulation) report(l *process) {
-	if l.awaitsAnswer && w.now.Sub(l.sentAt) < reportTimeout {
+func (w *simulation) report(p *process) {
+	if p.awaitsAnswer && w.now.Sub(p.sentAt) < reportTimeout {
 		return
 	}
-	urgent := w.now.Sub(l.regularAt) < reportInterval
-	r, ok := l.holder.Report(w.now, urgent)
+	urgent := w.now.Sub(p.regularAt) < reportInterval
+	r, ok := p.holder.Report(w.now, urgent)
 	if !ok {
 		return
 	}
 	if !urgent {
-		l.regularAt = w.now
+		p.regularAt = w.now
 	}
-	l.sentAt, l.awaitsAnswer = w.now, true
-	w.send(message{to: l, report: r})
+	p.sentAt, p.awaitsAnswer = w.now, true
+	w.send(message{to: p, report: r})
 }
 
 // pass consumes units at each instance and checks the bound on what passes.
-func (w *simulation) pass(asked func(l *process) int) (refused int) {
+func (w *simulation) pass(asked func(p *process) int) (refused int) {
 	passed, inForce, leased := 0.0, 0.0, 0.0
-	for _, l := range w.processes {
-		for range asked(l) {
-			if l.holder.Consume(w.now, workspace, request).Allowed {
+	for _, p := range w.processes {
+		for range asked(p) {
+			if p.holder.Consume(w.now, workspace, request).Allowed {
 				passed += request
 			} else {
 				refused++
 			}
 		}
-		s := l.holder.shared.State(w.now, limit.ID{Workspace: workspace, Resource: limit.Tokens})
+		s := p.holder.shared.State(w.now, limit.ID{Workspace: workspace, Resource: limit.Tokens})
 		inForce += s.Rate
 		if s.Leased {
 			leased += s.Rate
@@ -233,14 +233,14 @@
 			w.step(func(*process) int { return rapid.IntRange(0, 6).Draw(t, "asked") })
 		}
 		w.faulty = false
-		for _, l := range w.processes {
-			l.cut, l.notOwner = false, false
+		for _, p := range w.processes {
+			p.cut, p.notOwner = false, false
 		}
 		// One instance of one region uses seven tenths of the limit.
 		const share = 0.7
 		busy := rapid.IntRange(0, len(w.processes)-1).Draw(t, "busy")
-		steady := func(l *process) int {
-			if l != w.processes[busy] {
+		steady := func(p *process) int {
+			if p != w.processes[busy] {
 				return 0
 			}
 			return int(share * rate * simulationStep.Seconds() / request)
