--- a/node/deciding/service.go
+++ b/node/deciding/service.go
@@ -58,7 +58,7 @@
 	Wait   float64 `cbor:"5,keyasint,omitempty"`
 	Tokens float64 `cbor:"6,keyasint,omitempty"`
 	// Limit is the latest limit that the target reported.
-	Limit *pick.NamedLimit `cbor:"7,keyasint,omitempty"`
+	Limit *pick.TargetLimit `cbor:"7,keyasint,omitempty"`
 	// Known are the limits that the owner knows, set if there is no target: the requesting
 	// instance must not send a request that the owner withheld.
 	Known []pick.KnownLimit `cbor:"8,keyasint,omitempty"`
@@ -67,10 +67,10 @@
 // update reports on a ticket: its target reported a changed limit (Named), the request has ended
 // (Ended), or, with neither set, the target has begun to answer.
 type update struct {
-	Ticket string           `cbor:"1,keyasint"`
-	Ended  bool             `cbor:"2,keyasint,omitempty"`
-	Result pick.Result      `cbor:"3,keyasint,omitempty"`
-	Named  *pick.NamedLimit `cbor:"4,keyasint,omitempty"`
+	Ticket string            `cbor:"1,keyasint"`
+	Ended  bool              `cbor:"2,keyasint,omitempty"`
+	Result pick.Result       `cbor:"3,keyasint,omitempty"`
+	Named  *pick.TargetLimit `cbor:"4,keyasint,omitempty"`
 }
 
 // Service calls group owners, and serves the calls of other instances as an owner.
@@ -119,7 +119,7 @@
 // Decide implements exchange.Decider. It returns false if this instance owns the group, if the
 // owner has not answered in time, now or within avoidDuration, or if the owner has no target.
 func (s *Service) Decide(ctx context.Context, c pick.Call, id string, left time.Duration) (exchange.Decision, bool) {
-	owner := s.pool.Decider(c)
+	owner := s.pool.Owner(c)
 	if owner == s.self || s.avoided(owner) {
 		return exchange.Decision{}, false
 	}
@@ -154,7 +154,7 @@
 }
 
 // Named implements exchange.Decider.
-func (s *Service) Named(d exchange.Decision, n pick.NamedLimit) {
+func (s *Service) Named(d exchange.Decision, n pick.TargetLimit) {
 	s.sendUpdate(d.By, update{Ticket: d.Ticket, Named: &n})
 }
 
@@ -205,7 +205,7 @@
 	s.mu.Lock()
 	s.tickets[r.Ticket] = assignment{choice: choice, until: now.Add(time.Duration(r.LeftMillis) * time.Millisecond)}
 	s.mu.Unlock()
-	d := targetResponse{Target: choice.ID, Source: choice.Source, Cost: choice.Cost, Front: choice.Front, Wait: choice.Wait, Tokens: choice.Tokens}
+	d := targetResponse{Target: choice.ID, Source: choice.Source, Cost: choice.Cost, Front: choice.QueueWait, Wait: choice.Wait, Tokens: choice.Tokens}
 	if choice.Limit.Limited {
 		d.Limit = &choice.Limit
 	}
@@ -227,10 +227,10 @@
 	switch {
 	case !ok:
 	case u.Named != nil:
-		a.choice.Heard(time.Now(), *u.Named)
+		a.choice.LearnLimit(time.Now(), *u.Named)
 	case u.Ended:
 		a.choice.Done(time.Now(), u.Result)
 	default:
-		a.choice.First(time.Now())
+		a.choice.FirstEvent(time.Now())
 	}
 }
--- a/node/placing/placing.go
+++ b/node/placing/placing.go
@@ -83,7 +83,7 @@
 	o       Options
 	results *ring.Ring[placement.Event]
 	// desired waits for the loop; a later bundle replaces it.
-	desired atomic.Pointer[placement.Wanted]
+	desired atomic.Pointer[placement.Desired]
 
 	mu      sync.Mutex
 	planner *placement.Planner
@@ -112,7 +112,7 @@
 
 // SetBundle replaces the bundle in force. It may be called from any goroutine.
 func (s *Service) SetBundle(b *bundle.Bundle) {
-	d := placement.WantedOf(b, s.o.Region)
+	d := placement.DesiredFor(b, s.o.Region)
 	s.desired.Store(&d)
 }
 
@@ -139,7 +139,7 @@
 			return
 		case <-tick.C:
 			if d := s.desired.Swap(nil); d != nil {
-				s.step(ctx, &pending, placement.SetWanted{Wanted: *d})
+				s.step(ctx, &pending, placement.SetDesired{Desired: *d})
 			}
 			s.step(ctx, &pending, s.lease())
 			s.report()
@@ -187,9 +187,9 @@
 	defer cancel()
 	r, err := s.o.Engines.Engine(p.Address).Load(ctx)
 	if err != nil {
-		return placement.Observed{Target: p.Target, Asked: p.Asked}
+		return placement.Observed{Target: p.Target, PolledAt: p.PolledAt}
 	}
-	return placement.Observed{Target: p.Target, Asked: p.Asked, Report: &r}
+	return placement.Observed{Target: p.Target, PolledAt: p.PolledAt, Report: &r}
 }
 
 // send sends an order. The engine's client rejects one that has expired right before
@@ -205,7 +205,7 @@
 	var e *verdict.Error
 	switch {
 	case err == nil:
-		return placement.OrderTaken
+		return placement.OrderAccepted
 	case !errors.As(err, &e):
 		return placement.OrderUnanswered
 	case e.Code == ports.CodeOldFence:
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -30,7 +30,7 @@
 
 // began notes that the target has begun to answer.
 func (p *destination) began(now time.Time) {
-	p.choice.First(now)
+	p.choice.FirstEvent(now)
 	if p.by != nil {
 		p.by.Began(p.decided)
 	}
@@ -48,7 +48,7 @@
 func (q *request) pickCall() pick.Call {
 	return pick.Call{
 		Service: q.service, Model: q.call.Model, Parts: q.call.Parts, PromptTokens: q.call.PromptTokens,
-		OutputTokens: q.call.OutputTokens, Rank: q.rank(), Tried: q.tried, Lot: xxhash.Sum64String(q.call.ID),
+		OutputTokens: q.call.OutputTokens, Rank: q.rank(), Tried: q.tried, SpreadKey: xxhash.Sum64String(q.call.ID),
 	}
 }
 
@@ -56,13 +56,13 @@
 func (q *request) choose(now time.Time) (*destination, verdict.Code) {
 	c := q.pickCall()
 	if !q.allows(q.g.o.Region) {
-		if far := q.choosePeer(now, c, place.Nowhere); far != nil {
+		if far := q.choosePeer(now, c, place.NoTargetCost); far != nil {
 			return far, ""
 		}
 		return nil, CodeNoTarget
 	}
 	p := q.chooseTarget(now, c)
-	local := place.Nowhere
+	local := place.NoTargetCost
 	if p != nil {
 		local = p.choice.Wait
 	}
@@ -77,7 +77,7 @@
 	}
 	// A request that another attempt may have run goes on.
 	fresh := q.verdict == verdict.NotRun && !q.begun
-	if fresh && place.Overloaded(p.choice.Front, q.route.Aim) {
+	if fresh && place.Overloaded(p.choice.QueueWait, q.route.Aim) {
 		p.done(now, pick.Neutral)
 		return nil, CodeOverloaded
 	}
@@ -91,7 +91,7 @@
 		if d, ok := q.g.o.Decider.Decide(q.ctx, c, q.call.ID, q.until.Sub(now)); ok {
 			if choice := q.g.o.Pool.PickAt(now, c, d.Target); choice != nil {
 				q.g.o.Metrics.Decided.Inc(1)
-				choice.Source, choice.Cost, choice.Wait, choice.Front, choice.Tokens = d.Source, d.Cost, d.Wait, d.Front, d.Tokens
+				choice.Source, choice.Cost, choice.Wait, choice.QueueWait, choice.Tokens = d.Source, d.Cost, d.Wait, d.Front, d.Tokens
 				return &destination{choice: choice, decided: d, by: q.g.o.Decider}
 			}
 			q.g.o.Decider.Ended(d, pick.Neutral)
@@ -112,28 +112,28 @@
 	if q.from != nil {
 		return nil
 	}
-	offer := place.Region(local, q.offers(now, c))
+	offer := place.ChooseRegion(local, q.offers(now, c))
 	if offer == nil {
 		return nil
 	}
-	address := place.Way(q.g.o.Self, q.peersOf(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
+	address := place.ChooseInstance(q.g.o.Self, q.peersOf(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
 	return &destination{peer: Peer{Address: address, Region: offer.Region}, wait: offer.Wait()}
 }
 
 // offers are the regions that may serve the request and can be reached: one whose targets
 // are idle and whose instances all leave is no place.
-func (q *request) offers(now time.Time, c pick.Call) []place.Offer {
-	var out []place.Offer
+func (q *request) offers(now time.Time, c pick.Call) []place.RegionCandidate {
+	var out []place.RegionCandidate
 	for key, load := range q.view.Regions {
 		if key.Service != q.service || load.Targets == 0 || !q.allows(key.Region) || q.triedRegions[key.Region] {
 			continue
 		}
-		if !q.g.reach.Open(now, key.Region) || len(q.peersOf(now, key.Region)) == 0 {
+		if !q.g.reach.Available(now, key.Region) || len(q.peersOf(now, key.Region)) == 0 {
 			continue
 		}
-		out = append(out, place.Offer{
-			Region: key.Region, Trip: q.g.trips.To(key.Region), Cost: q.g.o.Pool.RegionCost(key.Region, load, c),
-			Refused: q.g.hasRefused(now, key), Untold: load.Untold,
+		out = append(out, place.RegionCandidate{
+			Region: key.Region, RoundTrip: q.g.trips.To(key.Region), Cost: q.g.o.Pool.RegionCost(key.Region, load, c),
+			Refused: q.g.hasRefused(now, key), LoadUnknown: load.LoadUnknown,
 		})
 	}
 	return out
