--- a/daemon/site.go
+++ b/daemon/site.go
@@ -143,7 +143,7 @@
 func (r *site) runEntry(ctx context.Context) error {
 	s := r.s
 	i, err := entry.New(entry.Options{
-		Self:    feed.Entry{ID: s.Listen.Instances, Region: s.Region, Zone: s.Zone, Callers: s.Listen.Callers},
+		Self:    feed.Entry{ID: s.Listen.Instances, Region: s.Region, Zone: s.Zone, CallerAddress: s.Listen.Callers},
 		Seeds:   s.SeedIDs(),
 		Format:  platform.Format{},
 		Dialect: platform.Dialect{},
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -122,7 +122,7 @@
 	hub     *link.Hub
 	node    *replhost.Node
 	machine *newest.Machine
-	board   *feed.Board
+	board   *feed.Store
 	kept    *kept
 	// documents are given to entry instances.
 	documents documents
@@ -162,7 +162,7 @@
 // duties.
 func New(o Options) (*Instance, error) {
 	i := &Instance{
-		o: o, log: o.Log, board: feed.NewBoard(o.Self, rand.Uint64()), members: admit.New(o.Admission),
+		o: o, log: o.Log, board: feed.NewStore(o.Self, rand.Uint64()), members: admit.New(o.Admission),
 		gossipNow: make(chan struct{}, 1),
 	}
 	i.metrics = metrics.NewSiteCore(i.shown)
@@ -264,7 +264,7 @@
 }
 
 // Board is the soft state.
-func (i *Instance) Board() *feed.Board { return i.board }
+func (i *Instance) Board() *feed.Store { return i.board }
 
 // Start begins the duties.
 func (i *Instance) Start() {
--- a/node/control/lagging.go
+++ b/node/control/lagging.go
@@ -42,7 +42,7 @@
 		}
 		return nil, nil
 	}
-	if !was || now.Sub(known.heard) >= feed.EntryLife {
+	if !was || now.Sub(known.heard) >= feed.EntryTTL {
 		// It may have held all of it meanwhile, or have started anew.
 		known = lag{since: now}
 	}
@@ -62,7 +62,7 @@
 	defer l.mu.Unlock()
 	for id, known := range l.by {
 		switch {
-		case now.Sub(known.heard) >= feed.EntryLife:
+		case now.Sub(known.heard) >= feed.EntryTTL:
 			delete(l.by, id)
 		case known.told:
 			n++
@@ -74,7 +74,7 @@
 // noteHeld tells of entry instances that are behind and of those that are not any more.
 func (i *Instance) noteHeld(now time.Time, r *feed.Report) {
 	accepted := i.accepted()
-	late, over := i.lagging.note(now, r.Self.ID, r.Held, accepted.Index)
+	late, over := i.lagging.note(now, r.Self.ID, r.DocumentIndex, accepted.Index)
 	if late != nil {
 		i.log.Warn("an entry instance is behind", zap.String("entry", r.Self.ID), zap.String("zone", r.Self.Zone),
 			zap.Uint64("holds", late.held), zap.Uint64("heard", r.Index), zap.Uint64("accepted", accepted.Index),
--- a/node/control/lagging_test.go
+++ b/node/control/lagging_test.go
@@ -39,7 +39,7 @@
 	}
 	l.note(at(0), "gone", 1, 5)
 	l.note(at(lagAfter-time.Second), "gone", 1, 5)
-	if late, _ := l.note(at(lagAfter+feed.EntryLife), "gone", 1, 5); late != nil {
+	if late, _ := l.note(at(lagAfter+feed.EntryTTL), "gone", 1, 5); late != nil {
 		t.Error("the time in which it was not heard counts")
 	}
 	if l.count(at(time.Hour)); len(l.by) != 0 {
--- a/node/control/reading.go
+++ b/node/control/reading.go
@@ -50,7 +50,7 @@
 
 // reading is the state of the reading duty.
 type reading struct {
-	pace    feed.Pace
+	pace    feed.Pacer
 	started time.Time
 }
 
@@ -58,7 +58,7 @@
 // than this instance's rank allows. So one instance reads as a rule; when it is
 // dead, frozen or cut off, the next one takes over by itself, on each side of a cut.
 func (i *Instance) runList(ctx context.Context) {
-	i.reading = reading{started: time.Now(), pace: feed.Pace{PerSecond: rateShare * i.o.ListRate}}
+	i.reading = reading{started: time.Now(), pace: feed.Pacer{PerSecond: rateShare * i.o.ListRate}}
 	var notBefore time.Time
 	duty.Every(ctx, listTick, func(time.Time) {
 		if i.isOutside() {
@@ -86,13 +86,13 @@
 	if rank == 0 {
 		return i.interval()
 	}
-	return i.interval() + i.callsTime(i.board.Calls()) + time.Duration(rank)*deputyDelay
+	return i.interval() + i.callsTime(i.board.ReadCalls()) + time.Duration(rank)*deputyDelay
 }
 
 // interval is the time between two readings: a long list is read less often, to stay
 // within the part of the platform's rate that one reader takes.
 func (i *Instance) interval() time.Duration {
-	calls := i.board.Calls()
+	calls := i.board.ReadCalls()
 	return readingInterval(calls, i.callsTime(calls))
 }
 
@@ -119,9 +119,9 @@
 	if err != nil {
 		return err
 	}
-	i.board.ReadTook(calls)
+	i.board.SetReadCalls(calls)
 	list := feed.NewList(targets, at, before)
-	i.board.Listed(list, true)
+	i.board.SetList(list, true)
 	if list.Digest != before.Digest {
 		i.log.Info("list of targets changed", zap.Int("targets", len(targets)))
 		i.hurryGossip()
@@ -143,7 +143,7 @@
 			mu.Unlock()
 			return errLeftToAnother
 		}
-		wait := i.reading.pace.Turn(now, refused, rand.Float64())
+		wait := i.reading.pace.Delay(now, refused, rand.Float64())
 		mu.Unlock()
 		late.Reset(wait + listTime)
 		return duty.Pause(ctx, wait)
--- a/node/control/reading_test.go
+++ b/node/control/reading_test.go
@@ -27,11 +27,11 @@
 		}
 	}
 	at := time.Unix(1000, 0)
-	reader, deputy := feed.NewBoard(feed.Core{ID: "1"}, 1), feed.NewBoard(feed.Core{ID: "2"}, 1)
-	reader.Listed(feed.List{Digest: 7, ReadAt: at}, true)
-	reader.ReadTook(50)
-	deputy.Gossiped(at, reader.Gossip(at, false, false))
-	if got := deputy.Calls(); got != 50 {
+	reader, deputy := feed.NewStore(feed.Core{ID: "1"}, 1), feed.NewStore(feed.Core{ID: "2"}, 1)
+	reader.SetList(feed.List{Digest: 7, ReadAt: at}, true)
+	reader.SetReadCalls(50)
+	deputy.MergeGossip(at, reader.Gossip(at, false, false))
+	if got := deputy.ReadCalls(); got != 50 {
 		t.Errorf("a deputy knows of %d calls", got)
 	}
 }
--- a/node/control/reports.go
+++ b/node/control/reports.go
@@ -20,8 +20,8 @@
 	}
 	began := time.Now()
 	i.noteReport(began, &r)
-	i.board.Suspected(time.Now(), r.Suspects, true)
-	if r.First {
+	i.board.AddSuspects(time.Now(), r.Suspects, true)
+	if r.WantConfirmed {
 		i.confirmFirst(ctx)
 	}
 	wait := time.NewTimer(time.Duration(r.WaitMillis) * time.Millisecond)
@@ -45,9 +45,9 @@
 	case r.Probe:
 		return
 	case r.Brief:
-		i.board.Compared(now, r.Self)
+		i.board.AddComparison(now, r.Self)
 	default:
-		i.board.Reported(now, r.Self)
+		i.board.AddReport(now, r.Self)
 	}
 	i.noteHeld(now, r)
 }
@@ -61,7 +61,7 @@
 	if r.Probe {
 		return !i.led()
 	}
-	return !i.board.HasList(time.Now(), r)
+	return !i.board.HasListFor(time.Now(), r)
 }
 
 // confirmFirst tries to have the state confirmed for an instance that has just
@@ -88,12 +88,12 @@
 }
 
 func (i *Instance) update(r feed.Report) feed.Update {
-	u := feed.Update{Led: i.led()}
+	u := feed.Update{HasLeader: i.led()}
 	s := i.accepted()
-	if s.Index > r.Held {
+	if s.Index > r.DocumentIndex {
 		u.Head = s.Head()
 	}
-	i.board.Fill(time.Now(), r, s.Evacuated, &u)
+	i.board.FillUpdate(time.Now(), r, s.Evacuated, &u)
 	asked := time.Duration(r.WaitMillis) * time.Millisecond
 	if wait := i.board.ReportWait(asked); !r.Brief && wait > asked {
 		u.WaitMillis = wait.Milliseconds()
--- a/node/control/soft.go
+++ b/node/control/soft.go
@@ -23,7 +23,7 @@
 // others leave.
 const wakeTick = 20 * time.Millisecond
 
-func (i *Instance) runWakes(ctx context.Context) { duty.Every(ctx, wakeTick, i.board.WakeDue) }
+func (i *Instance) runWakes(ctx context.Context) { duty.Every(ctx, wakeTick, i.board.WakeIfDue) }
 
 func (i *Instance) hurryGossip() {
 	select {
@@ -87,8 +87,8 @@
 		return
 	}
 	now := time.Now()
-	i.board.Suspected(now, g.Suspects, false)
-	if !i.board.Gossiped(now, g) || i.takeList(from, &g, now) {
+	i.board.AddSuspects(now, g.Suspects, false)
+	if !i.board.MergeGossip(now, g) || i.takeList(from, &g, now) {
 		return
 	}
 	i.wg.Go(func() { i.fetchList(from, g, now) })
@@ -100,14 +100,14 @@
 	if len(g.List) == 0 {
 		return false
 	}
-	var n feed.ListNews
+	var n feed.ListUpdate
 	if err := cbor.Unmarshal(g.List, &n); err != nil {
 		i.log.Warn("a list of targets cannot be read", zap.String("from", from), zap.Error(err))
 		return false
 	}
 	list, ok := i.board.List().Apply(&n, time.Now(), readAt(g, heard))
 	if ok {
-		i.board.Listed(list, false)
+		i.board.SetList(list, false)
 	}
 	return ok
 }
@@ -131,7 +131,7 @@
 		// The next gossip tells of it again.
 		return
 	}
-	var n *feed.ListNews
+	var n *feed.ListUpdate
 	if err := cbor.Unmarshal(answer, &n); err != nil {
 		i.log.Warn("a list of targets cannot be read", zap.String("from", from), zap.Error(err))
 		return
@@ -140,7 +140,7 @@
 		return
 	}
 	if list, ok := i.board.List().Apply(n, time.Now(), readAt(&g, heard)); ok {
-		i.board.Listed(list, false)
+		i.board.SetList(list, false)
 	}
 }
 
@@ -149,8 +149,8 @@
 	if err := cbor.Unmarshal(payload, &known); err != nil {
 		return nil, err
 	}
-	if n := i.board.News(time.Now(), known, ""); n != nil {
+	if n := i.board.EncodeListUpdate(time.Now(), known, ""); n != nil {
 		return n, nil
 	}
-	return cbor.Marshal((*feed.ListNews)(nil))
+	return cbor.Marshal((*feed.ListUpdate)(nil))
 }
--- a/node/entry/begin_test.go
+++ b/node/entry/begin_test.go
@@ -109,7 +109,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		reports = append(reports, *r)
-		return feed.Update{Led: len(reports) == 3, ListAgeMillis: -1}, nil
+		return feed.Update{HasLeader: len(reports) == 3, ListAgeMillis: -1}, nil
 	})
 	i := newInstance(t)
 	i.o.Seeds, i.askOn = []string{core}, 0
--- a/node/entry/follow.go
+++ b/node/entry/follow.go
@@ -108,7 +108,7 @@
 			return
 		}
 		i.note(to, u, err)
-		if err == nil && (i.heard() || u.Led) {
+		if err == nil && (i.heard() || u.HasLeader) {
 			begun()
 			return
 		}
@@ -146,7 +146,7 @@
 			_ = duty.Pause(ctx, failPause)
 			continue
 		}
-		if !u.Led {
+		if !u.HasLeader {
 			_ = duty.Pause(ctx, failPause)
 		}
 	}
@@ -169,13 +169,13 @@
 	for turn := 0; ctx.Err() == nil; turn++ {
 		_ = duty.Pause(ctx, compareInterval)
 		followed, candidates := i.followed(), i.candidates()
-		to := i.chooser.Compare(turn, followed, candidates)
+		to := i.chooser.ChooseOther(turn, followed, candidates)
 		if to == "" {
 			continue
 		}
 		r := i.makeReport(0)
 		// The first list comes from the followed one: it is long, and under way.
-		r.Brief, r.Probe = true, r.Digest == 0
+		r.Brief, r.Probe = true, r.ListDigest == 0
 		u, err := i.report(ctx, to, r)
 		i.note(to, u, err)
 	}
@@ -186,7 +186,7 @@
 	candidates := i.candidates()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.chooser.Follow(time.Now(), candidates)
+	return i.chooser.Choose(time.Now(), candidates)
 }
 
 // note takes in an answer or its lack.
@@ -194,11 +194,11 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if err != nil {
-		i.chooser.Failed(time.Now(), to)
+		i.chooser.RecordFailure(time.Now(), to)
 		i.unanswered(to, err)
 		return
 	}
-	i.chooser.Answered(to, u.Led)
+	i.chooser.RecordAnswer(to, u.HasLeader)
 	if i.silent {
 		i.log.Info("core instances answer again", zap.String("from", to), zap.Int("failed", i.failedInRow))
 	}
@@ -256,7 +256,7 @@
 		return nil, err
 	}
 	within := time.Duration(r.WaitMillis)*time.Millisecond + reportTime
-	if r.Digest == 0 && !r.Brief {
+	if r.ListDigest == 0 && !r.Brief {
 		within += firstListTime
 	}
 	ctx, cancel := context.WithTimeout(ctx, within)
@@ -282,25 +282,25 @@
 	r := feed.Report{WaitMillis: wait.Milliseconds(), Suspects: i.killers.takeNews()}
 	if wait > 0 {
 		for id, l := range i.pool.Loads(time.Now()) {
-			self.Loads = append(self.Loads, feed.Load{Target: id, Running: l.Running, Unread: l.PendingPrefill.ByRank(), Reading: l.PrefillMillis})
+			self.Loads = append(self.Loads, feed.Load{Target: id, Running: l.Running, PendingPrefill: l.PendingPrefill.ByRank(), PrefillMillis: l.PrefillMillis})
 		}
-		r.Groups, r.Part = i.wantedGroups()
+		r.Groups, r.PartialLoads = i.wantedGroups()
 		for service, sums := range i.pool.PrefillSums(time.Now()) {
-			self.Read = append(self.Read, feed.Read{Service: service, Tokens: int64(sums.Tokens), Millis: int64(sums.Millis)})
+			self.PrefillSums = append(self.PrefillSums, feed.PrefillSums{Service: service, Tokens: int64(sums.Tokens), Millis: int64(sums.Millis)})
 		}
 	}
 	r.Self = self
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	r.First = i.known.head == nil
+	r.WantConfirmed = i.known.head == nil
 	if i.known.head != nil {
 		r.Index = i.known.head.Index
 	}
 	if i.known.held != nil {
-		r.Held = i.known.held.Index
+		r.DocumentIndex = i.known.held.Index
 	}
-	r.Digest, r.Cores = i.known.list.Digest, i.known.coresDigest
-	if r.Digest != 0 {
+	r.ListDigest, r.CoresDigest = i.known.list.Digest, i.known.coresDigest
+	if r.ListDigest != 0 {
 		r.ListAgeMillis = time.Since(i.known.list.ReadAt).Milliseconds()
 	}
 	r.EntriesEpoch, r.EntriesAt = i.known.entries.Epoch, i.known.entries.At
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -72,7 +72,7 @@
 	mu      sync.Mutex
 	known   knowledge
 	last    lastView
-	chooser *feed.Chooser
+	chooser *feed.CoreChooser
 	// failedInRow counts the newest reports without an answer; silent says that a line told
 	// of them.
 	failedInRow int
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	i := &Instance{
-		o: o, log: o.Log, hub: hub, chooser: feed.NewChooser(), askOn: beginAfter,
+		o: o, log: o.Log, hub: hub, chooser: feed.NewCoreChooser(), askOn: beginAfter,
 		pool:    pick.New(o.Self.ID),
 		targets: rawhttp.NewClient(rawhttp.Options{}),
 		peers:   rawhttp.NewClient(rawhttp.Options{DialTime: peerDialTime, IdleTime: peerIdleTime, Silence: peerSilence}),
--- a/node/entry/learn.go
+++ b/node/entry/learn.go
@@ -30,10 +30,10 @@
 	case u.ListAgeMillis < 0 || !readAt.After(k.list.ReadAt):
 	case len(u.List) > 0:
 		i.learnList(u.List, now, readAt)
-	case r.Digest == k.list.Digest:
+	case r.ListDigest == k.list.Digest:
 		k.list.ReadAt = readAt
 	}
-	if u.CoresDigest != 0 && (u.Led || len(k.cores) == 0) {
+	if u.CoresDigest != 0 && (u.HasLeader || len(k.cores) == 0) {
 		k.cores, k.coresDigest = u.Cores, u.CoresDigest
 	}
 	if u.Entries != nil && !k.entries.Apply(u.Entries) {
@@ -45,8 +45,8 @@
 		// The answer to a report that called this instance ready tells of all that were.
 		k.joined = k.joined || r.Self.Ready
 	}
-	if u.Near {
-		k.loads, k.partial = u.Loads, r.Part
+	if u.SameRegion {
+		k.loads, k.partial = u.Loads, r.PartialLoads
 	}
 	if !r.Brief {
 		k.wait = nextWait(u)
@@ -57,7 +57,7 @@
 // learnList takes in news of the list; those about another list than the one held are
 // asked for anew.
 func (i *Instance) learnList(data []byte, now, readAt time.Time) {
-	var n feed.ListNews
+	var n feed.ListUpdate
 	if err := cbor.Unmarshal(data, &n); err != nil {
 		i.log.Warn("a list of targets cannot be read", zap.Error(err))
 		return
@@ -154,13 +154,13 @@
 			i.metrics.SummariesInvalid.Inc(1)
 			continue
 		}
-		if s.Untold {
+		if s.LoadUnknown {
 			i.metrics.SummariesUntold.Inc(1)
 		}
 		key := exchange.RegionService{Region: s.Region, Service: s.Service}
 		v.Regions[key] = pick.RegionLoad{Targets: s.Targets, Slots: s.Slots, Load: pick.Load{
-			Running: s.Running, PendingPrefill: queue(s.Unread), PrefillMillis: s.Reading,
-		}, Prefill: pick.PrefillSums{Tokens: float64(s.ReadTokens), Millis: float64(s.ReadMillis)}, LoadUnknown: s.Untold}
+			Running: s.Running, PendingPrefill: queue(s.PendingPrefill), PrefillMillis: s.PrefillMillis,
+		}, Prefill: pick.PrefillSums{Tokens: float64(s.PrefillSumTokens), Millis: float64(s.PrefillSumMillis)}, LoadUnknown: s.LoadUnknown}
 	}
 }
 
@@ -206,7 +206,7 @@
 		}
 		s.Targets = append(s.Targets, pick.Target{
 			ID: t.ID, Service: t.Service, Address: t.Address, Zone: t.Zone, Slots: t.Slots, Draining: t.Draining,
-			ColdUntil: t.ColdUntil, ColdEpoch: t.ColdTurn, StartMillis: t.Born,
+			ColdUntil: t.ColdUntil, ColdEpoch: t.ColdEpoch, StartMillis: t.StartMillis,
 		})
 	}
 	self := i.o.Self
@@ -237,7 +237,7 @@
 func (k *knowledge) poolLoads() map[string]pick.Load {
 	out := make(map[string]pick.Load, len(k.loads))
 	for _, l := range k.loads {
-		out[l.Target] = pick.Load{Running: l.Running, PendingPrefill: queue(l.Unread), PrefillMillis: l.Reading}
+		out[l.Target] = pick.Load{Running: l.Running, PendingPrefill: queue(l.PendingPrefill), PrefillMillis: l.PrefillMillis}
 	}
 	return out
 }
--- a/node/entry/learn_test.go
+++ b/node/entry/learn_test.go
@@ -20,7 +20,7 @@
 func newInstance(t *testing.T) *Instance {
 	t.Helper()
 	i, err := New(Options{
-		Self: feed.Entry{ID: "127.0.0.1:1", Region: "r", Zone: "z", Callers: "127.0.0.1:2"}, Seeds: []string{"127.0.0.1:3"},
+		Self: feed.Entry{ID: "127.0.0.1:1", Region: "r", Zone: "z", CallerAddress: "127.0.0.1:2"}, Seeds: []string{"127.0.0.1:3"},
 		Format: oneByte{}, Log: zap.NewNop(), Ordinary: zap.NewNop(),
 	})
 	if err != nil {
@@ -30,7 +30,7 @@
 	return i
 }
 
-func encoded(t *testing.T, n feed.ListNews) []byte {
+func encoded(t *testing.T, n feed.ListUpdate) []byte {
 	t.Helper()
 	data, err := cbor.Marshal(n)
 	if err != nil {
@@ -86,11 +86,11 @@
 func TestAnUpdateWithoutAListLeavesTheList(t *testing.T) {
 	Convey("two updates cross", t, func() {
 		i := newInstance(t)
-		learnWhole(t, i, state(1, 1), &feed.Update{Entries: &feed.EntryNews{Epoch: 1, At: 1, Entries: []feed.Entry{{ID: "a", Region: "q", Ready: true}}}, List: encoded(t, feed.ListNews{Digest: 1})}, feed.Report{})
+		learnWhole(t, i, state(1, 1), &feed.Update{Entries: &feed.EntriesUpdate{Epoch: 1, At: 1, Entries: []feed.Entry{{ID: "a", Region: "q", Ready: true}}}, List: encoded(t, feed.ListUpdate{Digest: 1})}, feed.Report{})
 		So(len(i.gateway.View().Peers), ShouldEqual, 1)
 		i.learn("core", &feed.Update{ListAgeMillis: -1}, feed.Report{})
 		So(len(i.gateway.View().Peers), ShouldEqual, 1)
-		i.learn("core", &feed.Update{Entries: &feed.EntryNews{Epoch: 1, Base: 1, At: 2, Gone: []string{"a"}}, ListAgeMillis: -1}, feed.Report{})
+		i.learn("core", &feed.Update{Entries: &feed.EntriesUpdate{Epoch: 1, Base: 1, At: 2, Removed: []string{"a"}}, ListAgeMillis: -1}, feed.Report{})
 		So(i.gateway.View().Peers, ShouldBeEmpty)
 	})
 }
@@ -102,11 +102,11 @@
 func TestSummariesThatCannotBeAreLeftOut(t *testing.T) {
 	Convey("summaries of four regions", t, func() {
 		i := newInstance(t)
-		learnWhole(t, i, state(1, 1), &feed.Update{List: encoded(t, feed.ListNews{Digest: 1}), Regions: []feed.Summary{
-			{Region: "good", Service: "s", Targets: 2, Slots: 8, Unread: []int{0, 5}, ReadTokens: 100, ReadMillis: 3},
+		learnWhole(t, i, state(1, 1), &feed.Update{List: encoded(t, feed.ListUpdate{Digest: 1}), Regions: []feed.Summary{
+			{Region: "good", Service: "s", Targets: 2, Slots: 8, PendingPrefill: []int{0, 5}, PrefillSumTokens: 100, PrefillSumMillis: 3},
 			{Region: "negative", Service: "s", Targets: 2, Running: -1},
-			{Region: "odd", Service: "s", Targets: 2, Unread: []int{3, -9}},
-			{Region: "unknown", Service: "s", Targets: 2, Untold: true},
+			{Region: "odd", Service: "s", Targets: 2, PendingPrefill: []int{3, -9}},
+			{Region: "unknown", Service: "s", Targets: 2, LoadUnknown: true},
 		}}, feed.Report{})
 		regions := i.gateway.View().Regions
 		So(len(regions), ShouldEqual, 2)
@@ -130,7 +130,7 @@
 		i := newInstance(t)
 		one, two := feed.Entry{ID: "a", Region: "q", Ready: true}, feed.Entry{ID: "b", Region: "q", Leaving: true}
 		learn := func(base uint64, entries ...feed.Entry) {
-			learnWhole(t, i, state(1, 1), &feed.Update{Entries: &feed.EntryNews{Epoch: 1, Base: base, At: base + 1, Entries: entries}, List: encoded(t, feed.ListNews{Digest: 1})}, feed.Report{})
+			learnWhole(t, i, state(1, 1), &feed.Update{Entries: &feed.EntriesUpdate{Epoch: 1, Base: base, At: base + 1, Entries: entries}, List: encoded(t, feed.ListUpdate{Digest: 1})}, feed.Report{})
 		}
 		learn(0, one, two)
 		So(len(i.gateway.View().Peers), ShouldEqual, 1)
@@ -156,8 +156,8 @@
 		i := newInstance(t)
 		fresh := []feed.Target{{ID: "new", Service: "s", Region: "q"}}
 		stale := []feed.Target{{ID: "old", Service: "s", Region: "q"}}
-		learnWhole(t, i, state(4, 9), &feed.Update{List: encoded(t, feed.ListNews{Digest: 1, Targets: fresh}), ListAgeMillis: 100}, feed.Report{})
-		learnWhole(t, i, state(3, 7), &feed.Update{List: encoded(t, feed.ListNews{Digest: 2, Targets: stale}), ListAgeMillis: 60000}, feed.Report{})
+		learnWhole(t, i, state(4, 9), &feed.Update{List: encoded(t, feed.ListUpdate{Digest: 1, Targets: fresh}), ListAgeMillis: 100}, feed.Report{})
+		learnWhole(t, i, state(3, 7), &feed.Update{List: encoded(t, feed.ListUpdate{Digest: 2, Targets: stale}), ListAgeMillis: 60000}, feed.Report{})
 		So(i.gateway.View().Index.Table.Version, ShouldEqual, 9)
 		So(i.known.list.Targets, ShouldResemble, fresh)
 	})
@@ -166,10 +166,10 @@
 func TestLoadsOfTheOwnRegionAreKeptWhileAnotherOneAnswers(t *testing.T) {
 	Convey("a core instance of another region knows no loads", t, func() {
 		i := newInstance(t)
-		learnWhole(t, i, state(1, 1), &feed.Update{Near: true, Loads: []feed.Load{{Target: "x", Running: 2}}, ListAgeMillis: -1}, feed.Report{})
+		learnWhole(t, i, state(1, 1), &feed.Update{SameRegion: true, Loads: []feed.Load{{Target: "x", Running: 2}}, ListAgeMillis: -1}, feed.Report{})
 		i.learn("core", &feed.Update{ListAgeMillis: -1}, feed.Report{})
 		So(len(i.known.loads), ShouldEqual, 1)
-		i.learn("core", &feed.Update{Near: true, ListAgeMillis: -1}, feed.Report{})
+		i.learn("core", &feed.Update{SameRegion: true, ListAgeMillis: -1}, feed.Report{})
 		So(i.known.loads, ShouldBeEmpty)
 	})
 }
@@ -194,12 +194,12 @@
 	Convey("news after ones that did not come", t, func() {
 		i := newInstance(t)
 		known := func() feed.Report { return i.makeReport(reportWait) }
-		learnWhole(t, i, state(1, 1), &feed.Update{Entries: &feed.EntryNews{Epoch: 1, At: 4, Entries: []feed.Entry{{ID: "a"}}}, ListAgeMillis: -1}, known())
+		learnWhole(t, i, state(1, 1), &feed.Update{Entries: &feed.EntriesUpdate{Epoch: 1, At: 4, Entries: []feed.Entry{{ID: "a"}}}, ListAgeMillis: -1}, known())
 		So(known().EntriesAt, ShouldEqual, 4)
-		i.learn("core", &feed.Update{Entries: &feed.EntryNews{Epoch: 1, Base: 6, At: 7}, ListAgeMillis: -1}, known())
+		i.learn("core", &feed.Update{Entries: &feed.EntriesUpdate{Epoch: 1, Base: 6, At: 7}, ListAgeMillis: -1}, known())
 		So(known().EntriesAt, ShouldEqual, 0)
 		So(len(i.known.entries.Entries), ShouldEqual, 1)
-		i.learn("core", &feed.Update{Entries: &feed.EntryNews{Epoch: 1, At: 7, Entries: []feed.Entry{{ID: "b"}}}, ListAgeMillis: -1}, known())
+		i.learn("core", &feed.Update{Entries: &feed.EntriesUpdate{Epoch: 1, At: 7, Entries: []feed.Entry{{ID: "b"}}}, ListAgeMillis: -1}, known())
 		So(i.known.entries.Entries, ShouldResemble, []feed.Entry{{ID: "b"}})
 	})
 }
@@ -212,7 +212,7 @@
 		i := newInstance(t)
 		learnWhole(t, i, state(1, 1), &feed.Update{ListAgeMillis: -1}, feed.Report{})
 		So(i.Ready(), ShouldBeFalse)
-		i.learn("core", &feed.Update{List: encoded(t, feed.ListNews{Digest: 4, Targets: []feed.Target{{ID: "x"}}})}, feed.Report{})
+		i.learn("core", &feed.Update{List: encoded(t, feed.ListUpdate{Digest: 4, Targets: []feed.Target{{ID: "x"}}})}, feed.Report{})
 		So(i.Ready(), ShouldBeTrue)
 	})
 }
--- a/node/feed/addresses.go
+++ b/node/feed/addresses.go
@@ -59,7 +59,7 @@
 	}
 	var out []string
 	for i := range entries {
-		out = append(out, entries[i].Callers)
+		out = append(out, entries[i].CallerAddress)
 	}
 	return out
 }
--- a/node/feed/board.go
+++ b/node/feed/board.go
@@ -18,9 +18,9 @@
 	// report: five report intervals, so that a lost report or a slow core
 	// instance takes nobody out, and well under the 9 s within which a dead
 	// instance may still be named to callers.
-	EntryLife = 2500 * time.Millisecond
+	EntryTTL = 2500 * time.Millisecond
 	// CoreLife is the same for core instances.
-	CoreLife = 3 * time.Second
+	CoreTTL = 3 * time.Second
 	// newcomerGap is the least time between two wakes for entry instances that come:
 	// hundreds come within a second of a start, and each wake is an answer to each of
 	// them. A report ends by itself within 200 ms, so that nobody hears of one much later.
@@ -34,7 +34,7 @@
 
 // Board is the soft state that a core instance holds. It is safe for several
 // goroutines; the time is passed in.
-type Board struct {
+type Store struct {
 	self Core
 
 	mu      sync.Mutex
@@ -88,7 +88,7 @@
 	at   time.Time
 	// loads are those of the entry instances that report there; of the own region only.
 	loads []Load
-	read  []Read
+	read  []PrefillSums
 }
 
 type heardEntry struct {
@@ -104,8 +104,8 @@
 }
 
 // NewBoard makes an empty board. epoch is another one at each start of the instance.
-func NewBoard(self Core, epoch uint64) *Board {
-	return &Board{
+func NewStore(self Core, epoch uint64) *Store {
+	return &Store{
 		self: self, cores: map[string]heardCore{}, entries: map[string]heardEntry{},
 		sums: map[string]heardSums{}, changed: make(chan struct{}), told: map[listKey]toldNews{},
 		changes: changes{epoch: epoch, shown: map[string]shownEntry{}},
@@ -114,20 +114,20 @@
 
 // Changed returns a channel that is closed at the next change that entry
 // instances should hear of at once.
-func (b *Board) Changed() <-chan struct{} {
+func (b *Store) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
 // Wake ends the waits on Changed.
-func (b *Board) Wake() {
+func (b *Store) Wake() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.wake()
 }
 
-func (b *Board) wake() {
+func (b *Store) wake() {
 	close(b.changed)
 	b.changed, b.round, b.wakeDue = make(chan struct{}), nil, false
 }
@@ -137,13 +137,13 @@
 //
 // What goes wrong where each of them ends the waits at once: when a sixth of a thousand
 // instances restart within seconds, each of their ends and begins is a thousand answers.
-func (b *Board) WakeDue(now time.Time) {
+func (b *Store) WakeIfDue(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.wakeIfDue(now)
 }
 
-func (b *Board) wakeIfDue(now time.Time) {
+func (b *Store) wakeIfDue(now time.Time) {
 	if b.wakeDue && now.Sub(b.wokenAt) >= b.spread() {
 		b.wokenAt = now
 		b.wake()
@@ -151,11 +151,11 @@
 }
 
 // spread is how long answers to all that report here take.
-func (b *Board) spread() time.Duration { return time.Duration(b.reporters) * answerGap }
+func (b *Store) spread() time.Duration { return time.Duration(b.reporters) * answerGap }
 
 // ReportWait is how long a report may be held back, of which least was asked for: the more
 // report here, the longer.
-func (b *Board) ReportWait(least time.Duration) time.Duration {
+func (b *Store) ReportWait(least time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(least, min(mostWait, b.spread()))
@@ -163,7 +163,7 @@
 
 // wakeFor ends the waits where an entry instance has changed: one that leaves must not
 // be named any more.
-func (b *Board) wakeFor(now time.Time, old Entry, known bool, e Entry) {
+func (b *Store) wakeFor(now time.Time, old Entry, known bool, e Entry) {
 	switch {
 	case known && old.Ready == e.Ready && old.Leaving == e.Leaving:
 		return
@@ -178,7 +178,7 @@
 }
 
 // Reported takes in the report of an entry instance.
-func (b *Board) Reported(now time.Time, e Entry) {
+func (b *Store) AddReport(now time.Time, e Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old, known := b.entries[e.ID]
@@ -196,7 +196,7 @@
 //
 // What goes wrong where each of them is handed on: an instance asks all core instances in
 // turn, so each core instance tells all others of most entry instances, again and again.
-func (b *Board) Compared(now time.Time, e Entry) {
+func (b *Store) AddComparison(now time.Time, e Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old, known := b.entries[e.ID]
@@ -209,10 +209,10 @@
 
 // Gossiped takes in what another core instance tells, and reports whether its
 // list is newer than the one held and has to be taken from its news or fetched.
-func (b *Board) Gossiped(now time.Time, g Gossip) (fetch bool) {
+func (b *Store) MergeGossip(now time.Time, g Gossip) (fetch bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cores[g.From.ID] = heardCore{core: g.From, at: now, loads: g.Loads, read: g.Read}
+	b.cores[g.From.ID] = heardCore{core: g.From, at: now, loads: g.Loads, read: g.PrefillSums}
 	for _, e := range g.Entries {
 		at := now.Add(-time.Duration(e.AgeMillis) * time.Millisecond)
 		old, known := b.entries[e.ID]
@@ -225,15 +225,15 @@
 	if g.From.Region != b.self.Region {
 		b.sums[g.From.Region] = heardSums{sums: g.Regions, at: now}
 	}
-	if g.Digest == 0 {
+	if g.ListDigest == 0 {
 		return false
 	}
 	at := now.Add(-time.Duration(g.ListAgeMillis) * time.Millisecond)
 	if !at.After(b.list.ReadAt) {
 		return false
 	}
-	b.calls = g.Calls
-	if g.Digest == b.list.Digest {
+	b.calls = g.ReadCalls
+	if g.ListDigest == b.list.Digest {
 		b.list.ReadAt, b.own = at, false
 		return false
 	}
@@ -242,7 +242,7 @@
 
 // Listed takes in a reading of the platform's list; own says that this instance
 // has read it.
-func (b *Board) Listed(l List, own bool) {
+func (b *Store) SetList(l List, own bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !l.ReadAt.After(b.list.ReadAt) {
@@ -259,7 +259,7 @@
 }
 
 // division tells the groups of the own region's targets.
-func (b *Board) division() map[string]pick.Group {
+func (b *Store) division() map[string]pick.Group {
 	if b.divided != nil {
 		return b.divided
 	}
@@ -277,21 +277,21 @@
 }
 
 // ReadTook notes how many calls the last reading of this instance took.
-func (b *Board) ReadTook(calls int) {
+func (b *Store) SetReadCalls(calls int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.calls = calls
 }
 
 // Calls is how many calls the newest reading took, here or at another core instance.
-func (b *Board) Calls() int {
+func (b *Store) ReadCalls() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.calls
 }
 
 // List returns the newest reading.
-func (b *Board) List() List {
+func (b *Store) List() List {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.list
@@ -299,16 +299,16 @@
 
 // Cores lists the core instances that were heard lately, this one included, in
 // the order of their ids.
-func (b *Board) Cores(now time.Time) []Core {
+func (b *Store) Cores(now time.Time) []Core {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.liveCores(now)
 }
 
-func (b *Board) liveCores(now time.Time) []Core {
+func (b *Store) liveCores(now time.Time) []Core {
 	out := []Core{b.self}
 	for id, h := range b.cores {
-		if now.Sub(h.at) < CoreLife {
+		if now.Sub(h.at) < CoreTTL {
 			out = append(out, h.core)
 		} else {
 			delete(b.cores, id)
@@ -319,12 +319,12 @@
 }
 
 // Rank is the place of this instance among the live core instances, 0 first.
-func (b *Board) Rank(now time.Time) int {
+func (b *Store) Rank(now time.Time) int {
 	return slices.IndexFunc(b.Cores(now), func(c Core) bool { return c.ID == b.self.ID })
 }
 
 // Entries lists the entry instances that were heard lately.
-func (b *Board) Entries(now time.Time) []Entry {
+func (b *Store) Entries(now time.Time) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Entry
@@ -334,10 +334,10 @@
 	return out
 }
 
-func (b *Board) liveEntries(now time.Time) []heardEntry {
+func (b *Store) liveEntries(now time.Time) []heardEntry {
 	var out []heardEntry
 	for id, e := range b.entries {
-		if now.Sub(e.at) < EntryLife {
+		if now.Sub(e.at) < EntryTTL {
 			out = append(out, e)
 		} else {
 			delete(b.entries, id)
--- a/node/feed/chooser.go
+++ b/node/feed/chooser.go
@@ -11,7 +11,7 @@
 // and an instance that looks for one among those out of reach hears for seconds
 // nothing of its own region either, where targets come back cold meanwhile. It
 // belongs to one goroutine at a time.
-type Chooser struct {
+type CoreChooser struct {
 	tried map[string]attempt
 }
 
@@ -22,18 +22,18 @@
 }
 
 // NewChooser makes a Chooser that has tried none.
-func NewChooser() *Chooser { return &Chooser{tried: map[string]attempt{}} }
+func NewCoreChooser() *CoreChooser { return &CoreChooser{tried: map[string]attempt{}} }
 
 // Answered notes an answer; led is Update.Led.
-func (c *Chooser) Answered(id string, led bool) { c.tried[id] = attempt{unled: !led} }
+func (c *CoreChooser) RecordAnswer(id string, led bool) { c.tried[id] = attempt{unled: !led} }
 
 // Failed notes that a report was not answered.
-func (c *Chooser) Failed(now time.Time, id string) { c.tried[id] = attempt{failedAt: now} }
+func (c *CoreChooser) RecordFailure(now time.Time, id string) { c.tried[id] = attempt{failedAt: now} }
 
 // Follow returns the instance to report to, of candidates in the order of preference:
 // the first that answers and hears from a leader, or is untried; else the first that
 // answers; else the one that failed longest ago. It is empty without candidates.
-func (c *Chooser) Follow(now time.Time, candidates []string) string {
+func (c *CoreChooser) Choose(now time.Time, candidates []string) string {
 	answering, oldest := "", ""
 	for _, id := range candidates {
 		a := c.tried[id]
@@ -58,7 +58,7 @@
 
 // Compare returns another instance to ask for news beside the followed one, in turn;
 // empty if there is none.
-func (c *Chooser) Compare(turn int, followed string, candidates []string) string {
+func (c *CoreChooser) ChooseOther(turn int, followed string, candidates []string) string {
 	for k := range candidates {
 		if id := candidates[(turn+k)%len(candidates)]; id != followed {
 			return id
--- a/node/feed/cost_bench_test.go
+++ b/node/feed/cost_bench_test.go
@@ -21,21 +21,21 @@
 
 func benchmarkSecond(b *testing.B, instances int) {
 	const regions, cores, reportsPerSecond, busyShare = 3, 9, 5, 4
-	board := feed.NewBoard(feed.Core{ID: "0", Region: "r0", Zone: "z"}, 1)
+	board := feed.NewStore(feed.Core{ID: "0", Region: "r0", Zone: "z"}, 1)
 	var targets []feed.Target
 	for k := range 10 * instances {
 		targets = append(targets, feed.Target{ID: fmt.Sprint("t", k), Service: "s", Region: fmt.Sprint("r", k%regions), Slots: 48})
 	}
-	board.Listed(feed.NewList(targets, t0, feed.List{}), true)
+	board.SetList(feed.NewList(targets, t0, feed.List{}), true)
 	entry := func(n int) feed.Entry {
-		return feed.Entry{ID: fmt.Sprint("10.0.0.", n, ":7020"), Region: fmt.Sprint("r", n%regions), Zone: "z", Callers: fmt.Sprint("10.0.0.", n, ":80"), Ready: true}
+		return feed.Entry{ID: fmt.Sprint("10.0.0.", n, ":7020"), Region: fmt.Sprint("r", n%regions), Zone: "z", CallerAddress: fmt.Sprint("10.0.0.", n, ":80"), Ready: true}
 	}
 	var near, far []feed.Entry
 	for n := range instances {
 		if n%cores == 0 {
 			e := entry(n - n%regions)
 			for j := n; j < 10*instances; j += instances * busyShare {
-				e.Loads = append(e.Loads, feed.Load{Target: fmt.Sprint("t", j-j%regions), Running: 1, Unread: []int{500}})
+				e.Loads = append(e.Loads, feed.Load{Target: fmt.Sprint("t", j-j%regions), Running: 1, PendingPrefill: []int{500}})
 			}
 			near = append(near, e)
 		} else {
@@ -48,12 +48,12 @@
 		sent = 0
 		for range reportsPerSecond {
 			now = now.Add(time.Second / reportsPerSecond)
-			board.Gossiped(now, gossip)
+			board.MergeGossip(now, gossip)
 			for n, e := range near {
-				board.Reported(now, e)
-				r := feed.Report{Self: e, Digest: board.List().Digest, Part: true, Groups: []pick.Group{{Service: "s", Number: n}}}
+				board.AddReport(now, e)
+				r := feed.Report{Self: e, ListDigest: board.List().Digest, PartialLoads: true, Groups: []pick.Group{{Service: "s", Number: n}}}
 				var u feed.Update
-				board.Fill(now.Add(time.Duration(n)*200*time.Millisecond/time.Duration(len(near))), r, nil, &u)
+				board.FillUpdate(now.Add(time.Duration(n)*200*time.Millisecond/time.Duration(len(near))), r, nil, &u)
 				u.Entries = nil
 				data, err := cbor.Marshal(u)
 				if err != nil {
--- a/node/feed/entries.go
+++ b/node/feed/entries.go
@@ -14,7 +14,7 @@
 
 // EntryNews tell of the entry instances that are there: of all, or of what has changed
 // since the asker heard last.
-type EntryNews struct {
+type EntriesUpdate struct {
 	// Epoch names the numbering of changes, which each start of a core instance begins
 	// anew. Base is the number up to which the asker knew, 0 if the news are whole, and
 	// At the number up to which it knows now.
@@ -23,7 +23,7 @@
 	At    uint64 `cbor:"3,keyasint"`
 	// Entries are new or changed, without loads, Gone the ids of those that went.
 	Entries []Entry  `cbor:"4,keyasint,omitempty"`
-	Gone    []string `cbor:"5,keyasint,omitempty"`
+	Removed []string `cbor:"5,keyasint,omitempty"`
 
 	// encode makes the encoded form, once for all that are told the same.
 	encode func() ([]byte, error)
@@ -33,15 +33,15 @@
 //
 // What goes wrong where each answer is encoded by itself: after a start a core instance tells
 // hundreds of entry instances of hundreds, some times a second.
-func (n *EntryNews) MarshalCBOR() ([]byte, error) {
+func (n *EntriesUpdate) MarshalCBOR() ([]byte, error) {
 	if n.encode == nil {
 		return n.marshal()
 	}
 	return n.encode()
 }
 
-func (n *EntryNews) marshal() ([]byte, error) {
-	type plain EntryNews
+func (n *EntriesUpdate) marshal() ([]byte, error) {
+	type plain EntriesUpdate
 	return cbor.Marshal((*plain)(n))
 }
 
@@ -56,14 +56,14 @@
 }
 
 // Apply adds news that have come; false if they are about what is not known here.
-func (k *Known) Apply(n *EntryNews) bool {
+func (k *Known) Apply(n *EntriesUpdate) bool {
 	if n.Base == 0 {
 		k.Entries = nil
 	} else if n.Epoch != k.Epoch || n.Base != k.At {
 		return false
 	}
 	changed := map[string]bool{k.Self: true}
-	for _, id := range n.Gone {
+	for _, id := range n.Removed {
 		changed[id] = true
 	}
 	for _, e := range n.Entries {
@@ -101,7 +101,7 @@
 	gone      []goneEntry
 	forgotten uint64
 	// told are the news up to the change toldAt, by the change that they begin with.
-	told   map[uint64]*EntryNews
+	told   map[uint64]*EntriesUpdate
 	toldAt uint64
 }
 
@@ -120,7 +120,7 @@
 	here := make(map[string]bool, len(now))
 	for _, h := range now {
 		e := h.entry
-		e.Loads, e.Read, e.AgeMillis = nil, nil, 0
+		e.Loads, e.PrefillSums, e.AgeMillis = nil, nil, 0
 		here[e.ID] = true
 		if old, known := c.shown[e.ID]; known && old.entry.same(&e) {
 			continue
@@ -143,12 +143,12 @@
 
 // same compares what others are told.
 func (e *Entry) same(o *Entry) bool {
-	return e.ID == o.ID && e.Region == o.Region && e.Zone == o.Zone && e.Callers == o.Callers && e.Ready == o.Ready && e.Leaving == o.Leaving
+	return e.ID == o.ID && e.Region == o.Region && e.Zone == o.Zone && e.CallerAddress == o.CallerAddress && e.Ready == o.Ready && e.Leaving == o.Leaving
 }
 
 // news tell an instance what it lacks, and perhaps of itself; nil if that is nothing. They
 // are the same for all that lack the same.
-func (c *changes) news(epoch, at uint64) *EntryNews {
+func (c *changes) news(epoch, at uint64) *EntriesUpdate {
 	base := uint64(0)
 	if epoch == c.epoch && at <= c.last && at >= c.forgotten {
 		base = at
@@ -157,7 +157,7 @@
 		return nil
 	}
 	if c.told == nil || c.toldAt != c.last {
-		c.told, c.toldAt = map[uint64]*EntryNews{}, c.last
+		c.told, c.toldAt = map[uint64]*EntriesUpdate{}, c.last
 	}
 	if c.told[base] == nil {
 		c.told[base] = c.newsSince(base)
@@ -165,8 +165,8 @@
 	return c.told[base]
 }
 
-func (c *changes) newsSince(base uint64) *EntryNews {
-	n := &EntryNews{Epoch: c.epoch, Base: base, At: c.last}
+func (c *changes) newsSince(base uint64) *EntriesUpdate {
+	n := &EntriesUpdate{Epoch: c.epoch, Base: base, At: c.last}
 	for _, s := range c.shown {
 		if s.number > base {
 			n.Entries = append(n.Entries, s.entry)
@@ -175,7 +175,7 @@
 	for _, g := range c.gone {
 		_, back := c.shown[g.id]
 		if base > 0 && g.number > base && !back {
-			n.Gone = append(n.Gone, g.id)
+			n.Removed = append(n.Removed, g.id)
 		}
 	}
 	sortEntries(n.Entries)
--- a/node/feed/entries_test.go
+++ b/node/feed/entries_test.go
@@ -19,7 +19,7 @@
 func TestNewsOfEntriesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := t0
-		boards := []*feed.Board{feed.NewBoard(me, 1), feed.NewBoard(me, 2)}
+		boards := []*feed.Store{feed.NewStore(me, 1), feed.NewStore(me, 2)}
 		asker := feed.Entry{ID: "e0", Region: "r", Zone: "z", Ready: true}
 		known := feed.Known{Self: asker.ID}
 		there := map[string]feed.Entry{}
@@ -29,25 +29,25 @@
 			there[asker.ID] = asker
 			for _, b := range boards {
 				for _, e := range there {
-					b.Reported(now, e)
+					b.AddReport(now, e)
 				}
 			}
 			if rapid.IntRange(0, 2).Draw(t, "hears") > 0 {
 				continue
 			}
 			if rapid.IntRange(0, 9).Draw(t, "starts anew") == 0 {
-				boards[0] = feed.NewBoard(me, rapid.Uint64Range(3, 1<<60).Draw(t, "epoch"))
+				boards[0] = feed.NewStore(me, rapid.Uint64Range(3, 1<<60).Draw(t, "epoch"))
 				for _, e := range there {
-					boards[0].Reported(now, e)
+					boards[0].AddReport(now, e)
 				}
 			}
-			now = now.Add(feed.EntryLife)
+			now = now.Add(feed.EntryTTL)
 			b := boards[rapid.IntRange(0, 1).Draw(t, "board")]
 			for _, e := range there {
-				b.Reported(now, e)
+				b.AddReport(now, e)
 			}
 			var u feed.Update
-			b.Fill(now, feed.Report{Self: asker, EntriesEpoch: known.Epoch, EntriesAt: known.At}, nil, &u)
+			b.FillUpdate(now, feed.Report{Self: asker, EntriesEpoch: known.Epoch, EntriesAt: known.At}, nil, &u)
 			if u.Entries != nil && !known.Apply(u.Entries) {
 				t.Fatalf("news %+v do not fit %+v", u.Entries, known)
 			}
@@ -64,9 +64,9 @@
 		case 0:
 			delete(there, id)
 		case 1:
-			there[id] = feed.Entry{ID: id, Region: "r", Zone: "z", Callers: id, Ready: true}
+			there[id] = feed.Entry{ID: id, Region: "r", Zone: "z", CallerAddress: id, Ready: true}
 		case 2:
-			there[id] = feed.Entry{ID: id, Region: "r", Zone: "z", Callers: id, Loads: []feed.Load{{Target: "x", Running: 1}}}
+			there[id] = feed.Entry{ID: id, Region: "r", Zone: "z", CallerAddress: id, Loads: []feed.Load{{Target: "x", Running: 1}}}
 		}
 	}
 }
@@ -91,26 +91,26 @@
 // Events: many instances come and go while an asker hears nothing.
 // Cause: what went is kept for good, or forgotten while somebody lacks it.
 func TestNewsAfterLongSilenceAreWhole(t *testing.T) {
-	b, now := feed.NewBoard(me, 1), t0
+	b, now := feed.NewStore(me, 1), t0
 	asker := feed.Report{Self: feed.Entry{ID: "a", Region: "r"}}
 	var known feed.Known
-	hear := func() *feed.EntryNews {
+	hear := func() *feed.EntriesUpdate {
 		var u feed.Update
 		asker.EntriesEpoch, asker.EntriesAt = known.Epoch, known.At
-		b.Fill(now, asker, nil, &u)
+		b.FillUpdate(now, asker, nil, &u)
 		if u.Entries != nil && !known.Apply(u.Entries) {
 			t.Fatalf("%+v", u.Entries)
 		}
 		return u.Entries
 	}
-	b.Reported(now, feed.Entry{ID: "first", Region: "r"})
+	b.AddReport(now, feed.Entry{ID: "first", Region: "r"})
 	hear()
 	for n := range 600 {
-		now = now.Add(feed.EntryLife)
-		b.Reported(now, feed.Entry{ID: fmt.Sprint("e", n), Region: "r"})
-		b.Fill(now, feed.Report{}, nil, &feed.Update{})
+		now = now.Add(feed.EntryTTL)
+		b.AddReport(now, feed.Entry{ID: fmt.Sprint("e", n), Region: "r"})
+		b.FillUpdate(now, feed.Report{}, nil, &feed.Update{})
 	}
-	if n := hear(); n.Base != 0 || len(n.Gone) > 0 {
+	if n := hear(); n.Base != 0 || len(n.Removed) > 0 {
 		t.Fatalf("%+v", n)
 	}
 	if len(known.Entries) != 1 || known.Entries[0].ID != "e599" {
@@ -122,14 +122,14 @@
 // Events: hundreds of instances come within a second; each is told all of them.
 // Cause: each answer was made and encoded by itself.
 func TestNewsAreMadeOnceForAllThatLackTheSame(t *testing.T) {
-	b := feed.NewBoard(me, 1)
+	b := feed.NewStore(me, 1)
 	for n := range 1000 {
-		b.Reported(t0, feed.Entry{ID: fmt.Sprint("e", n), Region: "r", Ready: true})
+		b.AddReport(t0, feed.Entry{ID: fmt.Sprint("e", n), Region: "r", Ready: true})
 	}
-	var first *feed.EntryNews
+	var first *feed.EntriesUpdate
 	for n := range 1000 {
 		var u feed.Update
-		b.Fill(t0, feed.Report{Self: feed.Entry{ID: fmt.Sprint("e", n), Region: "r"}}, nil, &u)
+		b.FillUpdate(t0, feed.Report{Self: feed.Entry{ID: fmt.Sprint("e", n), Region: "r"}}, nil, &u)
 		if first == nil {
 			first = u.Entries
 		}
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got feed.EntryNews
+	var got feed.EntriesUpdate
 	if err := cbor.Unmarshal(data, &got); err != nil || len(got.Entries) != 1000 || got.At != first.At {
 		t.Errorf("%d entries of %d, %v", len(got.Entries), len(first.Entries), err)
 	}
@@ -151,17 +151,17 @@
 // Events: a thousand instances ask the same core instance for who is there.
 // Cause: a question for the state was answered with all targets and instances.
 func TestProbeIsAnsweredInFewBytes(t *testing.T) {
-	b := feed.NewBoard(me, 1)
+	b := feed.NewStore(me, 1)
 	for n := range 1000 {
-		b.Reported(t0, feed.Entry{ID: fmt.Sprint("e", n), Region: "r", Ready: true})
+		b.AddReport(t0, feed.Entry{ID: fmt.Sprint("e", n), Region: "r", Ready: true})
 	}
 	var targets []feed.Target
 	for n := range 10000 {
 		targets = append(targets, feed.Target{ID: fmt.Sprint("t", n), Service: "s", Region: "r"})
 	}
-	b.Listed(feed.NewList(targets, t0, feed.List{}), true)
-	u := feed.Update{Led: true}
-	b.Fill(t0, feed.Report{Self: feed.Entry{ID: "new", Region: "r"}, Brief: true, Probe: true}, nil, &u)
+	b.SetList(feed.NewList(targets, t0, feed.List{}), true)
+	u := feed.Update{HasLeader: true}
+	b.FillUpdate(t0, feed.Report{Self: feed.Entry{ID: "new", Region: "r"}, Brief: true, Probe: true}, nil, &u)
 	data, err := cbor.Marshal(u)
 	if err != nil || len(data) > 100 || len(u.Cores) != 1 || u.ListAgeMillis != -1 {
 		t.Errorf("%d bytes, %+v, %v", len(data), u, err)
--- a/node/feed/list.go
+++ b/node/feed/list.go
@@ -41,13 +41,13 @@
 		t.ColdUntil = readAt.Add(time.Duration(t.ColdMillis) * time.Millisecond)
 		o := old[t.ID]
 		if late := t.ColdUntil.Sub(o.ColdUntil); !o.ColdUntil.IsZero() && late < coldSlack && late > -coldSlack {
-			t.ColdUntil, t.ColdTurn = o.ColdUntil, o.ColdTurn
+			t.ColdUntil, t.ColdEpoch = o.ColdUntil, o.ColdEpoch
 			continue
 		}
 		// By its end, as a target may have been off the list in between.
-		t.ColdTurn = uint8(t.ColdUntil.Unix())
-		if t.ColdTurn == o.ColdTurn {
-			t.ColdTurn++
+		t.ColdEpoch = uint8(t.ColdUntil.Unix())
+		if t.ColdEpoch == o.ColdEpoch {
+			t.ColdEpoch++
 		}
 	}
 	sortTargets(targets)
@@ -71,7 +71,7 @@
 	d := xxhash.New()
 	for _, t := range targets {
 		digestParts(d, t.ID, t.Service, t.Address, t.Zone, strconv.Itoa(t.Slots), strconv.FormatBool(t.Draining),
-			strconv.FormatBool(t.Cold()), strconv.Itoa(int(t.ColdTurn)), strconv.FormatInt(t.Born, 10))
+			strconv.FormatBool(t.Cold()), strconv.Itoa(int(t.ColdEpoch)), strconv.FormatInt(t.StartMillis, 10))
 	}
 	return max(1, d.Sum64())
 }
@@ -95,19 +95,19 @@
 }
 
 // ListNews is a list, or how it differs from another one.
-type ListNews struct {
+type ListUpdate struct {
 	// Base is the digest of the list that the news are added to; 0 for a whole list.
 	Base uint64 `cbor:"1,keyasint,omitempty"`
 	// Digest is of the list that results, be it that only a region's part is told.
 	Digest uint64 `cbor:"2,keyasint"`
 	// Targets are new or changed, Gone the ids that are no more.
 	Targets []Target `cbor:"3,keyasint,omitempty"`
-	Gone    []string `cbor:"4,keyasint,omitempty"`
+	Removed []string `cbor:"4,keyasint,omitempty"`
 }
 
 // news tells how to differs from from, in one region or in all.
-func news(from, to List, region string) *ListNews {
-	n := &ListNews{Digest: to.Digest, Base: from.Digest}
+func news(from, to List, region string) *ListUpdate {
+	n := &ListUpdate{Digest: to.Digest, Base: from.Digest}
 	old := byID(from.Targets)
 	for _, t := range to.Targets {
 		o, known := old[t.ID]
@@ -118,15 +118,15 @@
 	}
 	for id, t := range old {
 		if region == "" || t.Region == region {
-			n.Gone = append(n.Gone, id)
+			n.Removed = append(n.Removed, id)
 		}
 	}
-	slices.Sort(n.Gone)
+	slices.Sort(n.Removed)
 	return n
 }
 
 // sent makes the news ready for the wire: cold times count from now.
-func (n *ListNews) sent(now time.Time) *ListNews {
+func (n *ListUpdate) sent(now time.Time) *ListUpdate {
 	out := *n
 	out.Targets = slices.Clone(n.Targets)
 	for i := range out.Targets {
@@ -139,7 +139,7 @@
 }
 
 // Apply adds news that have come to a list; false if they are about another one.
-func (l List) Apply(n *ListNews, now, readAt time.Time) (List, bool) {
+func (l List) Apply(n *ListUpdate, now, readAt time.Time) (List, bool) {
 	if n.Base != 0 && n.Base != l.Digest {
 		return l, false
 	}
@@ -147,7 +147,7 @@
 	if n.Base != 0 {
 		all = byID(l.Targets)
 	}
-	for _, id := range n.Gone {
+	for _, id := range n.Removed {
 		delete(all, id)
 	}
 	for _, t := range n.Targets {
--- a/node/feed/list_test.go
+++ b/node/feed/list_test.go
@@ -32,24 +32,24 @@
 // Cause: what differs was told from another list than the one it holds.
 func TestNewsLeadToTheListThatWasRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := feed.NewBoard(me, 1)
+		b := feed.NewStore(me, 1)
 		now := t0
 		held, last := feed.List{}, feed.List{}
 		for range rapid.IntRange(1, 15).Draw(t, "readings") {
 			now = now.Add(time.Duration(rapid.IntRange(100, 2000).Draw(t, "pause")) * time.Millisecond)
 			last = feed.NewList(drawTargets(t), now, last)
-			b.Listed(last, true)
+			b.SetList(last, true)
 			if !rapid.Bool().Draw(t, "heard") {
 				continue
 			}
-			n := b.News(now, held.Digest, "r")
+			n := b.EncodeListUpdate(now, held.Digest, "r")
 			if n == nil {
 				if held.Digest != last.Digest {
 					t.Fatal("no news of another list")
 				}
 				continue
 			}
-			var come feed.ListNews
+			var come feed.ListUpdate
 			if err := cbor.Unmarshal(n, &come); err != nil {
 				t.Fatal(err)
 			}
@@ -101,7 +101,7 @@
 
 func TestNewsAboutAnotherListAreNotTaken(t *testing.T) {
 	l := feed.List{Digest: 5}
-	if _, ok := l.Apply(&feed.ListNews{Base: 4, Digest: 6}, t0, t0); ok {
+	if _, ok := l.Apply(&feed.ListUpdate{Base: 4, Digest: 6}, t0, t0); ok {
 		t.Fatal("taken")
 	}
 }
@@ -112,16 +112,16 @@
 // added to the list before; where that is another one they are asked for as before.
 func TestNewsOfAListGoWithTheGossip(t *testing.T) {
 	now := time.Unix(1000, 0)
-	reader := feed.NewBoard(feed.Core{ID: "1", Region: "r"}, 1)
+	reader := feed.NewStore(feed.Core{ID: "1", Region: "r"}, 1)
 	listed := func(at time.Time, ids ...string) {
 		var targets []feed.Target
 		for _, id := range ids {
 			targets = append(targets, feed.Target{ID: id, Service: "s", Region: "q"})
 		}
-		reader.Listed(feed.NewList(targets, at, reader.List()), true)
+		reader.SetList(feed.NewList(targets, at, reader.List()), true)
 	}
 	take := func(held feed.List, g feed.Gossip) (feed.List, bool) {
-		var n feed.ListNews
+		var n feed.ListUpdate
 		if err := cbor.Unmarshal(g.List, &n); err != nil {
 			t.Fatal(err)
 		}
@@ -141,7 +141,7 @@
 	if _, ok := take(feed.List{Digest: 7}, g); ok {
 		t.Error("news are added to a list that they are not about")
 	}
-	if g := reader.Gossip(now.Add(time.Second), false, false); g.List != nil || g.Digest == 0 {
+	if g := reader.Gossip(now.Add(time.Second), false, false); g.List != nil || g.ListDigest == 0 {
 		t.Errorf("a gossip between readings: %+v", g)
 	}
 	var many []string
@@ -159,7 +159,7 @@
 // of another region, which hears of the change a moment later.
 // Cause: a digest that was not known counted as none, and was answered with all targets.
 func TestOlderListIsNotTold(t *testing.T) {
-	b := feed.NewBoard(me, 1)
+	b := feed.NewStore(me, 1)
 	list := func(n int, at time.Time) feed.List {
 		var targets []feed.Target
 		for k := range n {
@@ -171,12 +171,12 @@
 	now := t0.Add(1200 * time.Millisecond)
 	ask := func(digest uint64, age int64) *feed.Update {
 		u := &feed.Update{}
-		r := feed.Report{Self: feed.Entry{ID: "e", Region: "q"}, Brief: true, Digest: digest, ListAgeMillis: age}
-		b.Fill(now, r, nil, u)
+		r := feed.Report{Self: feed.Entry{ID: "e", Region: "q"}, Brief: true, ListDigest: digest, ListAgeMillis: age}
+		b.FillUpdate(now, r, nil, u)
 		return u
 	}
-	b.Listed(older, false)
-	if b.HasList(now, &feed.Report{Digest: newer.Digest, ListAgeMillis: 200}) {
+	b.SetList(older, false)
+	if b.HasListFor(now, &feed.Report{ListDigest: newer.Digest, ListAgeMillis: 200}) {
 		t.Error("an answer without news does not wait for any")
 	}
 	if u := ask(newer.Digest, 200); u.List != nil || u.ListAgeMillis != 1200 {
@@ -185,8 +185,8 @@
 	if u := ask(0, 0); u.List == nil {
 		t.Error("an instance without a list is told none")
 	}
-	b.Listed(newer, false)
-	if !b.HasList(now, &feed.Report{Digest: older.Digest, ListAgeMillis: 1200}) {
+	b.SetList(newer, false)
+	if !b.HasListFor(now, &feed.Report{ListDigest: older.Digest, ListAgeMillis: 1200}) {
 		t.Error("an answer with news waits")
 	}
 	if u := ask(older.Digest, 1200); len(u.List) == 0 || len(u.List) > 200 {
--- a/node/feed/loads_test.go
+++ b/node/feed/loads_test.go
@@ -16,7 +16,7 @@
 // Cause: each instance was told the loads of all targets.
 func TestLoadsAreToldByGroup(t *testing.T) {
 	const n, instances = 4000, 300
-	b := feed.NewBoard(me, 1)
+	b := feed.NewStore(me, 1)
 	var list []feed.Target
 	var ids []string
 	for k := range n {
@@ -24,7 +24,7 @@
 		ids = append(ids, id)
 		list = append(list, feed.Target{ID: id, Service: "s", Region: me.Region, Zone: me.Zone})
 	}
-	b.Listed(feed.NewList(list, t0, feed.List{}), true)
+	b.SetList(feed.NewList(list, t0, feed.List{}), true)
 	s := pick.Snapshot{Rules: map[string]pick.ServiceRules{}}
 	for k := range instances {
 		s.Entries = append(s.Entries, fmt.Sprint("e", k))
@@ -37,15 +37,15 @@
 		for j := k; j < n; j += instances {
 			e.Loads = append(e.Loads, feed.Load{Target: ids[j], Running: 1})
 		}
-		b.Reported(t0, e)
+		b.AddReport(t0, e)
 	}
 	told, most, sum := map[string]int{}, 0, 0
 	for _, id := range s.Entries {
 		p := pick.New(id)
 		p.Update(t0, s)
-		r := feed.Report{Self: feed.Entry{ID: id, Region: me.Region}, Part: true, Groups: p.WatchedGroups()}
+		r := feed.Report{Self: feed.Entry{ID: id, Region: me.Region}, PartialLoads: true, Groups: p.WatchedGroups()}
 		var u feed.Update
-		b.Fill(t0, r, nil, &u)
+		b.FillUpdate(t0, r, nil, &u)
 		data, err := cbor.Marshal(u.Loads)
 		if err != nil {
 			t.Fatal(err)
--- a/node/feed/news.go
+++ b/node/feed/news.go
@@ -8,13 +8,13 @@
 
 // News tells what an instance that knows the list of a digest lacks, in one region or in
 // all, as encoded ListNews; nil if it lacks nothing.
-func (b *Board) News(now time.Time, known uint64, region string) cbor.RawMessage {
+func (b *Store) EncodeListUpdate(now time.Time, known uint64, region string) cbor.RawMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.news(now, known, region)
 }
 
-func (b *Board) news(now time.Time, known uint64, region string) cbor.RawMessage {
+func (b *Store) news(now time.Time, known uint64, region string) cbor.RawMessage {
 	if b.list.Digest == 0 || known == b.list.Digest {
 		return nil
 	}
--- a/node/feed/pace.go
+++ b/node/feed/pace.go
@@ -12,7 +12,7 @@
 
 // Pace spreads calls over time, so that a reading of many pages does not take all of
 // the rate that the platform allows. It belongs to one goroutine.
-type Pace struct {
+type Pacer struct {
 	// PerSecond is the rate; 0 where there is none.
 	PerSecond float64
 
@@ -22,7 +22,7 @@
 
 // Turn returns how long to wait for the next call. refused says that the last one was,
 // as one too many; random in [0, 1) spreads those of several instances.
-func (p *Pace) Turn(now time.Time, refused bool, random float64) time.Duration {
+func (p *Pacer) Delay(now time.Time, refused bool, random float64) time.Duration {
 	if refused {
 		pause := min(refusedMost, refusedPause<<min(p.refusals, 8))
 		p.refusals++
--- a/node/feed/pace_test.go
+++ b/node/feed/pace_test.go
@@ -14,13 +14,13 @@
 // Cause: the pages were asked for as fast as they came.
 func TestPaceKeepsTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := feed.Pace{PerSecond: float64(rapid.IntRange(1, 100).Draw(t, "rate"))}
+		p := feed.Pacer{PerSecond: float64(rapid.IntRange(1, 100).Draw(t, "rate"))}
 		now := t0
 		var calls []time.Time
 		for range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "answer")) * time.Millisecond)
 			refused := rapid.IntRange(0, 4).Draw(t, "refused") == 0
-			wait := p.Turn(now, refused, rapid.Float64Range(0, 0.99).Draw(t, "random"))
+			wait := p.Delay(now, refused, rapid.Float64Range(0, 0.99).Draw(t, "random"))
 			if wait < 0 || wait > 2*time.Second {
 				t.Fatalf("wait %v", wait)
 			}
@@ -42,15 +42,15 @@
 }
 
 func TestRefusedCallsWaitLonger(t *testing.T) {
-	p, last := feed.Pace{PerSecond: 1000}, time.Duration(0)
+	p, last := feed.Pacer{PerSecond: 1000}, time.Duration(0)
 	for range 4 {
-		wait := p.Turn(t0, true, 0)
+		wait := p.Delay(t0, true, 0)
 		if wait <= last {
 			t.Fatalf("%v after %v", wait, last)
 		}
 		last = wait
 	}
-	if wait := p.Turn(t0.Add(time.Minute), false, 0); wait != 0 {
+	if wait := p.Delay(t0.Add(time.Minute), false, 0); wait != 0 {
 		t.Fatalf("%v after an answer", wait)
 	}
 }
--- a/node/feed/round.go
+++ b/node/feed/round.go
@@ -31,20 +31,20 @@
 	byGroup map[pick.Group][]Load
 	// read tells of the engines of the own region by service, and ownRead is the part of it
 	// that the instances which report here have found.
-	read, ownRead map[string]Read
+	read, ownRead map[string]PrefillSums
 	// sums are told of each region, by the region that asks.
 	sums map[string][]Summary
 }
 
 // current returns the round of now.
-func (b *Board) current(now time.Time) *round {
+func (b *Store) current(now time.Time) *round {
 	if b.round != nil && !now.Before(b.round.at) && now.Sub(b.round.at) < roundLife {
 		return b.round
 	}
 	r := &round{
 		at: now, cores: b.liveCores(now), own: map[string][]Load{},
 		sums: map[string][]Summary{},
-		read: map[string]Read{}, ownRead: map[string]Read{},
+		read: map[string]PrefillSums{}, ownRead: map[string]PrefillSums{},
 	}
 	r.coresDigest = coresDigest(r.cores)
 	entries := b.liveEntries(now)
@@ -60,11 +60,11 @@
 		if len(h.entry.Loads) > 0 {
 			r.own[h.entry.ID] = h.entry.Loads
 		}
-		addRead(r.ownRead, h.entry.Read)
-		addRead(r.read, h.entry.Read)
+		addRead(r.ownRead, h.entry.PrefillSums)
+		addRead(r.read, h.entry.PrefillSums)
 	}
 	for _, h := range b.cores {
-		if now.Sub(h.at) < CoreLife {
+		if now.Sub(h.at) < CoreTTL {
 			addRead(r.read, h.read)
 		}
 	}
@@ -88,8 +88,8 @@
 // What goes wrong where each instance hears of all targets: in a region of 300 instances and
 // 4,000 targets each load that changes is told 300 times, five times a second, though one or
 // two instances choose among its target's group.
-func (b *Board) loadsFor(r *round, q *Report) []Load {
-	if !q.Part {
+func (b *Store) loadsFor(r *round, q *Report) []Load {
+	if !q.PartialLoads {
 		return r.loadsBut(r.loads, q.Self.ID)
 	}
 	if r.byGroup == nil {
@@ -120,7 +120,7 @@
 	for _, l := range all {
 		m := mine[l.Target]
 		l = l.minus(m)
-		if l.Running != 0 || len(l.Unread) != 0 {
+		if l.Running != 0 || len(l.PendingPrefill) != 0 {
 			out = append(out, l)
 		}
 	}
@@ -128,18 +128,18 @@
 }
 
 // Fill completes the answer to a report. evacuated are the zones that get nothing.
-func (b *Board) Fill(now time.Time, r Report, evacuated map[string]uint64, u *Update) {
+func (b *Store) FillUpdate(now time.Time, r Report, evacuated map[string]uint64, u *Update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u.ListAgeMillis = -1
 	if !b.list.ReadAt.IsZero() && !r.Probe {
 		u.ListAgeMillis = now.Sub(b.list.ReadAt).Milliseconds()
 		if b.newerThan(now, &r) {
-			u.List = b.news(now, r.Digest, r.Self.Region)
+			u.List = b.news(now, r.ListDigest, r.Self.Region)
 		}
 	}
 	round := b.current(now)
-	if round.coresDigest != r.Cores {
+	if round.coresDigest != r.CoresDigest {
 		u.Cores, u.CoresDigest = round.cores, round.coresDigest
 	}
 	if r.Brief || r.Probe {
@@ -148,7 +148,7 @@
 	u.Suspects = b.lateSuspects(now, false)
 	u.Entries = b.changes.news(r.EntriesEpoch, r.EntriesAt)
 	if r.Self.Region == b.self.Region {
-		u.Near, u.Loads = true, b.loadsFor(round, &r)
+		u.SameRegion, u.Loads = true, b.loadsFor(round, &r)
 	}
 	if _, ok := round.sums[r.Self.Region]; !ok {
 		round.sums[r.Self.Region] = b.otherRegions(round, r.Self.Region, evacuated)
@@ -157,10 +157,10 @@
 }
 
 // HasList reports whether there is another list here than the asker's that is told to it.
-func (b *Board) HasList(now time.Time, r *Report) bool {
+func (b *Store) HasListFor(now time.Time, r *Report) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.list.Digest != r.Digest && b.newerThan(now, r)
+	return b.list.Digest != r.ListDigest && b.newerThan(now, r)
 }
 
 // newerThan reports whether the list here was read after that of the asker.
@@ -169,12 +169,12 @@
 // asker does not know the asker's list, and tells it all targets of its region. With many
 // instances that compare with core instances of other regions that is most of the traffic
 // between regions.
-func (b *Board) newerThan(now time.Time, r *Report) bool {
-	return r.Digest == 0 || now.Sub(b.list.ReadAt) < time.Duration(r.ListAgeMillis)*time.Millisecond
+func (b *Store) newerThan(now time.Time, r *Report) bool {
+	return r.ListDigest == 0 || now.Sub(b.list.ReadAt) < time.Duration(r.ListAgeMillis)*time.Millisecond
 }
 
 // otherRegions sums up what other regions than one have and do.
-func (b *Board) otherRegions(r *round, but string, evacuated map[string]uint64) []Summary {
+func (b *Store) otherRegions(r *round, but string, evacuated map[string]uint64) []Summary {
 	type key struct{ region, service string }
 	sums := map[key]Summary{}
 	for _, t := range b.list.Targets {
@@ -184,7 +184,7 @@
 		k := key{t.Region, t.Service}
 		sum := sums[k]
 		sums[k] = Summary{
-			Region: t.Region, Service: t.Service, Targets: sum.Targets + 1, Slots: sum.Slots + t.Slots, Untold: !b.toldOf(r, t.Region),
+			Region: t.Region, Service: t.Service, Targets: sum.Targets + 1, Slots: sum.Slots + t.Slots, LoadUnknown: !b.toldOf(r, t.Region),
 		}
 	}
 	add := func(loads []Summary) {
@@ -192,13 +192,13 @@
 			k := key{l.Region, l.Service}
 			if sum, ok := sums[k]; ok {
 				sum = sum.plus(l.load())
-				sum.ReadTokens, sum.ReadMillis = l.ReadTokens, l.ReadMillis
+				sum.PrefillSumTokens, sum.PrefillSumMillis = l.PrefillSumTokens, l.PrefillSumMillis
 				sums[k] = sum
 			}
 		}
 	}
 	for _, h := range b.sums {
-		if r.at.Sub(h.at) < CoreLife {
+		if r.at.Sub(h.at) < CoreTTL {
 			add(h.sums)
 		}
 	}
@@ -216,13 +216,13 @@
 // What goes wrong without it: the core instances of a region are cut off, its entry
 // instances are not. Its targets stand in the list and their load is missing, so the region
 // looks idle, and all others pass on to it.
-func (b *Board) toldOf(r *round, region string) bool {
-	return region == b.self.Region || r.at.Sub(b.sums[region].at) < CoreLife
+func (b *Store) toldOf(r *round, region string) bool {
+	return region == b.self.Region || r.at.Sub(b.sums[region].at) < CoreTTL
 }
 
 // sumLoads sums up what the entry instances of the own region have under way: of those
 // that report here, and with all of those that report to others too.
-func (b *Board) sumLoads(r *round, all bool) []Load {
+func (b *Store) sumLoads(r *round, all bool) []Load {
 	sums := map[string]Load{}
 	add := func(loads []Load) {
 		for _, l := range loads {
@@ -234,7 +234,7 @@
 		add(loads)
 	}
 	for _, h := range b.cores {
-		if all && r.at.Sub(h.at) < CoreLife {
+		if all && r.at.Sub(h.at) < CoreTTL {
 			add(h.loads)
 		}
 	}
@@ -247,20 +247,20 @@
 }
 
 // addRead adds what instances tell of engines.
-func addRead(sums map[string]Read, more []Read) {
+func addRead(sums map[string]PrefillSums, more []PrefillSums) {
 	for _, m := range more {
 		sum := sums[m.Service]
-		sums[m.Service] = Read{Service: m.Service, Tokens: sum.Tokens + m.Tokens, Millis: sum.Millis + m.Millis}
+		sums[m.Service] = PrefillSums{Service: m.Service, Tokens: sum.Tokens + m.Tokens, Millis: sum.Millis + m.Millis}
 	}
 }
 
 // inOrder lists them by service.
-func inOrder(sums map[string]Read) []Read {
-	return slices.SortedFunc(maps.Values(sums), func(x, y Read) int { return strings.Compare(x.Service, y.Service) })
+func inOrder(sums map[string]PrefillSums) []PrefillSums {
+	return slices.SortedFunc(maps.Values(sums), func(x, y PrefillSums) int { return strings.Compare(x.Service, y.Service) })
 }
 
 // summarize sums up the loads of the own region by service.
-func (b *Board) summarize(r *round) []Summary {
+func (b *Store) summarize(r *round) []Summary {
 	sums := map[string]Summary{}
 	for _, l := range r.loads {
 		if name := b.division()[l.Target].Service; name != "" {
@@ -272,7 +272,7 @@
 	for name, read := range r.read {
 		sum := sums[name]
 		sum.Region, sum.Service = b.self.Region, name
-		sum.ReadTokens, sum.ReadMillis = read.Tokens, read.Millis
+		sum.PrefillSumTokens, sum.PrefillSumMillis = read.Tokens, read.Millis
 		sums[name] = sum
 	}
 	var out []Summary
@@ -290,7 +290,7 @@
 // Gossip is what this instance tells others: the entry instances that report here, to
 // those of its region their loads, and its own reading of the list. fresh says that the list
 // has just changed: its news go along, as a question for them costs a trip there and back.
-func (b *Board) Gossip(now time.Time, near, fresh bool) Gossip {
+func (b *Store) Gossip(now time.Time, near, fresh bool) Gossip {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.current(now)
@@ -300,14 +300,14 @@
 			continue
 		}
 		e := h.entry
-		e.Loads, e.Read, e.AgeMillis = nil, nil, now.Sub(h.at).Milliseconds()
+		e.Loads, e.PrefillSums, e.AgeMillis = nil, nil, now.Sub(h.at).Milliseconds()
 		g.Entries = append(g.Entries, e)
 	}
 	if near {
-		g.Loads, g.Read = b.sumLoads(r, false), inOrder(r.ownRead)
+		g.Loads, g.PrefillSums = b.sumLoads(r, false), inOrder(r.ownRead)
 	}
 	if b.own {
-		g.Digest, g.ListAgeMillis, g.Calls = b.list.Digest, now.Sub(b.list.ReadAt).Milliseconds(), b.calls
+		g.ListDigest, g.ListAgeMillis, g.ReadCalls = b.list.Digest, now.Sub(b.list.ReadAt).Milliseconds(), b.calls
 	}
 	if b.own && fresh && len(b.older) > 0 {
 		if news := b.news(now, b.older[len(b.older)-1].Digest, ""); len(news) <= pushBytes {
--- a/node/feed/sums.go
+++ b/node/feed/sums.go
@@ -8,8 +8,8 @@
 
 func (l Load) sum(o Load, sign int) Load {
 	l.Running += sign * o.Running
-	l.Reading += sign * o.Reading
-	l.Unread = sumRanks(l.Unread, o.Unread, sign)
+	l.PrefillMillis += sign * o.PrefillMillis
+	l.PendingPrefill = sumRanks(l.PendingPrefill, o.PendingPrefill, sign)
 	return l
 }
 
@@ -33,10 +33,10 @@
 // plus adds the load of a target.
 func (s Summary) plus(l Load) Summary {
 	sum := s.load().plus(l)
-	s.Running, s.Unread, s.Reading = sum.Running, sum.Unread, sum.Reading
+	s.Running, s.PendingPrefill, s.PrefillMillis = sum.Running, sum.PendingPrefill, sum.PrefillMillis
 	return s
 }
 
 func (s Summary) load() Load {
-	return Load{Running: s.Running, Unread: s.Unread, Reading: s.Reading}
+	return Load{Running: s.Running, PendingPrefill: s.PendingPrefill, PrefillMillis: s.PrefillMillis}
 }
--- a/node/feed/suspects.go
+++ b/node/feed/suspects.go
@@ -24,7 +24,7 @@
 }
 
 // Suspected takes in requests that may crash their targets.
-func (b *Board) Suspected(now time.Time, entries []suspect.Entry, direct bool) {
+func (b *Store) AddSuspects(now time.Time, entries []suspect.Entry, direct bool) {
 	if len(entries) == 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 // lateSuspects are those that were heard within suspectLife.
-func (b *Board) lateSuspects(now time.Time, directOnly bool) []suspect.Entry {
+func (b *Store) lateSuspects(now time.Time, directOnly bool) []suspect.Entry {
 	b.suspects = slices.DeleteFunc(b.suspects, func(h heardSuspect) bool { return now.Sub(h.at) > suspectLife })
 	var out []suspect.Entry
 	for _, h := range b.suspects {
--- a/node/feed/types.go
+++ b/node/feed/types.go
@@ -25,7 +25,7 @@
 	Region string `cbor:"2,keyasint"`
 	Zone   string `cbor:"3,keyasint"`
 	// Callers is its address for callers.
-	Callers string `cbor:"4,keyasint"`
+	CallerAddress string `cbor:"4,keyasint"`
 	// Ready says that it takes requests; a leaving instance does not.
 	Ready bool `cbor:"5,keyasint,omitempty"`
 	// Loads are what it has sent and what has not ended yet. They stay at the core
@@ -38,12 +38,12 @@
 	Leaving bool `cbor:"8,keyasint,omitempty"`
 	// Read tells how fast the engines that it chose read lately. Like Loads they stay at the
 	// core instance.
-	Read []Read `cbor:"9,keyasint,omitempty"`
+	PrefillSums []PrefillSums `cbor:"9,keyasint,omitempty"`
 }
 
 // Read tells of the engines of a service: the prompt tokens that were read until first
 // events of the last seconds, and the milliseconds that this took.
-type Read struct {
+type PrefillSums struct {
 	Service string `cbor:"1,keyasint"`
 	Tokens  int64  `cbor:"2,keyasint"`
 	Millis  int64  `cbor:"3,keyasint"`
@@ -54,11 +54,11 @@
 	Target string `cbor:"1,keyasint"`
 	// Running counts requests, Unread the prompt tokens of those among them that
 	// have not answered yet, by their rank.
-	Running int   `cbor:"2,keyasint"`
-	Unread  []int `cbor:"3,keyasint,omitempty"`
+	Running        int   `cbor:"2,keyasint"`
+	PendingPrefill []int `cbor:"3,keyasint,omitempty"`
 	// Reading is the time in milliseconds that reading prompts takes there, as it was given
 	// out lately.
-	Reading int `cbor:"5,keyasint,omitempty"`
+	PrefillMillis int `cbor:"5,keyasint,omitempty"`
 }
 
 // Core is an instance that keeps the replicated log.
@@ -97,26 +97,26 @@
 	ColdMillis int64     `cbor:"8,keyasint,omitempty"`
 	ColdUntil  time.Time `cbor:"-"`
 	// ColdTurn tells one cold time of a target from the next.
-	ColdTurn uint8 `cbor:"9,keyasint,omitempty"`
+	ColdEpoch uint8 `cbor:"9,keyasint,omitempty"`
 	// Born is when it started, in Unix milliseconds; 0 where the list does not tell. A
 	// target may start again under its id.
-	Born int64 `cbor:"10,keyasint,omitempty"`
+	StartMillis int64 `cbor:"10,keyasint,omitempty"`
 }
 
 // Report is what an entry instance asks a core instance with.
 type Report struct {
 	Self Entry `cbor:"1,keyasint"`
 	// Index and Digest are what it knows of the log's state and the list.
-	Index  uint64 `cbor:"2,keyasint,omitempty"`
-	Digest uint64 `cbor:"3,keyasint,omitempty"`
+	Index      uint64 `cbor:"2,keyasint,omitempty"`
+	ListDigest uint64 `cbor:"3,keyasint,omitempty"`
 	// ListAgeMillis is how long ago that list was read, as far as the asker knows.
 	ListAgeMillis int64 `cbor:"17,keyasint,omitempty"`
 	// Held is the index of the newest state whose document it holds, too. While that is
 	// below Index the answer tells again who has the document.
-	Held uint64 `cbor:"12,keyasint,omitempty"`
+	DocumentIndex uint64 `cbor:"12,keyasint,omitempty"`
 	// First asks for a state that is confirmed by a majority: the asker has
 	// started and holds none.
-	First bool `cbor:"4,keyasint,omitempty"`
+	WantConfirmed bool `cbor:"4,keyasint,omitempty"`
 	// WaitMillis is how long the answer may wait for a change.
 	WaitMillis int64 `cbor:"5,keyasint,omitempty"`
 	// Suspects are requests that may crash their targets, as the asker found since its
@@ -126,7 +126,7 @@
 	// digest of the core instances.
 	EntriesEpoch uint64 `cbor:"8,keyasint,omitempty"`
 	EntriesAt    uint64 `cbor:"9,keyasint,omitempty"`
-	Cores        uint64 `cbor:"10,keyasint,omitempty"`
+	CoresDigest  uint64 `cbor:"10,keyasint,omitempty"`
 	// Brief asks for the state, the list and the core instances only: it is for a
 	// comparison with a core instance that is not followed, which may be regions away.
 	Brief bool `cbor:"11,keyasint,omitempty"`
@@ -136,8 +136,8 @@
 	Probe bool `cbor:"13,keyasint,omitempty"`
 	// Part asks for the loads of the targets in Groups, in place of those of all targets of
 	// the asker's region.
-	Part   bool         `cbor:"14,keyasint,omitempty"`
-	Groups []pick.Group `cbor:"15,keyasint,omitempty"`
+	PartialLoads bool         `cbor:"14,keyasint,omitempty"`
+	Groups       []pick.Group `cbor:"15,keyasint,omitempty"`
 }
 
 // Update answers a Report.
@@ -146,7 +146,7 @@
 	// piece: what is short and urgent does not wait behind it.
 	Head *newest.Head `cbor:"15,keyasint,omitempty"`
 	// Led says that the core instance hears from the leader of the log.
-	Led bool `cbor:"2,keyasint,omitempty"`
+	HasLeader bool `cbor:"2,keyasint,omitempty"`
 	// List holds ListNews of the asker's region, if the list is another than that of
 	// Report.Digest. It is encoded once for all that lack the same.
 	List cbor.RawMessage `cbor:"3,keyasint,omitempty"`
@@ -156,11 +156,11 @@
 	Cores       []Core `cbor:"6,keyasint,omitempty"`
 	CoresDigest uint64 `cbor:"13,keyasint,omitempty"`
 	// Entries are set if the asker lacks something.
-	Entries *EntryNews `cbor:"14,keyasint,omitempty"`
+	Entries *EntriesUpdate `cbor:"14,keyasint,omitempty"`
 	// Loads sums up what the others of the asker's region have under way; Near says that
 	// the core instance is of that region and knows.
-	Loads []Load `cbor:"11,keyasint,omitempty"`
-	Near  bool   `cbor:"12,keyasint,omitempty"`
+	Loads      []Load `cbor:"11,keyasint,omitempty"`
+	SameRegion bool   `cbor:"12,keyasint,omitempty"`
 	// Regions sums up the load of the other regions.
 	Regions []Summary `cbor:"8,keyasint,omitempty"`
 	// Suspects were told by any entry instance lately.
@@ -175,28 +175,28 @@
 	Region  string `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
 	// Running, Unread and Reading are summed over its targets, as in Load.
-	Running int   `cbor:"3,keyasint"`
-	Unread  []int `cbor:"4,keyasint,omitempty"`
-	Reading int   `cbor:"8,keyasint,omitempty"`
+	Running        int   `cbor:"3,keyasint"`
+	PendingPrefill []int `cbor:"4,keyasint,omitempty"`
+	PrefillMillis  int   `cbor:"8,keyasint,omitempty"`
 	// Targets may get work, and Slots are theirs. Only an Update tells them.
 	Targets int `cbor:"5,keyasint,omitempty"`
 	Slots   int `cbor:"6,keyasint,omitempty"`
 	// ReadTokens and ReadMillis are summed over the region's instances, as in Read.
-	ReadTokens int64 `cbor:"9,keyasint,omitempty"`
-	ReadMillis int64 `cbor:"10,keyasint,omitempty"`
+	PrefillSumTokens int64 `cbor:"9,keyasint,omitempty"`
+	PrefillSumMillis int64 `cbor:"10,keyasint,omitempty"`
 	// Untold says that nobody has told the load of the region lately: what is said of it
 	// comes from the list of targets alone. Only an Update tells it.
-	Untold bool `cbor:"11,keyasint,omitempty"`
+	LoadUnknown bool `cbor:"11,keyasint,omitempty"`
 }
 
 // Valid reports whether the figures can be.
 func (s *Summary) Valid() bool {
-	for _, tokens := range s.Unread {
+	for _, tokens := range s.PendingPrefill {
 		if tokens < 0 {
 			return false
 		}
 	}
-	return s.Targets >= 0 && s.Slots >= 0 && s.Running >= 0 && s.Reading >= 0 && s.ReadTokens >= 0 && s.ReadMillis >= 0
+	return s.Targets >= 0 && s.Slots >= 0 && s.Running >= 0 && s.PrefillMillis >= 0 && s.PrefillSumTokens >= 0 && s.PrefillSumMillis >= 0
 }
 
 // Gossip is what a core instance tells another one.
@@ -206,10 +206,10 @@
 	Regions []Summary `cbor:"3,keyasint,omitempty"`
 	// Digest and ListAgeMillis are of the newest list that the sender has read
 	// itself; Digest is 0 if it has not read.
-	Digest        uint64 `cbor:"4,keyasint,omitempty"`
+	ListDigest    uint64 `cbor:"4,keyasint,omitempty"`
 	ListAgeMillis int64  `cbor:"5,keyasint,omitempty"`
 	// Calls is how many calls that reading took.
-	Calls int `cbor:"10,keyasint,omitempty"`
+	ReadCalls int `cbor:"10,keyasint,omitempty"`
 	// List holds ListNews of all regions, how the list differs from the one before, right
 	// after a reading that found it changed.
 	List cbor.RawMessage `cbor:"9,keyasint,omitempty"`
@@ -217,7 +217,7 @@
 	// only inside a region.
 	Loads []Load `cbor:"7,keyasint,omitempty"`
 	// Read sums up how fast their engines read; only inside a region.
-	Read []Read `cbor:"8,keyasint,omitempty"`
+	PrefillSums []PrefillSums `cbor:"8,keyasint,omitempty"`
 	// Suspects were told to the sender by entry instances lately.
 	Suspects []suspect.Entry `cbor:"6,keyasint,omitempty"`
 }
