--- a/node/feed/cost_bench_test.go
+++ b/node/feed/cost_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// BenchmarkSecond is a second of a core instance: reports and their answers, and gossip. A
-// ninth of the entry instances report to it, 10 targets for each entry instance.
+// BenchmarkSecond runs one second of a core instance: reports and their answers, and gossip. A
+// ninth of the entry instances report to it; there are 10 targets for each entry instance.
 func BenchmarkSecond(b *testing.B) {
 	for _, instances := range []int{100, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(instances), func(b *testing.B) { benchmarkSecond(b, instances) })
@@ -21,12 +21,12 @@
 
 func benchmarkSecond(b *testing.B, instances int) {
 	const regions, cores, reportsPerSecond, busyShare = 3, 9, 5, 4
-	board := feed.NewStore(feed.Core{ID: "0", Region: "r0", Zone: "z"}, 1)
+	store := feed.NewStore(feed.Core{ID: "0", Region: "r0", Zone: "z"}, 1)
 	var targets []feed.Target
 	for k := range 10 * instances {
 		targets = append(targets, feed.Target{ID: fmt.Sprint("t", k), Service: "s", Region: fmt.Sprint("r", k%regions), Slots: 48})
 	}
-	board.SetList(feed.NewList(targets, t0, feed.List{}), true)
+	store.SetList(feed.NewList(targets, t0, feed.List{}), true)
 	entry := func(n int) feed.Entry {
 		return feed.Entry{ID: fmt.Sprint("10.0.0.", n, ":7020"), Region: fmt.Sprint("r", n%regions), Zone: "z", CallerAddress: fmt.Sprint("10.0.0.", n, ":80"), Ready: true}
 	}
@@ -48,12 +48,12 @@
 		sent = 0
 		for range reportsPerSecond {
 			now = now.Add(time.Second / reportsPerSecond)
-			board.MergeGossip(now, gossip)
+			store.MergeGossip(now, gossip)
 			for n, e := range near {
-				board.AddReport(now, e)
-				r := feed.Report{Self: e, ListDigest: board.List().Digest, PartialLoads: true, Groups: []pick.Group{{Service: "s", Number: n}}}
+				store.AddReport(now, e)
+				r := feed.Report{Self: e, ListDigest: store.List().Digest, PartialLoads: true, Groups: []pick.Group{{Service: "s", Number: n}}}
 				var u feed.Update
-				board.FillUpdate(now.Add(time.Duration(n)*200*time.Millisecond/time.Duration(len(near))), r, nil, &u)
+				store.FillUpdate(now.Add(time.Duration(n)*200*time.Millisecond/time.Duration(len(near))), r, nil, &u)
 				u.Entries = nil
 				data, err := cbor.Marshal(u)
 				if err != nil {
@@ -64,7 +64,7 @@
 		}
 		for range 2 {
 			for _, in := range []bool{true, false} {
-				data, err := cbor.Marshal(board.Gossip(now, in, false))
+				data, err := cbor.Marshal(store.Gossip(now, in, false))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/node/feed/entries.go
+++ b/node/feed/entries.go
@@ -8,31 +8,31 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// keptGone is how many entry instances that went a core instance remembers, to tell of
-// them: an instance that reports a few times a second lacks a few at most.
-const keptGone = 256
+// maxRemoved is how many removed entry instances a core instance remembers for updates: an instance
+// that reports a few times a second misses a few at most.
+const maxRemoved = 256
 
-// EntryNews tell of the entry instances that are there: of all, or of what has changed
-// since the asker heard last.
+// EntriesUpdate lists the entry instances: all of them, or what has changed since the receiver's
+// last update.
 type EntriesUpdate struct {
-	// Epoch names the numbering of changes, which each start of a core instance begins
-	// anew. Base is the number up to which the asker knew, 0 if the news are whole, and
-	// At the number up to which it knows now.
+	// Epoch identifies the numbering of changes, which each start of a core instance restarts. Base
+	// is the number of the last change that the receiver knew, 0 if the update is complete, and At
+	// the number of the last one that it knows then.
 	Epoch uint64 `cbor:"1,keyasint"`
 	Base  uint64 `cbor:"2,keyasint,omitempty"`
 	At    uint64 `cbor:"3,keyasint"`
-	// Entries are new or changed, without loads, Gone the ids of those that went.
+	// Entries are new or changed, without loads. Removed are the IDs of removed ones.
 	Entries []Entry  `cbor:"4,keyasint,omitempty"`
 	Removed []string `cbor:"5,keyasint,omitempty"`
 
-	// encode makes the encoded form, once for all that are told the same.
+	// encode returns the encoded form, made once for all receivers of the update.
 	encode func() ([]byte, error)
 }
 
-// MarshalCBOR implements cbor.Marshaler.
+// MarshalCBOR implements cbor.Marshaler. The encoded form is shared by all receivers.
 //
-// What goes wrong where each answer is encoded by itself: after a start a core instance tells
-// hundreds of entry instances of hundreds, some times a second.
+// If each answer were encoded by itself, after a start a core instance would encode hundreds of
+// entry instances for hundreds of receivers, several times a second.
 func (n *EntriesUpdate) MarshalCBOR() ([]byte, error) {
 	if n.encode == nil {
 		return n.marshal()
@@ -45,17 +45,18 @@
 	return cbor.Marshal((*plain)(n))
 }
 
-// Known is what an instance knows of the entry instances, itself left out.
+// Known is what an instance knows of the entry instances other than itself.
 type Known struct {
-	// Self is the id of the instance.
+	// Self is the ID of the instance.
 	Self string
-	// Entries are in the order of ids.
+	// Entries are in the order of IDs.
 	Entries []Entry
-	// Epoch and At are those of the last news.
+	// Epoch and At are those of the last update.
 	Epoch, At uint64
 }
 
-// Apply adds news that have come; false if they are about what is not known here.
+// Apply applies a received update. It returns false if the update is based on a state other than
+// the one known here.
 func (k *Known) Apply(n *EntriesUpdate) bool {
 	if n.Base == 0 {
 		k.Entries = nil
@@ -90,91 +91,91 @@
 	slices.SortFunc(entries, func(a, b Entry) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// changes numbers what happens to the entry instances.
-type changes struct {
+// changeLog numbers the changes of the entry instances.
+type changeLog struct {
 	epoch uint64
-	// last is the number of the newest change; the first has 1.
-	last  uint64
-	shown map[string]shownEntry
-	// gone are the newest that went, oldest first; what went up to forgotten is not among
-	// them any more.
-	gone      []goneEntry
-	forgotten uint64
-	// told are the news up to the change toldAt, by the change that they begin with.
-	told   map[uint64]*EntriesUpdate
-	toldAt uint64
+	// last is the number of the newest change; the first one is 1.
+	last      uint64
+	published map[string]publishedEntry
+	// removed are the newest removals, oldest first. Removals up to number droppedUpTo are no
+	// longer in it.
+	removed     []removedEntry
+	droppedUpTo uint64
+	// updates caches the updates to change updatesUpTo by their base.
+	updates     map[uint64]*EntriesUpdate
+	updatesUpTo uint64
 }
 
-type shownEntry struct {
+type publishedEntry struct {
 	entry  Entry
 	number uint64
 }
 
-type goneEntry struct {
+type removedEntry struct {
 	id     string
 	number uint64
 }
 
-// take compares who is there now with who was.
-func (c *changes) take(now []heardEntry) {
-	here := make(map[string]bool, len(now))
-	for _, h := range now {
+// record compares the live entry instances with the published ones and numbers the changes.
+func (c *changeLog) record(live []entryRecord) {
+	alive := make(map[string]bool, len(live))
+	for _, h := range live {
 		e := h.entry
 		e.Loads, e.PrefillSums, e.AgeMillis = nil, nil, 0
-		here[e.ID] = true
-		if old, known := c.shown[e.ID]; known && old.entry.same(&e) {
+		alive[e.ID] = true
+		if old, known := c.published[e.ID]; known && old.entry.samePublished(&e) {
 			continue
 		}
 		c.last++
-		c.shown[e.ID] = shownEntry{e, c.last}
+		c.published[e.ID] = publishedEntry{e, c.last}
 	}
-	for id := range c.shown {
-		if here[id] {
+	for id := range c.published {
+		if alive[id] {
 			continue
 		}
 		c.last++
-		delete(c.shown, id)
-		c.gone = append(c.gone, goneEntry{id, c.last})
+		delete(c.published, id)
+		c.removed = append(c.removed, removedEntry{id, c.last})
 	}
-	for len(c.gone) > keptGone {
-		c.forgotten, c.gone = c.gone[0].number, c.gone[1:]
+	for len(c.removed) > maxRemoved {
+		c.droppedUpTo, c.removed = c.removed[0].number, c.removed[1:]
 	}
 }
 
-// same compares what others are told.
-func (e *Entry) same(o *Entry) bool {
+// samePublished compares what is published of an entry: all but loads, prefill sums and age.
+func (e *Entry) samePublished(o *Entry) bool {
 	return e.ID == o.ID && e.Region == o.Region && e.Zone == o.Zone && e.CallerAddress == o.CallerAddress && e.Ready == o.Ready && e.Leaving == o.Leaving
 }
 
-// news tell an instance what it lacks, and perhaps of itself; nil if that is nothing. They
-// are the same for all that lack the same.
-func (c *changes) news(epoch, at uint64) *EntriesUpdate {
+// update returns what an instance at a given epoch and number misses, possibly with its own entry;
+// nil if it misses nothing. All instances that miss the same get the same update.
+func (c *changeLog) update(epoch, at uint64) *EntriesUpdate {
 	base := uint64(0)
-	if epoch == c.epoch && at <= c.last && at >= c.forgotten {
+	if epoch == c.epoch && at <= c.last && at >= c.droppedUpTo {
 		base = at
 	}
 	if c.last == 0 || base == c.last {
 		return nil
 	}
-	if c.told == nil || c.toldAt != c.last {
-		c.told, c.toldAt = map[uint64]*EntriesUpdate{}, c.last
+	if c.updates == nil || c.updatesUpTo != c.last {
+		c.updates, c.updatesUpTo = map[uint64]*EntriesUpdate{}, c.last
 	}
-	if c.told[base] == nil {
-		c.told[base] = c.newsSince(base)
+	if c.updates[base] == nil {
+		c.updates[base] = c.buildUpdate(base)
 	}
-	return c.told[base]
+	return c.updates[base]
 }
 
-func (c *changes) newsSince(base uint64) *EntriesUpdate {
+func (c *changeLog) buildUpdate(base uint64) *EntriesUpdate {
 	n := &EntriesUpdate{Epoch: c.epoch, Base: base, At: c.last}
-	for _, s := range c.shown {
+	for _, s := range c.published {
 		if s.number > base {
 			n.Entries = append(n.Entries, s.entry)
 		}
 	}
-	for _, g := range c.gone {
-		_, back := c.shown[g.id]
-		if base > 0 && g.number > base && !back {
+	for _, g := range c.removed {
+		_, rejoined := c.published[g.id]
+		if base > 0 && g.number > base && !rejoined {
 			n.Removed = append(n.Removed, g.id)
 		}
 	}
--- a/node/feed/feed_test.go
+++ b/node/feed/feed_test.go
@@ -17,12 +17,11 @@
 	me = feed.Core{ID: "1", Region: "r", Zone: "z"}
 )
 
-// Symptom: while the regions are cut from each other an entry instance hears nothing
-// of its own region for seconds, and sends at the full rate to a cold target.
-// Events: no core instance hears from a leader; those of other regions do not answer.
-// Cause: it went on to the next core instance in search of a leader.
-func TestFollowsOneThatAnswersWhileNoneIsLed(t *testing.T) {
-	Convey("two near core instances without a leader, three out of reach", t, func() {
+// Guards against an entry instance that gets no update of its own region for seconds, and sends at
+// the full rate to a cold target: the regions are partitioned, no core instance has a leader,
+// those of other regions do not answer, and it moves on to them in search of a leader.
+func TestFollowsAnsweringCoreWithoutLeader(t *testing.T) {
+	Convey("two near core instances without a leader, three unreachable ones", t, func() {
 		c, all := feed.NewCoreChooser(), []string{"near1", "near2", "far1", "far2", "far3"}
 		c.RecordAnswer("near1", false)
 		c.RecordAnswer("near2", false)
@@ -31,7 +30,7 @@
 		}
 		So(c.Choose(t0.Add(time.Second), all), ShouldEqual, "near1")
 
-		Convey("a led one is preferred, be it farther", func() {
+		Convey("one with a leader is preferred, even if farther", func() {
 			c.RecordAnswer("far2", true)
 			So(c.Choose(t0.Add(time.Second), all), ShouldEqual, "far2")
 		})
@@ -40,7 +39,7 @@
 			c.RecordFailure(t0.Add(time.Second), "near2")
 			So(c.Choose(t0.Add(1500*time.Millisecond), all), ShouldEqual, "far1")
 		})
-		Convey("one that failed is tried again after a while", func() {
+		Convey("one that failed is retried later", func() {
 			c.RecordAnswer("near1", true)
 			c.RecordFailure(t0.Add(time.Second), "near1")
 			So(c.Choose(t0.Add(2*time.Second), all), ShouldNotEqual, "near1")
@@ -56,9 +55,8 @@
 	})
 }
 
-// Symptom: a drained target comes back into the list.
-// Events: lists of several readings arrive in any order.
-// Cause: the list that came last was taken for the newest.
+// Guards against a drained target that returns to the list: lists of several readings arrive in any
+// order, and the last one to arrive is taken for the newest.
 func TestListNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := feed.NewStore(me, 1)
@@ -71,40 +69,38 @@
 				newest = at
 			}
 			if got := b.List(); got.Digest != uint64(newest.Unix()) {
-				t.Fatalf("list of %v while one of %v is known", got.ReadAt, newest)
+				t.Fatalf("list of %v, but one of %v is known", got.ReadAt, newest)
 			}
 		}
 	})
 }
 
-func alike(string) int { return 0 }
+func equalWeight(string) int { return 0 }
 
-// Symptom: requests that are bound to two regions are sent to the third one, which
-// has to pass all of them on.
-// Events: all entry instances of a region are leaving at once; its callers ask the
-// directory, for a host of which some route that nobody uses is bound elsewhere.
-// Cause: the directory named all other regions alike, or only one that all routes allow.
-func TestDirectoryPrefersHomesWhereTheRegionHasNone(t *testing.T) {
+// Guards against requests bound to two regions that are sent to the third one, which must forward
+// all of them: all entry instances of a region leave at once, its callers ask the directory, and it
+// names all other regions equally, or, as some unused route of the host is bound elsewhere, only
+// one that all routes allow.
+func TestDirectoryPrefersHomeRegions(t *testing.T) {
 	entries := []feed.Entry{
 		{Region: "a", CallerAddress: "a1"}, {Region: "b", CallerAddress: "b1", Ready: true}, {Region: "c", CallerAddress: "c1", Ready: true},
 		{Region: "d", CallerAddress: "d1", Ready: true},
 	}
 	weights := map[string]int{"b": 1, "c": 40, "d": 40}
 	weight := func(region string) int { return weights[region] }
-	Convey("the largest weights, the own region before all", t, func() {
+	Convey("the largest weights, the own region first", t, func() {
 		So(feed.CallerAddresses(entries, "a", weight), ShouldResemble, []string{"c1", "d1"})
 		So(feed.CallerAddresses(entries, "b", weight), ShouldResemble, []string{"b1"})
-		So(feed.CallerAddresses(entries, "a", alike), ShouldResemble, []string{"b1", "c1", "d1"})
+		So(feed.CallerAddresses(entries, "a", equalWeight), ShouldResemble, []string{"b1", "c1", "d1"})
 		So(feed.CallerAddresses(nil, "a", weight), ShouldBeEmpty)
 	})
 }
 
-// Symptom: a tenth of the requests of a route with homes are refused during a planned
-// restart of all entry instances, two seconds apart.
-// Events: the instances of both home regions leave at the same time; the third region's
-// are back. The directory names these to all callers.
-// Cause: an instance that leaves was taken for gone, though it takes requests for 3 s.
-func TestDirectoryNamesLeavingInstancesWhereNoReadyOneServesAll(t *testing.T) {
+// Guards against refusing a tenth of the requests of a route with home regions during a planned
+// restart of all entry instances, two seconds apart: those of both home regions leave at the same
+// time, those of the third region are back, and the directory gives these to all callers, as it
+// takes a leaving instance for gone, though it accepts requests for 3 s.
+func TestDirectoryNamesLeavingInstances(t *testing.T) {
 	leaving := func(region, callers string) feed.Entry {
 		return feed.Entry{Region: region, CallerAddress: callers, Leaving: true}
 	}
@@ -114,29 +110,28 @@
 	gone := feed.Entry{Region: "a", CallerAddress: "a9"}
 	weights := map[string]int{"a": 40, "b": 40, "c": 30}
 	weight := func(region string) int { return weights[region] }
-	Convey("homes a and b are restarted, c may not serve all", t, func() {
+	Convey("home regions a and b are restarted, c may not serve all", t, func() {
 		entries := []feed.Entry{gone, leaving("a", "a1"), leaving("b", "b1"), ready("c", "c1")}
 		So(feed.CallerAddresses(entries, "a", weight), ShouldResemble, []string{"a1"})
 		So(feed.CallerAddresses(entries, "b", weight), ShouldResemble, []string{"b1"})
 		So(feed.CallerAddresses(entries, "c", weight), ShouldResemble, []string{"c1"})
-		Convey("a home that is back serves the others", func() {
+		Convey("a home region that is back serves the others", func() {
 			So(feed.CallerAddresses(append(entries, ready("b", "b2")), "a", weight), ShouldResemble, []string{"b2"})
 		})
-		Convey("without one of the own region any home will do", func() {
+		Convey("without one of the own region any home region is used", func() {
 			So(feed.CallerAddresses(entries[2:], "a", weight), ShouldResemble, []string{"b1"})
 		})
 	})
 	Convey("where all regions serve all, a ready one is better", t, func() {
 		entries := []feed.Entry{leaving("a", "a1"), ready("c", "c1")}
-		So(feed.CallerAddresses(entries, "a", alike), ShouldResemble, []string{"c1"})
-		So(feed.CallerAddresses(entries[:1], "a", alike), ShouldResemble, []string{"a1"})
+		So(feed.CallerAddresses(entries, "a", equalWeight), ShouldResemble, []string{"c1"})
+		So(feed.CallerAddresses(entries[:1], "a", equalWeight), ShouldResemble, []string{"a1"})
 	})
 }
 
-// Symptom: after the loss of a zone the callers of its region are served by nobody for as long
-// as they believe the directory's answers.
-// Events: a region has more instances than the directory names to a caller.
-// Cause: those named were the first by address, which are all of one zone.
+// Guards against callers that no instance serves after the loss of a zone, for as long as they use
+// the directory's answers: a region has more instances than the directory names, and it names the
+// first by address, which are all of one zone.
 func TestDirectoryNamesInstancesOfAllZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := map[string]string{}
@@ -150,7 +145,7 @@
 				entries = append(entries, e)
 			}
 		}
-		got := feed.CallerAddresses(entries, "r", alike)
+		got := feed.CallerAddresses(entries, "r", equalWeight)
 		if len(got) != min(64, len(entries)) {
 			t.Fatalf("%d of %d named", len(got), len(entries))
 		}
@@ -166,8 +161,8 @@
 	})
 }
 
-func TestBoardForgetsWhoIsSilent(t *testing.T) {
-	Convey("an entry instance and a core instance were heard", t, func() {
+func TestStoreExpiresSilentInstances(t *testing.T) {
+	Convey("an entry instance and a core instance have reported", t, func() {
 		b := feed.NewStore(me, 1)
 		b.AddReport(t0, feed.Entry{ID: "e1", Region: "r", CallerAddress: "c1", Ready: true})
 		b.MergeGossip(t0, feed.Gossip{
@@ -176,17 +171,17 @@
 		})
 		So(len(b.Entries(t0)), ShouldEqual, 2)
 		So(b.Rank(t0), ShouldEqual, 1)
-		So(feed.CallerAddresses(b.Entries(t0), "r", alike), ShouldResemble, []string{"c1"})
-		So(feed.CallerAddresses(b.Entries(t0), "nowhere", alike), ShouldResemble, []string{"c1", "c2"})
+		So(feed.CallerAddresses(b.Entries(t0), "r", equalWeight), ShouldResemble, []string{"c1"})
+		So(feed.CallerAddresses(b.Entries(t0), "nowhere", equalWeight), ShouldResemble, []string{"c1", "c2"})
 
-		Convey("an age that was handed on counts", func() {
+		Convey("the age in gossip counts", func() {
 			So(len(b.Entries(t0.Add(feed.EntryTTL-time.Second/2))), ShouldEqual, 1)
 		})
-		Convey("after their lives both are gone", func() {
+		Convey("both expire", func() {
 			So(b.Entries(t0.Add(feed.EntryTTL)), ShouldBeEmpty)
 			So(b.Rank(t0.Add(feed.CoreTTL)), ShouldEqual, 0)
 		})
-		Convey("one that leaves is not named and wakes who waits", func() {
+		Convey("one that leaves is not named and wakes waiting reports", func() {
 			changed := b.Changed()
 			b.AddReport(t0, feed.Entry{ID: "e1", Region: "r", CallerAddress: "c1"})
 			woken := false
@@ -196,16 +191,15 @@
 			default:
 			}
 			So(woken, ShouldBeTrue)
-			So(feed.CallerAddresses(b.Entries(t0), "r", alike), ShouldResemble, []string{"c2"})
+			So(feed.CallerAddresses(b.Entries(t0), "r", equalWeight), ShouldResemble, []string{"c2"})
 		})
 	})
 }
 
-// Symptom: core instances are at the end of their processor while a planned restart goes on.
-// Events: a sixth of a thousand entry instances restart within some seconds.
-// Cause: each that left was a reason to answer all others at once; and the others reported as
-// often as where there are few.
-func TestManyReportersAreAnsweredSeldomer(t *testing.T) {
+// Guards against core instances that run out of processor time during a planned restart: a sixth of
+// a thousand entry instances restart within seconds, each departure causes answers to all others at
+// once, and the others report as often as if there were few.
+func TestManyReportersAreAnsweredLessOften(t *testing.T) {
 	const reporters, restarts = 400, 100
 	entry := func(n int, ready bool) feed.Entry {
 		return feed.Entry{ID: fmt.Sprint("e", n), Region: "r", Ready: ready}
@@ -215,7 +209,7 @@
 		b.AddReport(t0, entry(n, true))
 	}
 	b.FillUpdate(t0, feed.Report{}, nil, &feed.Update{})
-	wakes, now := 0, t0
+	wakeUps, now := 0, t0
 	for n := range restarts {
 		now = now.Add(10 * time.Millisecond)
 		changed := b.Changed()
@@ -223,14 +217,14 @@
 		b.WakeIfDue(now)
 		select {
 		case <-changed:
-			wakes++
+			wakeUps++
 		default:
 		}
-		// The others go on to report.
+		// The others continue to report.
 		b.AddReport(now, entry(reporters-1, true))
 	}
-	if wakes < 2 || wakes > 4 {
-		t.Errorf("%d wakes for %d reporters in %v", wakes, reporters, now.Sub(t0))
+	if wakeUps < 2 || wakeUps > 4 {
+		t.Errorf("%d wake-ups for %d reporters in %v", wakeUps, reporters, now.Sub(t0))
 	}
 	changed := b.Changed()
 	b.AddReport(now, entry(restarts, false))
@@ -238,7 +232,7 @@
 	select {
 	case <-changed:
 	default:
-		t.Error("nobody hears of the last that left")
+		t.Error("the last departure wakes no report")
 	}
 	if got := b.ReportWait(200 * time.Millisecond); got != 400*time.Millisecond {
 		t.Errorf("reports wait %v", got)
@@ -248,34 +242,34 @@
 	}
 }
 
-// Symptom: the gossip of core instances grows with the square of their number.
-// Events: entry instances follow one core instance and compare with each of the others in turn.
-// Cause: each core instance told all others of each instance that had compared with it.
-func TestWhoComparesIsToldByTheFollowedOne(t *testing.T) {
+// Guards against gossip that grows with the square of the number of core instances: entry instances
+// follow one and compare with each of the others in turn, and each core instance forwards each
+// instance that has compared with it.
+func TestComparisonsAreNotForwarded(t *testing.T) {
 	Convey("an entry instance that follows another core instance", t, func() {
 		e := feed.Entry{ID: "e1", Region: "r", CallerAddress: "c1", Ready: true}
 		b := feed.NewStore(me, 1)
 		b.MergeGossip(t0, feed.Gossip{From: feed.Core{ID: "2", Region: "r"}, Entries: []feed.Entry{e}})
-		told := func(at time.Time) []feed.Entry { return b.Gossip(at, false, false).Entries }
+		received := func(at time.Time) []feed.Entry { return b.Gossip(at, false, false).Entries }
 		later := t0.Add(time.Second)
 		b.AddComparison(later, e)
-		So(told(later), ShouldBeEmpty)
-		Convey("is told of here when the other one falls silent", func() {
+		So(received(later), ShouldBeEmpty)
+		Convey("is forwarded when the other one is silent", func() {
 			later = t0.Add(2 * time.Second)
 			b.AddComparison(later, e)
-			So(len(told(later)), ShouldEqual, 1)
+			So(len(received(later)), ShouldEqual, 1)
 		})
-		Convey("is told of here when it leaves", func() {
+		Convey("is forwarded when it leaves", func() {
 			e.Ready = false
 			b.AddComparison(later, e)
-			So(len(told(later)), ShouldEqual, 1)
-			So(told(later)[0].Ready, ShouldBeFalse)
+			So(len(received(later)), ShouldEqual, 1)
+			So(received(later)[0].Ready, ShouldBeFalse)
 		})
-		Convey("is told of here when it turns to this one", func() {
+		Convey("is forwarded when it follows this one", func() {
 			b.AddReport(later, e)
-			So(len(told(later)), ShouldEqual, 1)
+			So(len(received(later)), ShouldEqual, 1)
 			b.AddComparison(later.Add(time.Second), e)
-			So(len(told(later.Add(time.Second))), ShouldEqual, 1)
+			So(len(received(later.Add(time.Second))), ShouldEqual, 1)
 		})
 	})
 }
@@ -298,30 +292,29 @@
 		So(near.Entries[0].Loads, ShouldBeEmpty)
 		So(far.Regions, ShouldResemble, []feed.Summary{{Region: "r", Service: "s", Running: 3, PendingPrefill: []int{55}}})
 
-		// Symptom: instances of other regions judge this one by a pace that is not its own.
-		// Events: entry instances that report to two core instances of the region tell how
-		// fast engines read.
-		// Cause: the sums of one core instance only were told, or none.
-		// Symptom: all regions pass on to one that is crowded.
-		// Events: the core instances of a region are cut off for three seconds.
-		// Cause: its targets were listed, and a load that nobody told counted as none.
-		Convey("and says where the load of a region is not known", func() {
+		// Guards against all regions forwarding to an overloaded one: its core instances are cut
+		// off for three seconds, its targets are listed, and an unreported load counts as none.
+		Convey("and marks regions of unknown load", func() {
 			regions := func(at time.Time) feed.Summary {
 				var u feed.Update
 				b.FillUpdate(at, feed.Report{Self: feed.Entry{ID: "e1", Region: "r"}}, nil, &u)
 				return u.Regions[0]
 			}
 			b.MergeGossip(t0.Add(time.Second), feed.Gossip{From: feed.Core{ID: "4", Region: "q"}, Regions: []feed.Summary{{Region: "q", Service: "s", Running: 7}}})
-			told := regions(t0.Add(2 * time.Second))
-			So(told.LoadUnknown, ShouldBeFalse)
-			So(told.Running, ShouldEqual, 7)
+			received := regions(t0.Add(2 * time.Second))
+			So(received.LoadUnknown, ShouldBeFalse)
+			So(received.Running, ShouldEqual, 7)
 			So(regions(t0.Add(5*time.Second)).LoadUnknown, ShouldBeTrue)
-			// An idle region tells nothing of any service.
+			// An idle region reports no service.
 			b.MergeGossip(t0.Add(6*time.Second), feed.Gossip{From: feed.Core{ID: "4", Region: "q"}})
 			So(regions(t0.Add(7*time.Second)).LoadUnknown, ShouldBeFalse)
 		})
-		Convey("and tells how fast the engines of the region read", func() {
-			// Answers of one moment have their sums in common.
+		Convey("and forwards the prefill speed of the region", func() {
+			// Guards against judging this region by a prefill speed that is not its own: its entry
+			// instances report to two core instances, and the sums of only one of them are passed
+			// on, or none.
+			//
+			// The time is later as answers of the same moment share an aggregate.
 			later := t0.Add(1500 * time.Millisecond)
 			read := func(tokens, millis int64) []feed.PrefillSums {
 				return []feed.PrefillSums{{Service: "s", Tokens: tokens, Millis: millis}}
@@ -329,22 +322,22 @@
 			b.AddReport(t0, feed.Entry{ID: "e1", Region: "r", Ready: true, PrefillSums: read(1000, 30)})
 			b.AddReport(t0, feed.Entry{ID: "e3", Region: "q", Ready: true, PrefillSums: read(7000, 7000)})
 			b.MergeGossip(t0, feed.Gossip{From: feed.Core{ID: "2", Region: "r"}, PrefillSums: read(2000, 50)})
-			told := b.Gossip(later, true, false)
-			So(told.PrefillSums, ShouldResemble, read(1000, 30))
-			So(told.Entries[0].PrefillSums, ShouldBeEmpty)
+			received := b.Gossip(later, true, false)
+			So(received.PrefillSums, ShouldResemble, read(1000, 30))
+			So(received.Entries[0].PrefillSums, ShouldBeEmpty)
 			So(b.Gossip(later, false, false).PrefillSums, ShouldBeEmpty)
-			So(told.Regions[0].PrefillSumTokens, ShouldEqual, 3000)
-			So(told.Regions[0].PrefillSumMillis, ShouldEqual, 80)
+			So(received.Regions[0].PrefillSumTokens, ShouldEqual, 3000)
+			So(received.Regions[0].PrefillSumMillis, ShouldEqual, 80)
 
 			other := feed.NewStore(feed.Core{ID: "3", Region: "q"}, 1)
 			other.SetList(b.List(), false)
-			other.MergeGossip(later, told)
+			other.MergeGossip(later, received)
 			var u feed.Update
 			other.FillUpdate(later, feed.Report{Self: feed.Entry{Region: "q"}}, nil, &u)
 			So(u.Regions[0].PrefillSumTokens, ShouldEqual, 3000)
 			So(u.Regions[0].PrefillSumMillis, ShouldEqual, 80)
 		})
-		Convey("another one learns that it has to fetch", func() {
+		Convey("another one has to fetch the list", func() {
 			other := feed.NewStore(feed.Core{ID: "3", Region: "q"}, 1)
 			So(other.MergeGossip(t0, far), ShouldBeTrue)
 			var u feed.Update
@@ -352,7 +345,7 @@
 			So(u.ListAgeMillis, ShouldEqual, -1)
 			So(u.List, ShouldBeNil)
 		})
-		Convey("and adds the loads that others of the region told", func() {
+		Convey("and adds the loads that others of the region report", func() {
 			b.MergeGossip(t0, feed.Gossip{From: feed.Core{ID: "2", Region: "r"}, Loads: []feed.Load{{Target: "x", Running: 10, PendingPrefill: []int{1}}}})
 			var u feed.Update
 			b.FillUpdate(t0, feed.Report{Self: feed.Entry{ID: "e1", Region: "r"}}, nil, &u)
@@ -365,30 +358,30 @@
 			So(known.List, ShouldBeNil)
 			var list feed.ListUpdate
 			So(cbor.Unmarshal(unknown.List, &list), ShouldBeNil)
-			// The other target stands in another region.
+			// The other target is in another region.
 			So(len(list.Targets), ShouldEqual, 1)
 			So(list.Base, ShouldEqual, 0)
 			So(known.Regions, ShouldResemble, []feed.Summary{{Region: "q", Service: "s", Targets: 1, LoadUnknown: true}})
-			// The asker leaves itself out.
+			// The receiver removes itself.
 			So(len(known.Entries.Entries), ShouldEqual, 2)
 			others := feed.Known{Self: "e1"}
 			So(others.Apply(known.Entries), ShouldBeTrue)
 			So(len(others.Entries), ShouldEqual, 1)
-			// The asker's own load is not among those of the others.
+			// The receiver's own load is not among those of the others.
 			So(known.Loads, ShouldResemble, []feed.Load{{Target: "x", Running: 1, PendingPrefill: []int{5}}})
-			asker := feed.Report{EntriesEpoch: known.Entries.Epoch, EntriesAt: known.Entries.At, CoresDigest: known.CoresDigest, Self: feed.Entry{ID: "e1", Region: "r"}}
+			report := feed.Report{EntriesEpoch: known.Entries.Epoch, EntriesAt: known.Entries.At, CoresDigest: known.CoresDigest, Self: feed.Entry{ID: "e1", Region: "r"}}
 			var again feed.Update
-			b.FillUpdate(t0, asker, nil, &again)
+			b.FillUpdate(t0, report, nil, &again)
 			So(again.Entries, ShouldBeNil)
 			So(again.Cores, ShouldBeEmpty)
 			So(again.CoresDigest, ShouldEqual, 0)
 			b.AddReport(t0, feed.Entry{ID: "e2", Region: "r"})
-			b.FillUpdate(t0, asker, nil, &again)
+			b.FillUpdate(t0, report, nil, &again)
 			So(len(again.Entries.Entries), ShouldEqual, 1)
-			So(again.Entries.Base, ShouldEqual, asker.EntriesAt)
+			So(again.Entries.Base, ShouldEqual, report.EntriesAt)
 			var brief feed.Update
-			asker.Brief, asker.EntriesAt = true, 0
-			b.FillUpdate(t0, asker, nil, &brief)
+			report.Brief, report.EntriesAt = true, 0
+			b.FillUpdate(t0, report, nil, &brief)
 			So(brief, ShouldResemble, feed.Update{ListAgeMillis: 0, List: brief.List})
 		})
 	})
--- a/node/feed/list.go
+++ b/node/feed/list.go
@@ -10,27 +10,26 @@
 )
 
 const (
-	// coldSlack is by how much the end of a target's cold time may differ from reading
-	// to reading before it counts as another one.
-	coldSlack = 500 * time.Millisecond
-	// keptLists is how many older lists a core instance keeps to tell differences from:
-	// an instance that reports a few times a second holds one of the last two.
-	keptLists = 6
+	// coldEndTolerance is by how much the end of a target's cold time may differ between readings
+	// before it counts as another cold time.
+	coldEndTolerance = 500 * time.Millisecond
+	// maxOlderLists is how many older lists a core instance keeps as bases of updates: an instance
+	// that reports a few times a second holds one of the last two.
+	maxOlderLists = 6
 )
 
-// List is one reading of the platform's list, in the order of ids. It is never changed
-// in place.
+// List is one reading of the platform's list, in the order of IDs. Do not change it in place.
 type List struct {
 	Targets []Target
-	// Digest is of the targets; equal lists have equal digests. 0 means no list.
+	// Digest is a hash of the targets; equal lists have equal digests. 0 means no list.
 	Digest uint64
-	// ReadAt is when it was read last, by the clock of this instance.
+	// ReadAt is when it was last read, by the clock of this instance.
 	ReadAt time.Time
 }
 
-// NewList makes a list of what was read. before is the last one: a target that is still
-// cold as it was then keeps the end of that time, as a list would differ with each
-// reading otherwise, and go to all instances.
+// NewList returns a list of targets read at readAt; it changes targets. before is the previous
+// list: a target that is still in the same cold time keeps the end of that time, as otherwise the
+// list would differ with each reading and be sent to all instances.
 func NewList(targets []Target, readAt time.Time, before List) List {
 	old := byID(before.Targets)
 	for i := range targets {
@@ -40,11 +39,11 @@
 		}
 		t.ColdUntil = readAt.Add(time.Duration(t.ColdMillis) * time.Millisecond)
 		o := old[t.ID]
-		if late := t.ColdUntil.Sub(o.ColdUntil); !o.ColdUntil.IsZero() && late < coldSlack && late > -coldSlack {
+		if shift := t.ColdUntil.Sub(o.ColdUntil); !o.ColdUntil.IsZero() && shift < coldEndTolerance && shift > -coldEndTolerance {
 			t.ColdUntil, t.ColdEpoch = o.ColdUntil, o.ColdEpoch
 			continue
 		}
-		// By its end, as a target may have been off the list in between.
+		// Derived from its end, as the target may have been off the list in between.
 		t.ColdEpoch = uint8(t.ColdUntil.Unix())
 		if t.ColdEpoch == o.ColdEpoch {
 			t.ColdEpoch++
@@ -66,18 +65,18 @@
 	return out
 }
 
-// digestOf names the content of a list; it is never 0.
+// digestOf returns a hash of a list's content, never 0.
 func digestOf(targets []Target) uint64 {
 	d := xxhash.New()
 	for _, t := range targets {
-		digestParts(d, t.ID, t.Service, t.Address, t.Zone, strconv.Itoa(t.Slots), strconv.FormatBool(t.Draining),
+		hashStrings(d, t.ID, t.Service, t.Address, t.Zone, strconv.Itoa(t.Slots), strconv.FormatBool(t.Draining),
 			strconv.FormatBool(t.Cold()), strconv.Itoa(int(t.ColdEpoch)), strconv.FormatInt(t.StartMillis, 10))
 	}
 	return max(1, d.Sum64())
 }
 
-// digestParts adds strings to a digest, told from each other by a zero byte.
-func digestParts(d *xxhash.Digest, parts ...string) {
+// hashStrings adds strings to a hash, separated by zero bytes.
+func hashStrings(d *xxhash.Digest, parts ...string) {
 	for _, part := range parts {
 		_, _ = d.WriteString(part)
 		_, _ = d.Write([]byte{0})
@@ -87,32 +86,34 @@
 // Cold reports whether the target was listed as cold.
 func (t *Target) Cold() bool { return !t.ColdUntil.IsZero() }
 
-// same reports whether two readings of a target tell the same.
-func (t *Target) same(o Target) bool {
+// sameReading reports whether two readings of a target are equal except for the remaining cold
+// time.
+func (t *Target) sameReading(o Target) bool {
 	a, b := *t, o
 	a.ColdUntil, a.ColdMillis, b.ColdUntil, b.ColdMillis = time.Time{}, 0, time.Time{}, 0
 	return a == b && t.Cold() == o.Cold()
 }
 
-// ListNews is a list, or how it differs from another one.
+// ListUpdate is a complete list, or its difference from another one.
 type ListUpdate struct {
-	// Base is the digest of the list that the news are added to; 0 for a whole list.
+	// Base is the digest of the list that the update applies to; 0 for a complete list.
 	Base uint64 `cbor:"1,keyasint,omitempty"`
-	// Digest is of the list that results, be it that only a region's part is told.
+	// Digest is that of the resulting list of all regions, even if the update covers one region
+	// only.
 	Digest uint64 `cbor:"2,keyasint"`
-	// Targets are new or changed, Gone the ids that are no more.
+	// Targets are new or changed, Removed the IDs of removed ones.
 	Targets []Target `cbor:"3,keyasint,omitempty"`
 	Removed []string `cbor:"4,keyasint,omitempty"`
 }
 
-// news tells how to differs from from, in one region or in all.
-func news(from, to List, region string) *ListUpdate {
+// diffLists returns the update from one list to another, for one region or, if that is empty, all.
+func diffLists(from, to List, region string) *ListUpdate {
 	n := &ListUpdate{Digest: to.Digest, Base: from.Digest}
 	old := byID(from.Targets)
 	for _, t := range to.Targets {
 		o, known := old[t.ID]
 		delete(old, t.ID)
-		if (region == "" || t.Region == region) && (!known || !t.same(o)) {
+		if (region == "" || t.Region == region) && (!known || !t.sameReading(o)) {
 			n.Targets = append(n.Targets, t)
 		}
 	}
@@ -125,8 +126,8 @@
 	return n
 }
 
-// sent makes the news ready for the wire: cold times count from now.
-func (n *ListUpdate) sent(now time.Time) *ListUpdate {
+// forWire returns a copy for encoding, in which cold times are relative to now.
+func (n *ListUpdate) forWire(now time.Time) *ListUpdate {
 	out := *n
 	out.Targets = slices.Clone(n.Targets)
 	for i := range out.Targets {
@@ -138,7 +139,8 @@
 	return &out
 }
 
-// Apply adds news that have come to a list; false if they are about another one.
+// Apply returns the list with a received update applied; false, and the list unchanged, if the
+// update is based on another list.
 func (l List) Apply(n *ListUpdate, now, readAt time.Time) (List, bool) {
 	if n.Base != 0 && n.Base != l.Digest {
 		return l, false
--- a/node/feed/list_test.go
+++ b/node/feed/list_test.go
@@ -15,7 +15,7 @@
 func drawTargets(t *rapid.T) []feed.Target {
 	var out []feed.Target
 	for k := range 6 {
-		if !rapid.Bool().Draw(t, "there") {
+		if !rapid.Bool().Draw(t, "listed") {
 			continue
 		}
 		out = append(out, feed.Target{
@@ -26,11 +26,10 @@
 	return out
 }
 
-// Symptom: an instance sends to targets that are gone, or misses new ones.
-// Events: readings differ in any way; an instance hears of some of them, or none, and of
-// its region only.
-// Cause: what differs was told from another list than the one it holds.
-func TestNewsLeadToTheListThatWasRead(t *testing.T) {
+// Guards against an instance that sends to removed targets, or misses new ones: readings differ in
+// any way, the instance receives some or none of them, for its region only, and the update is based
+// on another list than the one that it holds.
+func TestListUpdatesMatchList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := feed.NewStore(me, 1)
 		now := t0
@@ -39,23 +38,23 @@
 			now = now.Add(time.Duration(rapid.IntRange(100, 2000).Draw(t, "pause")) * time.Millisecond)
 			last = feed.NewList(drawTargets(t), now, last)
 			b.SetList(last, true)
-			if !rapid.Bool().Draw(t, "heard") {
+			if !rapid.Bool().Draw(t, "received") {
 				continue
 			}
 			n := b.EncodeListUpdate(now, held.Digest, "r")
 			if n == nil {
 				if held.Digest != last.Digest {
-					t.Fatal("no news of another list")
+					t.Fatal("no update for another list")
 				}
 				continue
 			}
-			var come feed.ListUpdate
-			if err := cbor.Unmarshal(n, &come); err != nil {
+			var update feed.ListUpdate
+			if err := cbor.Unmarshal(n, &update); err != nil {
 				t.Fatal(err)
 			}
-			next, ok := held.Apply(&come, now, now)
+			next, ok := held.Apply(&update, now, now)
 			if !ok {
-				t.Fatal("news about another list")
+				t.Fatal("update of another list")
 			}
 			held = next
 			var want []feed.Target
@@ -78,9 +77,8 @@
 	})
 }
 
-// Symptom: the whole list goes to all instances several times a second.
-// Events: targets are cold; each reading shows how much longer.
-// Cause: the remaining time is part of what is compared.
+// Guards against sending the whole list to all instances several times a second: targets are cold,
+// each reading has another remaining time, and this counts as a change.
 func TestColdTargetsDoNotChangeTheList(t *testing.T) {
 	at := func(ms int, cold int64, before feed.List) feed.List {
 		return feed.NewList([]feed.Target{{ID: "x", ColdMillis: cold}}, t0.Add(time.Duration(ms)*time.Millisecond), before)
@@ -88,29 +86,29 @@
 	first := at(0, 3000, feed.List{})
 	second := at(700, 2310, first)
 	if first.Digest != second.Digest || second.Targets[0].ColdUntil != first.Targets[0].ColdUntil {
-		t.Fatal("differs while it is cold")
+		t.Fatal("list differs during the same cold time")
 	}
 	again := at(1400, 3000, second)
 	if again.Digest == second.Digest {
-		t.Fatal("cold anew looks the same")
+		t.Fatal("list is equal in another cold time")
 	}
 	if warm := at(5000, 0, again); warm.Digest == again.Digest {
-		t.Fatal("warm looks the same")
+		t.Fatal("list is equal for a warm target")
 	}
 }
 
-func TestNewsAboutAnotherListAreNotTaken(t *testing.T) {
+func TestUpdateOfAnotherListIsRejected(t *testing.T) {
 	l := feed.List{Digest: 5}
 	if _, ok := l.Apply(&feed.ListUpdate{Base: 4, Digest: 6}, t0, t0); ok {
-		t.Fatal("taken")
+		t.Fatal("update was applied")
 	}
 }
 
-// Core instances of other regions had a list of targets 0.3 s after the one that read it: its
-// gossip told that there was one, and they asked for it, a trip there and back. After a loss of
-// power of all their callers were refused meanwhile. The news go with the gossip now, to be
-// added to the list before; where that is another one they are asked for as before.
-func TestNewsOfAListGoWithTheGossip(t *testing.T) {
+// Guards against core instances of other regions that get a list of targets 0.3 s late: gossip only
+// says that there is one, fetching it takes a round trip, and after a power loss of all instances
+// their callers are refused meanwhile. Gossip carries the update to the previous list; instances
+// with another list fetch it.
+func TestGossipCarriesListUpdate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	reader := feed.NewStore(feed.Core{ID: "1", Region: "r"}, 1)
 	listed := func(at time.Time, ids ...string) {
@@ -139,10 +137,10 @@
 		t.Fatalf("%v %+v", ok, second)
 	}
 	if _, ok := take(feed.List{Digest: 7}, g); ok {
-		t.Error("news are added to a list that they are not about")
+		t.Error("an update was applied to another list")
 	}
 	if g := reader.Gossip(now.Add(time.Second), false, false); g.List != nil || g.ListDigest == 0 {
-		t.Errorf("a gossip between readings: %+v", g)
+		t.Errorf("gossip between readings: %+v", g)
 	}
 	var many []string
 	for k := range 2000 {
@@ -150,15 +148,14 @@
 	}
 	listed(now.Add(2*time.Second), many...)
 	if g := reader.Gossip(now.Add(2*time.Second), false, true); g.List != nil {
-		t.Errorf("%d bytes of news go with a gossip", len(g.List))
+		t.Errorf("gossip carries a list update of %d bytes", len(g.List))
 	}
 }
 
-// Symptom: most of the traffic between regions of a large site is lists of targets.
-// Events: an entry instance holds a list that has just changed, and compares with a core instance
-// of another region, which hears of the change a moment later.
-// Cause: a digest that was not known counted as none, and was answered with all targets.
-func TestOlderListIsNotTold(t *testing.T) {
+// Guards against lists of targets being most of the traffic between regions of a large site: an
+// entry instance whose list has just changed compares with a core instance of another region that
+// gets the change a moment later, and the unknown digest is answered with all targets.
+func TestOlderListIsNotSent(t *testing.T) {
 	b := feed.NewStore(me, 1)
 	list := func(n int, at time.Time) feed.List {
 		var targets []feed.Target
@@ -177,19 +174,19 @@
 	}
 	b.SetList(older, false)
 	if b.HasListFor(now, &feed.Report{ListDigest: newer.Digest, ListAgeMillis: 200}) {
-		t.Error("an answer without news does not wait for any")
+		t.Error("an answer without a list is not held back")
 	}
 	if u := ask(newer.Digest, 200); u.List != nil || u.ListAgeMillis != 1200 {
 		t.Errorf("%d bytes of a list of %d ms", len(u.List), u.ListAgeMillis)
 	}
 	if u := ask(0, 0); u.List == nil {
-		t.Error("an instance without a list is told none")
+		t.Error("an instance without a list gets none")
 	}
 	b.SetList(newer, false)
 	if !b.HasListFor(now, &feed.Report{ListDigest: older.Digest, ListAgeMillis: 1200}) {
-		t.Error("an answer with news waits")
+		t.Error("an answer with a list is held back")
 	}
 	if u := ask(older.Digest, 1200); len(u.List) == 0 || len(u.List) > 200 {
-		t.Errorf("%d bytes of what has changed", len(u.List))
+		t.Errorf("%d bytes of changes", len(u.List))
 	}
 }
--- a/node/feed/loads_test.go
+++ b/node/feed/loads_test.go
@@ -10,11 +10,10 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// Symptom: entry instances on thin links receive 200 KB a second, and core instances send
-// thirty times as much, when nothing is wrong.
-// Events: a region of hundreds of instances before thousands of targets, most of them busy.
-// Cause: each instance was told the loads of all targets.
-func TestLoadsAreToldByGroup(t *testing.T) {
+// Guards against entry instances on slow links that receive 200 KB a second, and core instances
+// that send thirty times as much, without any fault: a region has hundreds of instances and
+// thousands of targets, most of them busy, and each instance is sent the loads of all targets.
+func TestLoadsAreSentByGroup(t *testing.T) {
 	const n, instances = 4000, 300
 	b := feed.NewStore(me, 1)
 	var list []feed.Target
@@ -39,7 +38,7 @@
 		}
 		b.AddReport(t0, e)
 	}
-	told, most, sum := map[string]int{}, 0, 0
+	sent, largest, total := map[string]int{}, 0, 0
 	for _, id := range s.Entries {
 		p := pick.New(id)
 		p.Update(t0, s)
@@ -50,21 +49,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		most, sum = max(most, len(data)), sum+len(data)
+		largest, total = max(largest, len(data)), total+len(data)
 		for _, l := range u.Loads {
-			told[l.Target] += l.Running
+			sent[l.Target] += l.Running
 		}
 	}
-	// An instance leaves out its own load, which it knows.
+	// An instance is not sent its own load, which it knows.
 	for _, id := range ids {
-		if told[id] == 0 {
-			t.Fatalf("nobody is told the load of %s", id)
+		if sent[id] == 0 {
+			t.Fatalf("no instance is sent the load of %s", id)
 		}
 	}
-	if sum > 2*n*20 || most > 10*groupBytes {
-		t.Errorf("%d bytes to all instances, %d to one", sum, most)
+	if total > 2*n*20 || largest > 10*groupBytes {
+		t.Errorf("%d bytes to all instances, %d to one", total, largest)
 	}
 }
 
-// groupBytes is about what the loads of a group take.
+// groupBytes is about the size of the loads of a group.
 const groupBytes = 20 * 20
--- a/node/feed/pace_test.go
+++ b/node/feed/pacer_test.go
@@ -9,10 +9,9 @@
 	"github.com/gullhaven/gullhaven/node/feed"
 )
 
-// Symptom: a platform that allows 47 calls a second refuses most of them.
-// Events: a list of many pages is read, some calls are refused.
-// Cause: the pages were asked for as fast as they came.
-func TestPaceKeepsTheRate(t *testing.T) {
+// Guards against a platform that allows 47 calls a second and refuses most of them: a list of many
+// pages is read, some calls are refused, and the pages are requested as fast as the answers arrive.
+func TestPacerKeepsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := feed.Pacer{PerSecond: float64(rapid.IntRange(1, 100).Draw(t, "rate"))}
 		now := t0
--- a/node/feed/sums.go
+++ b/node/feed/sums.go
@@ -1,9 +1,9 @@
 package feed
 
-// plus adds what another load says of the same target.
+// plus adds a load of the same target.
 func (l Load) plus(o Load) Load { return l.sum(o, 1) }
 
-// minus takes a part out.
+// minus subtracts a part of the load.
 func (l Load) minus(part Load) Load { return l.sum(part, -1) }
 
 func (l Load) sum(o Load, sign int) Load {
@@ -13,8 +13,8 @@
 	return l
 }
 
-// sumRanks adds by rank, into a new slice: loads are shared between answers. Ranks of
-// nothing at the end are left out.
+// sumRanks adds or subtracts by rank, into a new slice, as loads are shared between answers. Zeros
+// at the end are removed.
 func sumRanks(a, b []int, sign int) []int {
 	out := make([]int, max(len(a), len(b)))
 	copy(out, a)
--- a/node/feed/suspects.go
+++ b/node/feed/suspects.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// suspectLife is how long suspects are told again: several reports and gossips, so
-	// that a lost message matters to nobody.
-	suspectLife = 3 * time.Second
-	// maxSuspects bounds them, 60 bytes each.
+	// suspectTTL is how long suspects are forwarded: several reports and gossip messages, so that a
+	// lost message has no effect.
+	suspectTTL = 3 * time.Second
+	// maxSuspects bounds their number; each takes 60 bytes.
 	maxSuspects = 512
 )
 
-// heardSuspect is told again for suspectLife; those that were told by entry instances
-// here go to other core instances too.
-type heardSuspect struct {
-	entry  suspect.Entry
-	at     time.Time
-	direct bool
+// suspectRecord is forwarded for suspectTTL; if direct, that is reported here by an entry instance,
+// to other core instances too.
+type suspectRecord struct {
+	entry      suspect.Entry
+	receivedAt time.Time
+	direct     bool
 }
 
-// Suspected takes in requests that may crash their targets.
-func (b *Store) AddSuspects(now time.Time, entries []suspect.Entry, direct bool) {
+// AddSuspects stores requests that may crash their targets. direct says that an entry instance
+// reported them here. Beyond maxSuspects they are dropped.
+func (st *Store) AddSuspects(now time.Time, entries []suspect.Entry, direct bool) {
 	if len(entries) == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	for _, e := range entries {
-		known := slices.ContainsFunc(b.suspects, func(h heardSuspect) bool { return h.entry == e })
-		if !known && len(b.suspects) < maxSuspects {
-			b.suspects = append(b.suspects, heardSuspect{entry: e, at: now, direct: direct})
+		known := slices.ContainsFunc(st.suspects, func(h suspectRecord) bool { return h.entry == e })
+		if !known && len(st.suspects) < maxSuspects {
+			st.suspects = append(st.suspects, suspectRecord{entry: e, receivedAt: now, direct: direct})
 		}
 	}
-	b.wake()
+	st.wake()
 }
 
-// lateSuspects are those that were heard within suspectLife.
-func (b *Store) lateSuspects(now time.Time, directOnly bool) []suspect.Entry {
-	b.suspects = slices.DeleteFunc(b.suspects, func(h heardSuspect) bool { return now.Sub(h.at) > suspectLife })
+// recentSuspects returns those received within suspectTTL, with directOnly only direct ones.
+func (st *Store) recentSuspects(now time.Time, directOnly bool) []suspect.Entry {
+	st.suspects = slices.DeleteFunc(st.suspects, func(h suspectRecord) bool { return now.Sub(h.receivedAt) > suspectTTL })
 	var out []suspect.Entry
-	for _, h := range b.suspects {
+	for _, h := range st.suspects {
 		if h.direct || !directOnly {
 			out = append(out, h.entry)
 		}
