--- a/daemon/site.go
+++ b/daemon/site.go
@@ -152,17 +152,17 @@
 		Tolerance: quota.Tolerance{
 			Window: s.LimitTolerance.Window(), Share: s.LimitTolerance.Share, Units: s.LimitTolerance.Units,
 		},
-		Log: r.log, Ordinary: r.ordinary, Lines: r,
+		Log: r.log, AccessLog: r.ordinary, Lines: r,
 	})
 	if err != nil {
 		return err
 	}
 	if err := r.listen(map[string]http.Handler{
-		s.Listen.Metrics:         i.Metrics(),
-		s.Listen.BindInstances(): i.Peers(),
-		s.Listen.Callers:         i.Callers(),
+		s.Listen.Metrics:         i.MetricsHandler(),
+		s.Listen.BindInstances(): i.PeerHandler(),
+		s.Listen.Callers:         i.CallerHandler(),
 		s.Listen.Ready:           platform.ReadyCall(i.Ready),
-		s.Listen.Directory:       platform.DirectoryCall(i.Addresses),
+		s.Listen.Directory:       platform.DirectoryCall(i.CallerAddresses),
 	}); err != nil {
 		return err
 	}
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -43,7 +43,7 @@
 	Regions   []string
 	Tolerance quota.Tolerance
 	// Log tells of failures and changes, Ordinary of each request that was answered.
-	Log, Ordinary *zap.Logger
+	Log, AccessLog *zap.Logger
 	// Lines tells of missing log lines; nil where none are counted.
 	Lines lines.Counts
 }
@@ -116,16 +116,16 @@
 	i.gateway = exchange.New(exchange.Options{
 		Self: o.Self.ID, Region: o.Self.Region, Dialect: o.Dialect, Pool: i.pool, Decider: i.deciding, Killers: i.killers, Limits: i.limits, Targets: i.targets, Peers: i.peers,
 		Retries: o.Retries, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Log: o.Log,
-		Ordinary: o.Ordinary, Metrics: i.metrics,
+		Ordinary: o.AccessLog, Metrics: i.metrics,
 	})
 	return i, nil
 }
 
 // Callers serves callers.
-func (i *Instance) Callers() http.Handler { return i.gateway }
+func (i *Instance) CallerHandler() http.Handler { return i.gateway }
 
 // Peers serves the links and the requests of other instances.
-func (i *Instance) Peers() http.Handler {
+func (i *Instance) PeerHandler() http.Handler {
 	links, passed := i.hub.Handler(), i.gateway.PassedOn()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == link.DefaultPath {
@@ -137,7 +137,7 @@
 }
 
 // Metrics serves the metrics as text.
-func (i *Instance) Metrics() http.Handler { return i.metrics }
+func (i *Instance) MetricsHandler() http.Handler { return i.metrics }
 
 // shown is the state that the metrics show.
 func (i *Instance) shown() metrics.EntryState {
@@ -211,7 +211,7 @@
 }
 
 // Addresses names the entry instances for a caller of a host in a region.
-func (i *Instance) Addresses(host, region string) []string {
+func (i *Instance) CallerAddresses(host, region string) []string {
 	weight := func(string) int { return 0 }
 	if view := i.gateway.View(); view != nil {
 		weight = func(region string) int { return view.Index.HomeWeight(host, region, i.gateway.RouteWeight) }
--- a/node/entry/learn_test.go
+++ b/node/entry/learn_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	i, err := New(Options{
 		Self: feed.Entry{ID: "127.0.0.1:1", Region: "r", Zone: "z", CallerAddress: "127.0.0.1:2"}, Seeds: []string{"127.0.0.1:3"},
-		Format: oneByte{}, Log: zap.NewNop(), Ordinary: zap.NewNop(),
+		Format: oneByte{}, Log: zap.NewNop(), AccessLog: zap.NewNop(),
 	})
 	if err != nil {
 		t.Fatal(err)
