--- a/node/entry/fetch.go
+++ b/node/entry/fetch.go
@@ -17,51 +17,52 @@
 	"github.com/gullhaven/gullhaven/node/duty"
 )
 
-// tellSlow is the age of a transfer at which a line tells that it is not done: most take
-// under a second.
-const tellSlow = 2 * time.Second
+// slowTransferAge is the age from which an unfinished transfer is logged: most take under a second.
+const slowTransferAge = 2 * time.Second
 
-// fetcher gets the newest configuration piece by piece, apart from reports, and keeps the
-// routes of the one in force by piece, so that a change costs by what it changes.
+// fetcher transfers the newest configuration in pieces, separately from reports, and keeps the
+// routes of the active one by piece, so that the cost of a change depends on what it changes.
 //
-// What goes wrong where the configuration travels in the answer to a report: beyond some
-// size, or some load of the link, no answer comes in time, nor does the list of targets,
-// which travels with it. Each try begins anew, and the tries fill the link.
+// If the configuration were part of the answer to a report, beyond some size, or some load of the
+// link, no answer would arrive in time, and neither would the list of targets, which is in the same
+// answer. Each attempt would start from the beginning, and the attempts would fill the link.
 type fetcher struct {
 	mu       sync.Mutex
 	transfer *pieces.Transfer
-	// heads are the states whose documents are wanted: of the one on its way and the newest.
+	// heads are the states whose documents are wanted: the one in transfer and the newest.
 	heads map[pieces.Digest]*newest.Head
-	// told names the document of which a line told that it takes long.
-	told pieces.Digest
-	// taken names the document that came whole last. It is not asked for again by reports
-	// that were made before it was in force, nor where it could not be read.
-	taken pieces.Digest
-	// woken has room for one: there may be something to ask.
-	woken chan struct{}
-
-	// The rest belongs to the fetching duty.
-
-	// frame are the pieces around the routes, and groups the routes, of what is in force.
+	// slowLogged is the digest of the document whose slow transfer was logged.
+	slowLogged pieces.Digest
+	// completed is the digest of the last document that was transferred whole. It is not requested
+	// again, neither for reports that were sent before it was activated, nor if it could not be
+	// read.
+	completed pieces.Digest
+	// wake has a buffer of one: there may be something to request.
+	wake chan struct{}
+
+	// The fields below are used by the goroutine that runs fetch.
+
+	// frame holds the pieces around the routes, and groups the routes, of the active configuration.
 	frame  map[pieces.Digest][]byte
 	groups map[pieces.Digest]*routes.Group
 	index  *routes.Index
 }
 
 func newFetcher() *fetcher {
-	f := &fetcher{woken: make(chan struct{}, 1), heads: map[pieces.Digest]*newest.Head{}, index: new(routes.Index)}
-	f.transfer = pieces.NewTransfer(f.holds)
+	f := &fetcher{wake: make(chan struct{}, 1), heads: map[pieces.Digest]*newest.Head{}, index: new(routes.Index)}
+	f.transfer = pieces.NewTransfer(f.hasPiece)
 	return f
 }
 
-// holds is called by the transfer under mu, and by the duty that writes what it reads.
-func (f *fetcher) holds(d pieces.Digest) bool { return f.groups[d] != nil || f.frame[d] != nil }
+// hasPiece is called by the transfer under mu, and by the fetch goroutine, which writes what it
+// reads.
+func (f *fetcher) hasPiece(d pieces.Digest) bool { return f.groups[d] != nil || f.frame[d] != nil }
 
-// want asks for the document of a state that a core instance has told of.
+// want requests the document of a state that a core instance has reported.
 func (f *fetcher) want(now time.Time, h *newest.Head, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.taken == h.Root {
+	if f.completed == h.Root {
 		return
 	}
 	f.heads[h.Root] = h
@@ -72,13 +73,13 @@
 		}
 	}
 	select {
-	case f.woken <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// state is what the metrics show: pieces to come, bytes that came, and questions without use.
-func (f *fetcher) state() (left int, s pieces.Stats) {
+// progress returns the number of missing pieces, and the bytes received and requests failed so far.
+func (f *fetcher) progress() (left int, s pieces.Stats) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	left, _, _ = f.transfer.Left()
@@ -91,32 +92,32 @@
 	return f.transfer.Next(now)
 }
 
-// fetch is the duty: one question at a time, until all is there.
+// fetch transfers documents until ctx ends, one request at a time.
 func (i *Instance) fetch(ctx context.Context) {
 	for ctx.Err() == nil {
 		q, wait := i.fetcher.next(time.Now())
 		switch {
 		case q != nil:
-			i.askFor(ctx, q)
-			i.adopt()
+			i.requestPiece(ctx, q)
+			i.activate()
 		case wait < 0:
-			i.fetcher.await(ctx)
+			i.fetcher.waitForWork(ctx)
 		default:
 			_ = duty.Pause(ctx, wait)
 		}
 	}
 }
 
-func (f *fetcher) await(ctx context.Context) {
+func (f *fetcher) waitForWork(ctx context.Context) {
 	select {
-	case <-f.woken:
+	case <-f.wake:
 	case <-ctx.Done():
 	}
 }
 
-// askFor asks one question and takes in the answer or its lack.
-func (i *Instance) askFor(ctx context.Context, q *pieces.Question) {
-	a, err := i.ask(ctx, q)
+// requestPiece sends one request and records the answer or its failure.
+func (i *Instance) requestPiece(ctx context.Context, q *pieces.Question) {
+	a, err := i.call(ctx, q)
 	if ctx.Err() != nil {
 		return
 	}
@@ -129,23 +130,23 @@
 	} else if err = f.transfer.Answered(now, q, a); errors.Is(err, pieces.ErrDamaged) {
 		i.log.Warn("a piece of a configuration is damaged", zap.String("from", q.To), zap.Error(err))
 	}
-	i.tellSlow(now, q, err)
+	i.logSlowTransfer(now, q, err)
 }
 
-// tellSlow tells once of a transfer that takes long. f.mu is held.
-func (i *Instance) tellSlow(now time.Time, q *pieces.Question, err error) {
+// logSlowTransfer logs once that a transfer takes long. f.mu must be held.
+func (i *Instance) logSlowTransfer(now time.Time, q *pieces.Question, err error) {
 	f := i.fetcher
 	left, since, known := f.transfer.Left()
 	head := f.heads[f.transfer.Wanted()]
-	if head == nil || f.told == head.Root || now.Sub(since) < tellSlow {
+	if head == nil || f.slowLogged == head.Root || now.Sub(since) < slowTransferAge {
 		return
 	}
-	f.told = head.Root
+	f.slowLogged = head.Root
 	i.log.Warn("a configuration takes long to come", zap.Uint64("version", head.Version), zap.Duration("since", now.Sub(since)),
 		zap.Bool("manifest", known), zap.Int("pieces_left", left), zap.String("from", q.To), zap.Error(err))
 }
 
-func (i *Instance) ask(ctx context.Context, q *pieces.Question) (*pieces.Answer, error) {
+func (i *Instance) call(ctx context.Context, q *pieces.Question) (*pieces.Answer, error) {
 	payload, err := cbor.Marshal(q.Ask)
 	if err != nil {
 		return nil, err
@@ -160,8 +161,8 @@
 	return a, cbor.Unmarshal(data, a)
 }
 
-// adopt puts a document in force that has come whole.
-func (i *Instance) adopt() {
+// activate puts a document in force whose transfer is complete.
+func (i *Instance) activate() {
 	f := i.fetcher
 	f.mu.Lock()
 	if !f.transfer.Complete() {
@@ -171,7 +172,7 @@
 	_, since, _ := f.transfer.Left()
 	head := f.heads[f.transfer.Wanted()]
 	m, got := f.transfer.Take(time.Now())
-	f.taken = head.Root
+	f.completed = head.Root
 	for root, h := range f.heads {
 		if h.Index <= head.Index {
 			delete(f.heads, root)
@@ -179,7 +180,7 @@
 	}
 	f.mu.Unlock()
 
-	err := i.build(m, got)
+	err := i.buildIndex(m, got)
 	if err != nil {
 		i.log.Error("an accepted configuration cannot be read", zap.Uint64("version", head.Version), zap.Error(err))
 		return
@@ -192,14 +193,14 @@
 	k := &i.known
 	k.held, k.index = head, f.index
 	if k.head.Root == head.Root {
-		// An evacuation may have come meanwhile.
+		// An evacuation may have arrived meanwhile.
 		k.held = k.head
 	}
-	i.show(now)
+	i.updateView(now)
 }
 
-// build makes the index of a document from the pieces that came and those that are held.
-func (i *Instance) build(m *pieces.Manifest, got map[pieces.Digest][]byte) error {
+// buildIndex builds the index of a document from the received pieces and those that are kept.
+func (i *Instance) buildIndex(m *pieces.Manifest, got map[pieces.Digest][]byte) error {
 	f := i.fetcher
 	before, after := m.Frame()
 	frame := map[pieces.Digest][]byte{}
@@ -223,7 +224,7 @@
 	}
 	for _, d := range m.Elements() {
 		if groups[d] == nil {
-			groups[d], err = i.group(d, got)
+			groups[d], err = i.routeGroup(d, got)
 		}
 		if err != nil {
 			return err
@@ -236,7 +237,7 @@
 	return nil
 }
 
-func (i *Instance) group(d pieces.Digest, got map[pieces.Digest][]byte) (*routes.Group, error) {
+func (i *Instance) routeGroup(d pieces.Digest, got map[pieces.Digest][]byte) (*routes.Group, error) {
 	if known := i.fetcher.groups[d]; known != nil {
 		return known, nil
 	}
--- a/node/entry/fetch_bench_test.go
+++ b/node/entry/fetch_bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/gullhaven/gullhaven/platform"
 )
 
-// configuration is one of n routes, of which the middle one has a timeout of its own.
+// configuration returns one of n routes, of which the middle one has a timeout of its own.
 func configuration(version, n, timeout int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
@@ -35,13 +35,13 @@
 	return b.Bytes()
 }
 
-// heldConfiguration is a configuration as a core instance holds it.
-type heldConfiguration struct {
+// storedConfiguration is a configuration as a core instance holds it.
+type storedConfiguration struct {
 	head   *newest.Head
 	holder pieces.Holder
 }
 
-func hold(b testing.TB, index uint64, document []byte) *heldConfiguration {
+func storeConfiguration(b testing.TB, index uint64, document []byte) *storedConfiguration {
 	b.Helper()
 	f := platform.Format{}
 	s, err := pieces.Cut(document, f.Layout(document))
@@ -49,25 +49,25 @@
 		b.Fatal(err)
 	}
 	d := s.Pack()
-	h := &heldConfiguration{head: &newest.Head{Index: index, Version: index, Root: d.Manifest.Root()}}
+	h := &storedConfiguration{head: &newest.Head{Index: index, Version: index, Root: d.Manifest.Root()}}
 	h.holder.Put(h.head.Root, d)
 	return h
 }
 
-// take has an instance get a configuration, and returns the bytes that came.
-func (h *heldConfiguration) take(b testing.TB, i *Instance) (came int) {
+// transferTo transfers a configuration to an instance, and returns the number of bytes received.
+func (h *storedConfiguration) transferTo(b testing.TB, i *Instance) (received int) {
 	i.known.head = h.head
 	i.fetcher.want(time.Now(), h.head, "core")
 	for {
 		q, _ := i.fetcher.next(time.Now())
 		if q == nil {
-			return came
+			return received
 		}
 		data, err := cbor.Marshal(h.holder.Answer(&q.Ask))
 		if err != nil {
 			b.Fatal(err)
 		}
-		came += len(data)
+		received += len(data)
 		var a pieces.Answer
 		if err := cbor.Unmarshal(data, &a); err != nil {
 			b.Fatal(err)
@@ -75,18 +75,18 @@
 		if err := i.fetcher.transfer.Answered(time.Now(), q, &a); err != nil {
 			b.Fatal(err)
 		}
-		i.adopt()
+		i.activate()
 	}
 }
 
-// A change of one route costs an entry instance under a twentieth of the bytes of the whole
-// where there are thousands, and what it reads is the whole's.
+// A change of one route must cost an entry instance under a twentieth of the bytes of all routes if
+// there are thousands, and result in the complete configuration.
 func TestChangeOfOneRouteCostsLittle(t *testing.T) {
 	for _, n := range []int{1500, 6000, 12000} {
 		i := newInstance(t)
 		i.o.Format = platform.Format{}
-		whole := hold(t, 1, configuration(1, n, 2000)).take(t, i)
-		change := hold(t, 2, configuration(2, n, 3000)).take(t, i)
+		whole := storeConfiguration(t, 1, configuration(1, n, 2000)).transferTo(t, i)
+		change := storeConfiguration(t, 2, configuration(2, n, 3000)).transferTo(t, i)
 		if 20*change > whole {
 			t.Errorf("%d routes: %d bytes for one route, %d for all", n, change, whole)
 		}
@@ -96,9 +96,9 @@
 	}
 }
 
-// BenchmarkConfiguration measures what a configuration costs an entry instance: bytes that
-// come and processor time, as a whole and for one changed route, and for comparison the whole
-// document read at each change.
+// BenchmarkConfiguration measures what a configuration costs an entry instance: bytes received and
+// processor time, as a whole and for one changed route, and for comparison reading the whole
+// document at each change.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, n := range []int{50, 1500, 6000, 18000} {
 		document := configuration(1, n, 2000)
@@ -113,22 +113,22 @@
 			b.ReportMetric(float64(len(document)), "B/change")
 		})
 		b.Run(fmt.Sprintf("%d/whole", n), func(b *testing.B) {
-			h, came := hold(b, 1, document), 0
+			h, received := storeConfiguration(b, 1, document), 0
 			for b.Loop() {
 				i := &Instance{o: Options{Format: platform.Format{}}, log: zap.NewNop(), fetcher: newFetcher()}
-				came = h.take(b, i)
+				received = h.transferTo(b, i)
 			}
-			b.ReportMetric(float64(came), "B/change")
+			b.ReportMetric(float64(received), "B/change")
 		})
 		b.Run(fmt.Sprintf("%d/one_route", n), func(b *testing.B) {
-			versions := []*heldConfiguration{hold(b, 2, configuration(2, n, 3000)), hold(b, 3, configuration(3, n, 4000))}
+			versions := []*storedConfiguration{storeConfiguration(b, 2, configuration(2, n, 3000)), storeConfiguration(b, 3, configuration(3, n, 4000))}
 			i := &Instance{o: Options{Format: platform.Format{}}, log: zap.NewNop(), fetcher: newFetcher()}
-			hold(b, 1, document).take(b, i)
-			came := 0
+			storeConfiguration(b, 1, document).transferTo(b, i)
+			received := 0
 			for k := 0; b.Loop(); k++ {
-				came = versions[k%2].take(b, i)
+				received = versions[k%2].transferTo(b, i)
 			}
-			b.ReportMetric(float64(came), "B/change")
+			b.ReportMetric(float64(received), "B/change")
 		})
 	}
 }
--- a/node/entry/follow.go
+++ b/node/entry/follow.go
@@ -20,168 +20,169 @@
 )
 
 const (
-	// reportWait is how long the followed core instance may hold a report back where
-	// there is no news: the loads of the others are that old at most, and a few
-	// reports a second cost an instance under 1% of a core.
+	// reportWait is how long the followed core instance may hold a report back if nothing has
+	// changed: the loads of the others are that old at most, and a few reports a second cost an
+	// instance under 1% of a core.
 	reportWait = 200 * time.Millisecond
-	// longestWait bounds what a core instance may ask for in its place.
-	longestWait = time.Second
-	// reportTime bounds a report beyond its wait: a wide-area trip and a busy core
+	// maxReportWait bounds the longer wait that a core instance may ask for.
+	maxReportWait = time.Second
+	// reportTimeout bounds a report beyond its wait: a wide-area round trip and a busy core
 	// instance.
-	reportTime = 700 * time.Millisecond
-	// compareInterval is the time between two reports to a second core instance: the
-	// followed one may be cut off from the others without knowing it yet.
+	reportTimeout = 700 * time.Millisecond
+	// compareInterval is the time between two reports to a second core instance: the followed one
+	// may be cut off from the others without knowing it yet.
 	compareInterval = 1500 * time.Millisecond
-	// probeWait is how long a core instance may hold a probe back while it has no state and
-	// hears from no leader.
+	// probeWait is how long a core instance may hold a probe back while it has neither a state nor
+	// a leader.
 	probeWait = 500 * time.Millisecond
-	// beginPause is the time after a probe that was not answered: both may have started at
-	// the same moment. It doubles up to beginMost, as hundreds of instances may ask.
-	beginPause = 40 * time.Millisecond
-	beginMost  = 640 * time.Millisecond
-	// firstListTime is how much longer a report may take that brings the first list of
+	// probeBackoff is the delay after a probe that failed: both instances may have started at the
+	// same moment. It doubles up to maxProbeBackoff, as hundreds of instances may send probes.
+	probeBackoff    = 40 * time.Millisecond
+	maxProbeBackoff = 640 * time.Millisecond
+	// firstListExtraTime is how much longer a report may take whose answer has the first list of
 	// targets: hundreds of instances get it at once after a start, over links of 10 Mbit/s.
-	firstListTime = 4 * time.Second
-	// beginAfter is how long the other core instances are still asked once one has given a
-	// state: a dial and an answer over regions, with a start that is a little later.
-	beginAfter = 1200 * time.Millisecond
-	// failPause is the time after a report that failed.
-	failPause = 100 * time.Millisecond
-	// tellFailures is after how many reports in a row without an answer a line tells of it:
+	firstListExtraTime = 4 * time.Second
+	// startupProbeTime is how long the other core instances are still probed after one has returned
+	// a state: a dial and an answer between regions, and a slightly later start.
+	startupProbeTime = 1200 * time.Millisecond
+	// failureBackoff is the delay after a report that failed.
+	failureBackoff = 100 * time.Millisecond
+	// silentAfterFailures is the number of failed reports in a row at which a warning is logged:
 	// one or two are an election or a lost connection.
-	tellFailures = 3
+	silentAfterFailures = 3
 )
 
-// knowledge is what the core instances have told.
-type knowledge struct {
-	// head is the newest state that was told of; its document may still be on its way.
+// knownState is what the core instances have reported.
+type knownState struct {
+	// head is the newest known state; its document may still be in transfer.
 	head *newest.Head
-	// held is the newest state whose document is held, and index made of that.
+	// held is the newest state whose document is held, and index is built from that.
 	held  *newest.Head
 	index *routes.Index
 	list  feed.List
 	cores []feed.Core
-	// coresDigest is that of cores as they were told.
+	// coresDigest is that of cores as received.
 	coresDigest uint64
 	// entries are the other entry instances.
 	entries feed.Known
 	// joined says that a core instance has answered a report in which this instance was ready.
 	joined bool
-	// loads sums up what the others of the region have under way; partial says that only
-	// those of some groups of targets were asked for.
-	loads   []feed.Load
-	partial bool
-	regions []feed.Summary
-	// wait is how long the next report may be held back.
-	wait time.Duration
+	// loads are the sums of the others of the region; partialLoads says that they cover only some
+	// groups of targets.
+	loads        []feed.Load
+	partialLoads bool
+	regions      []feed.Summary
+	// nextReportWait is how long the next report may be held back.
+	nextReportWait time.Duration
 }
 
-// begin asks all core instances that are known, each again and again, until one gives a
-// state, or hears from a leader and has none. None waits for another: one that has started
-// a moment later is asked anew while those of other regions have not answered yet. The
-// others are asked on for a while: what one of them kept may be newer, and without a leader
-// no core instance knows that.
-func (i *Instance) begin(ctx context.Context) {
+// probeCores probes all known core instances in parallel, each repeatedly, until one returns a
+// state, or has a leader and no state. None waits for another: one that has started a moment later
+// is probed again while those of other regions have not answered yet. The others are still probed
+// for startupProbeTime: one of them may have kept a newer state, and without a leader no core
+// instance knows that.
+func (i *Instance) probeCores(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	begun := make(chan struct{})
 	var once sync.Once
 	for _, to := range i.candidates() {
-		i.wg.Go(func() { i.beginAt(ctx, to, func() { once.Do(func() { close(begun) }) }) })
+		i.wg.Go(func() { i.probeCore(ctx, to, func() { once.Do(func() { close(begun) }) }) })
 	}
 	select {
 	case <-begun:
 	case <-ctx.Done():
 	}
-	time.AfterFunc(i.askOn, cancel)
+	time.AfterFunc(i.startupProbeTime, cancel)
 }
 
-// beginAt asks one core instance until it answers with what serves to begin.
+// probeCore probes one core instance until it returns a state or has a leader, and then calls
+// begun.
 //
-// What goes wrong where it asks for more than that: all instances know the same few core
-// instances at the first start, and each of those would tell all entry instances all targets
-// and each other, again with each question, instead of electing a leader.
-func (i *Instance) beginAt(ctx context.Context, to string, begun func()) {
-	wait := beginPause
+// If it asked for more than that: at the first start all instances know the same few core
+// instances, and each of those would send all targets and all entry instances to all entry
+// instances, again for each request, instead of electing a leader.
+func (i *Instance) probeCore(ctx context.Context, to string, begun func()) {
+	wait := probeBackoff
 	for ctx.Err() == nil {
-		u, err := i.report(ctx, to, i.makeProbe())
+		u, err := i.report(ctx, to, i.newProbe())
 		if ctx.Err() != nil {
 			return
 		}
-		i.note(to, u, err)
-		if err == nil && (i.heard() || u.HasLeader) {
+		i.recordResult(to, u, err)
+		if err == nil && (i.hasState() || u.HasLeader) {
 			begun()
 			return
 		}
 		if err == nil {
-			wait = beginPause
+			wait = probeBackoff
 		}
 		_ = duty.Pause(ctx, wait)
-		wait = min(2*wait, beginMost)
+		wait = min(2*wait, maxProbeBackoff)
 	}
 }
 
-// makeProbe is a report that asks for the state and the core instances only.
-func (i *Instance) makeProbe() feed.Report {
-	r := i.makeReport(0)
+// newProbe returns a report that asks for the state and the core instances only.
+func (i *Instance) newProbe() feed.Report {
+	r := i.newReport(0)
 	r.Brief, r.Probe, r.WaitMillis = true, true, probeWait.Milliseconds()
 	return r
 }
 
-// heard reports whether any state was told of.
-func (i *Instance) heard() bool {
+// hasState reports whether any state is known.
+func (i *Instance) hasState() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.known.head != nil
 }
 
-// follow reports to one core instance again and again.
+// follow reports to the followed core instance until ctx ends.
 func (i *Instance) follow(ctx context.Context) {
-	i.begin(ctx)
+	i.probeCores(ctx)
 	for ctx.Err() == nil {
 		to := i.followed()
-		u, err := i.report(ctx, to, i.makeReport(i.reportWait()))
-		i.note(to, u, err)
+		u, err := i.report(ctx, to, i.newReport(i.reportWait()))
+		i.recordResult(to, u, err)
 		if err != nil {
 			i.log.Debug("report failed", zap.String("to", to), zap.Error(err))
-			_ = duty.Pause(ctx, failPause)
+			_ = duty.Pause(ctx, failureBackoff)
 			continue
 		}
 		if !u.HasLeader {
-			_ = duty.Pause(ctx, failPause)
+			_ = duty.Pause(ctx, failureBackoff)
 		}
 	}
 }
 
-// nextWait is how long the report after an answer may wait.
-func nextWait(u *feed.Update) time.Duration {
-	return max(reportWait, min(longestWait, time.Duration(u.WaitMillis)*time.Millisecond))
+// waitAfter returns how long the report after an answer may wait.
+func waitAfter(u *feed.Update) time.Duration {
+	return max(reportWait, min(maxReportWait, time.Duration(u.WaitMillis)*time.Millisecond))
 }
 
 func (i *Instance) reportWait() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return max(reportWait, i.known.wait)
+	return max(reportWait, i.known.nextReportWait)
 }
 
-// compare asks one core instance after the other for news that the followed one may
-// lack, and finds one that hears from a leader again.
+// compare asks one core instance after the other for updates that the followed one may lack, and
+// finds one that has a leader again.
 func (i *Instance) compare(ctx context.Context) {
-	for turn := 0; ctx.Err() == nil; turn++ {
+	for n := 0; ctx.Err() == nil; n++ {
 		_ = duty.Pause(ctx, compareInterval)
 		followed, candidates := i.followed(), i.candidates()
-		to := i.chooser.ChooseOther(turn, followed, candidates)
+		to := i.chooser.ChooseOther(n, followed, candidates)
 		if to == "" {
 			continue
 		}
-		r := i.makeReport(0)
-		// The first list comes from the followed one: it is long, and under way.
+		r := i.newReport(0)
+		// The first list comes from the followed one: it is long, and already requested.
 		r.Brief, r.Probe = true, r.ListDigest == 0
 		u, err := i.report(ctx, to, r)
-		i.note(to, u, err)
+		i.recordResult(to, u, err)
 	}
 }
 
-// followed is the core instance to report to.
+// followed returns the core instance to report to.
 func (i *Instance) followed() string {
 	candidates := i.candidates()
 	i.mu.Lock()
@@ -189,39 +190,39 @@
 	return i.chooser.Choose(time.Now(), candidates)
 }
 
-// note takes in an answer or its lack.
-func (i *Instance) note(to string, u *feed.Update, err error) {
+// recordResult records an answer or the failure of a report.
+func (i *Instance) recordResult(to string, u *feed.Update, err error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if err != nil {
 		i.chooser.RecordFailure(time.Now(), to)
-		i.unanswered(to, err)
+		i.recordFailure(to, err)
 		return
 	}
 	i.chooser.RecordAnswer(to, u.HasLeader)
-	if i.silent {
-		i.log.Info("core instances answer again", zap.String("from", to), zap.Int("failed", i.failedInRow))
+	if i.silenceLogged {
+		i.log.Info("core instances answer again", zap.String("from", to), zap.Int("failed", i.consecutiveFailures))
 	}
-	i.failedInRow, i.silent = 0, false
+	i.consecutiveFailures, i.silenceLogged = 0, false
 }
 
-// unanswered counts a report without an answer, and tells when news have stayed away for
-// some reports: what is in force and the list of targets grow old from then on.
-func (i *Instance) unanswered(to string, err error) {
+// recordFailure counts a failed report, and logs when several have failed in a row: from then on
+// the active configuration and the list of targets become outdated.
+func (i *Instance) recordFailure(to string, err error) {
 	i.metrics.ReportsFailed.Inc(1)
-	i.failedInRow++
+	i.consecutiveFailures++
 	k := &i.known
-	if i.failedInRow != tellFailures || k.held == nil {
+	if i.consecutiveFailures != silentAfterFailures || k.held == nil {
 		// At a start the others may not listen yet.
 		return
 	}
-	i.silent = true
-	i.log.Warn("core instances do not answer", zap.String("last", to), zap.Int("failed", i.failedInRow), zap.Error(err),
+	i.silenceLogged = true
+	i.log.Warn("core instances do not answer", zap.String("last", to), zap.Int("failed", i.consecutiveFailures), zap.Error(err),
 		zap.Uint64("version", k.held.Version), zap.Duration("list_age", time.Since(k.list.ReadAt)))
 }
 
-// candidates are the core instances, those of the own zone and region first, in an
-// order that differs from instance to instance; before any is known, the seeds.
+// candidates returns the core instances, those of the own zone and region first, in an order that
+// differs between instances; before any is known, the seeds.
 func (i *Instance) candidates() []string {
 	i.mu.Lock()
 	cores := slices.Clone(i.known.cores)
@@ -249,42 +250,42 @@
 	return out
 }
 
-// report tells a core instance of this one, takes in its news and returns them.
+// report sends a report to a core instance, applies the answer and returns it.
 func (i *Instance) report(ctx context.Context, to string, r feed.Report) (*feed.Update, error) {
 	payload, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, err
 	}
-	within := time.Duration(r.WaitMillis)*time.Millisecond + reportTime
+	timeout := time.Duration(r.WaitMillis)*time.Millisecond + reportTimeout
 	if r.ListDigest == 0 && !r.Brief {
-		within += firstListTime
+		timeout += firstListExtraTime
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answer, err := i.hub.Call(ctx, to, control.ChannelReport, payload)
 	if err != nil {
-		i.killers.putBack(r.Suspects)
+		i.poisonRequests.restorePending(r.Suspects)
 		return nil, err
 	}
 	u := &feed.Update{}
 	if err := cbor.Unmarshal(answer, u); err != nil {
 		return nil, err
 	}
-	i.learn(to, u, r)
+	i.applyUpdate(to, u, r)
 	return u, nil
 }
 
-// makeReport leaves loads out where there is no wait: they are told to the followed core
-// instance only, or they would count twice.
-func (i *Instance) makeReport(wait time.Duration) feed.Report {
+// newReport returns a report. Without a wait it has no loads: they are sent to the followed core
+// instance only, as they would otherwise count twice.
+func (i *Instance) newReport(wait time.Duration) feed.Report {
 	self := i.o.Self
 	self.Ready, self.Leaving = i.Ready(), i.leaving()
-	r := feed.Report{WaitMillis: wait.Milliseconds(), Suspects: i.killers.takeNews()}
+	r := feed.Report{WaitMillis: wait.Milliseconds(), Suspects: i.poisonRequests.takePending()}
 	if wait > 0 {
 		for id, l := range i.pool.Loads(time.Now()) {
 			self.Loads = append(self.Loads, feed.Load{Target: id, Running: l.Running, PendingPrefill: l.PendingPrefill.ByRank(), PrefillMillis: l.PrefillMillis})
 		}
-		r.Groups, r.PartialLoads = i.wantedGroups()
+		r.Groups, r.PartialLoads = i.loadGroups()
 		for service, sums := range i.pool.PrefillSums(time.Now()) {
 			self.PrefillSums = append(self.PrefillSums, feed.PrefillSums{Service: service, Tokens: int64(sums.Tokens), Millis: int64(sums.Millis)})
 		}
@@ -307,13 +308,13 @@
 	return r
 }
 
-// wholeLoads is how many targets a region may have for each instance to be told the loads of
-// all: 40 KB a second if all of them are busy.
-const wholeLoads = 200
+// maxTargetsForAllLoads is up to how many targets of a region each instance gets the loads of all:
+// 40 KB a second if all of them are busy.
+const maxTargetsForAllLoads = 200
 
-// wantedGroups are the groups whose loads are asked for; false for all targets.
-func (i *Instance) wantedGroups() ([]pick.Group, bool) {
-	if i.pool.Targets() <= wholeLoads {
+// loadGroups returns the groups whose loads are requested; false for all targets.
+func (i *Instance) loadGroups() ([]pick.Group, bool) {
+	if i.pool.Targets() <= maxTargetsForAllLoads {
 		return nil, false
 	}
 	return i.pool.WatchedGroups(), true
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -1,8 +1,9 @@
-// Package entry runs an entry instance: it takes the requests of callers and keeps
-// its view of the surroundings by reporting to core instances.
+// Package entry runs an entry instance: it serves the requests of callers and keeps its view of the
+// region up to date by reporting to core instances.
 //
-// Duties, each a goroutine: following one core instance, comparing with a second one,
-// getting new configurations, letting go of requests decided for others, and tidying up. It has no disk and is no member of the group.
+// Background goroutines follow one core instance, compare with a second one, transfer new
+// configurations, serve the choices of targets and the limits that are shared with other instances,
+// and remove what is unused. An entry instance has no disk and is not a member of the log's group.
 package entry
 
 import (
@@ -30,21 +31,21 @@
 
 // Options of an Instance.
 type Options struct {
-	// Self is what it tells of itself; Ready and Loads are filled in.
+	// Self is what it reports of itself; Ready, Leaving and Loads are filled in.
 	Self feed.Entry
-	// Seeds are core instances by id.
+	// Seeds are the IDs of core instances.
 	Seeds []string
 	// Format reads configurations.
 	Format  routes.Format
 	Dialect exchange.Dialect
 	Retries exchange.RetryLimits
-	// Regions are all regions of the site, Tolerance what the platform lets all instances
-	// together pass beyond a workspace's limit.
+	// Regions are all regions of the site, Tolerance what the platform allows all instances
+	// together to admit beyond a workspace's limit.
 	Regions   []string
 	Tolerance quota.Tolerance
-	// Log tells of failures and changes, Ordinary of each request that was answered.
+	// Log is for failures and changes, AccessLog for each answered request.
 	Log, AccessLog *zap.Logger
-	// Lines tells of missing log lines; nil where none are counted.
+	// Lines counts missing log lines; nil if they are not counted.
 	Lines lines.Counts
 }
 
@@ -57,90 +58,90 @@
 	gateway *exchange.Gateway
 	targets *rawhttp.Client
 	peers   *rawhttp.Client
-	// deciding has others choose targets, and chooses for others.
-	deciding *deciding.Service
-	killers  *killers
-	limits   *quota.Service
-	fetcher  *fetcher
-	metrics  *metrics.SiteEntry
+	// deciding has targets chosen by group owners, and chooses those of the groups that it owns.
+	deciding       *deciding.Service
+	poisonRequests *poisonRequests
+	limits         *quota.Service
+	fetcher        *fetcher
+	metrics        *metrics.SiteEntry
 
-	// askOn is beginAfter but in tests.
-	askOn time.Duration
+	// startupProbeTime is the constant except in tests.
+	startupProbeTime time.Duration
 
 	draining atomic.Bool
-	// mu guards what follows.
-	mu      sync.Mutex
-	known   knowledge
-	last    lastView
-	chooser *feed.CoreChooser
-	// failedInRow counts the newest reports without an answer; silent says that a line told
-	// of them.
-	failedInRow int
-	silent      bool
+	// mu guards the fields of this group.
+	mu       sync.Mutex
+	known    knownState
+	lastView lastView
+	chooser  *feed.CoreChooser
+	// consecutiveFailures is the number of reports that failed since the last answer; silenceLogged
+	// says that they were logged.
+	consecutiveFailures int
+	silenceLogged       bool
 
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 }
 
-// Times of passing on: another region is 80 ms away.
+// Timeouts of forwarding: another region is 80 ms away.
 const (
-	// peerDialTime is two round trips and some: a packet that is lost costs a second, and
-	// another instance is asked before that.
-	peerDialTime = 400 * time.Millisecond
-	peerIdleTime = 20 * time.Second
-	// peerSilence is how long bytes to another region may stay unacknowledged: a cut
-	// shows within it, and lost packets are sent again in it.
-	peerSilence = 2 * time.Second
+	// peerDialTimeout is somewhat over two round trips: a lost packet costs a second, and another
+	// instance is tried before that.
+	peerDialTimeout = 400 * time.Millisecond
+	peerIdleTimeout = 20 * time.Second
+	// peerSilenceTimeout is how long bytes to another region may stay unacknowledged: it detects a
+	// partition, and leaves time to retransmit lost packets.
+	peerSilenceTimeout = 2 * time.Second
 )
 
-// New assembles an instance. Start begins its duties.
+// New returns an instance. Start starts its goroutines.
 func New(o Options) (*Instance, error) {
 	hub, err := link.New(control.LinkOptions(o.Self.ID, append(deciding.Channels(), quota.Channels()...)...))
 	if err != nil {
 		return nil, err
 	}
 	i := &Instance{
-		o: o, log: o.Log, hub: hub, chooser: feed.NewCoreChooser(), askOn: beginAfter,
+		o: o, log: o.Log, hub: hub, chooser: feed.NewCoreChooser(), startupProbeTime: startupProbeTime,
 		pool:    pick.New(o.Self.ID),
 		targets: rawhttp.NewClient(rawhttp.Options{}),
-		peers:   rawhttp.NewClient(rawhttp.Options{DialTime: peerDialTime, IdleTime: peerIdleTime, Silence: peerSilence}),
+		peers:   rawhttp.NewClient(rawhttp.Options{DialTime: peerDialTimeout, IdleTime: peerIdleTimeout, Silence: peerSilenceTimeout}),
 	}
 	i.known.entries.Self = o.Self.ID
-	i.metrics = metrics.NewSiteEntry(i.shown)
-	i.killers = newKillers(o.Log)
+	i.metrics = metrics.NewSiteEntry(i.metricsState)
+	i.poisonRequests = newPoisonRequests(o.Log)
 	i.fetcher = newFetcher()
 	i.deciding = deciding.New(o.Self.ID, hub, i.pool, o.Log)
 	i.limits = quota.New(quota.Options{
 		Self: o.Self.ID, Region: o.Self.Region, Regions: len(o.Regions), Tolerance: o.Tolerance, Hub: hub, Core: i.followed, Log: o.Log,
 	})
 	i.gateway = exchange.New(exchange.Options{
-		Self: o.Self.ID, Region: o.Self.Region, Dialect: o.Dialect, Pool: i.pool, Decider: i.deciding, Killers: i.killers, Limits: i.limits, Targets: i.targets, Peers: i.peers,
+		Self: o.Self.ID, Region: o.Self.Region, Dialect: o.Dialect, Pool: i.pool, Decider: i.deciding, Killers: i.poisonRequests, Limits: i.limits, Targets: i.targets, Peers: i.peers,
 		Retries: o.Retries, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Log: o.Log,
 		Ordinary: o.AccessLog, Metrics: i.metrics,
 	})
 	return i, nil
 }
 
-// Callers serves callers.
+// CallerHandler serves callers.
 func (i *Instance) CallerHandler() http.Handler { return i.gateway }
 
-// Peers serves the links and the requests of other instances.
+// PeerHandler serves the links and the forwarded requests of other instances.
 func (i *Instance) PeerHandler() http.Handler {
-	links, passed := i.hub.Handler(), i.gateway.PassedOn()
+	links, forwarded := i.hub.Handler(), i.gateway.PassedOn()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == link.DefaultPath {
 			links.ServeHTTP(w, r)
 			return
 		}
-		passed.ServeHTTP(w, r)
+		forwarded.ServeHTTP(w, r)
 	})
 }
 
-// Metrics serves the metrics as text.
+// MetricsHandler serves the metrics as text.
 func (i *Instance) MetricsHandler() http.Handler { return i.metrics }
 
-// shown is the state that the metrics show.
-func (i *Instance) shown() metrics.EntryState {
+// metricsState returns the current values for the metrics.
+func (i *Instance) metricsState() metrics.EntryState {
 	now := time.Now()
 	s := metrics.EntryState{InFlight: i.gateway.InFlight(), Dials: int64(i.targets.Dials()), ListAge: -1}
 	c := i.pool.Count(now)
@@ -162,55 +163,55 @@
 	if i.known.head != nil {
 		s.Heard = int64(i.known.head.Version)
 	}
-	left, transfers := i.fetcher.state()
+	left, transfers := i.fetcher.progress()
 	s.PiecesLeft, s.PieceBytes, s.PiecesFailed = int64(left), int64(transfers.Bytes), int64(transfers.Failed)
 	return s
 }
 
-// Ready reports whether it takes requests.
+// Ready reports whether it accepts requests.
 func (i *Instance) Ready() bool { return !i.draining.Load() && i.gateway.View() != nil }
 
-// leaving reports whether it still takes callers though it leaves.
+// leaving reports whether it is leaving and still accepts callers.
 func (i *Instance) leaving() bool {
 	return i.draining.Load() && i.gateway.View() != nil && !i.gateway.RefusesStreams()
 }
 
-// Gateway is the request path.
+// Gateway returns the request path.
 func (i *Instance) Gateway() *exchange.Gateway { return i.gateway }
 
-// Start begins the duties.
+// Start starts the goroutines. Call it once; Stop ends them.
 func (i *Instance) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	i.cancel = cancel
-	for _, duty := range []func(context.Context){i.follow, i.compare, i.fetch, i.targets.Run, i.peers.Run, i.deciding.Run, i.limits.Run, i.tidy} {
-		i.wg.Go(func() { duty(ctx) })
+	for _, run := range []func(context.Context){i.follow, i.compare, i.fetch, i.targets.Run, i.peers.Run, i.deciding.Run, i.limits.Run, i.expireUnused} {
+		i.wg.Go(func() { run(ctx) })
 	}
 }
 
-// Drain stops being ready and being named to callers; requests are still served, and
-// each answer closes its connection.
+// Drain makes the instance not ready, so that the directory no longer names it to callers. Requests
+// are still served, and each answer closes its connection.
 func (i *Instance) Drain() {
 	i.draining.Store(true)
 	i.gateway.Drain()
 	i.wg.Go(func() {
-		// The directory must stop naming it before the followed core instance's
-		// answer to the last report is due.
-		ctx, cancel := context.WithTimeout(context.Background(), reportTime)
+		// The directory must stop naming it before the followed core instance's answer to the last
+		// report is due.
+		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
-		if _, err := i.report(ctx, i.followed(), i.makeReport(0)); err != nil {
+		if _, err := i.report(ctx, i.followed(), i.newReport(0)); err != nil {
 			i.log.Warn("leaving was not told, the next report tells", zap.Error(err))
 		}
 	})
 }
 
-// Stop ends the duties.
+// Stop ends the goroutines and waits for them.
 func (i *Instance) Stop() {
 	i.cancel()
 	i.hub.Close()
 	i.wg.Wait()
 }
 
-// Addresses names the entry instances for a caller of a host in a region.
+// CallerAddresses returns the addresses of entry instances for a caller of a host in a region.
 func (i *Instance) CallerAddresses(host, region string) []string {
 	weight := func(string) int { return 0 }
 	if view := i.gateway.View(); view != nil {
--- a/node/entry/begin_test.go
+++ b/node/entry/probe_test.go
@@ -17,10 +17,10 @@
 	"github.com/gullhaven/gullhaven/node/feed"
 )
 
-// coreStandIn answers reports with a state, each after answers was read once.
-func coreStandIn(t *testing.T, s *newest.State, answers <-chan struct{}) (id string) {
+// stubCore answers reports with a state, each after one value was read from answers.
+func stubCore(t *testing.T, s *newest.State, answers <-chan struct{}) (id string) {
 	t.Helper()
-	return answering(t, func(ctx context.Context, _ *feed.Report) (feed.Update, error) {
+	return serveReports(t, func(ctx context.Context, _ *feed.Report) (feed.Update, error) {
 		select {
 		case <-answers:
 		case <-ctx.Done():
@@ -30,8 +30,8 @@
 	})
 }
 
-// answering is a core instance that answers reports by a function.
-func answering(t *testing.T, answer func(context.Context, *feed.Report) (feed.Update, error)) (id string) {
+// serveReports starts a core instance that answers reports by a function, and returns its ID.
+func serveReports(t *testing.T, answer func(context.Context, *feed.Report) (feed.Update, error)) (id string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,23 +61,21 @@
 	return id
 }
 
-// Symptom: after a loss of power of all, entry instances serve by different versions, and
-// refuse each other's requests until there is a leader.
-// Events: no core instance hears from a leader; what each of them kept differs; the one
-// that answers first has the older state.
-// Cause: the first answer ended the questions to the others.
-func TestNewerStateOfALaterAnswerIsTaken(t *testing.T) {
+// Guards against entry instances that, after a power loss of all, serve different versions and
+// refuse each other's requests until there is a leader: no core instance has a leader, each has
+// kept another state, and the first answer, with an older one, ends the probes of the others.
+func TestNewerStateOfLaterAnswerIsUsed(t *testing.T) {
 	now, later := make(chan struct{}), make(chan struct{})
 	close(now)
-	old, newer := coreStandIn(t, state(1, 5), now), coreStandIn(t, state(3, 9), later)
+	old, newer := stubCore(t, state(1, 5), now), stubCore(t, state(3, 9), later)
 	i := newInstance(t)
-	i.o.Seeds, i.askOn = []string{newer, old}, time.Minute
+	i.o.Seeds, i.startupProbeTime = []string{newer, old}, time.Minute
 	ctx, cancel := context.WithCancel(t.Context())
 	defer func() {
 		cancel()
 		i.wg.Wait()
 	}()
-	i.begin(ctx)
+	i.probeCores(ctx)
 	index := func() uint64 {
 		i.mu.Lock()
 		defer i.mu.Unlock()
@@ -87,7 +85,7 @@
 		return i.known.head.Index
 	}
 	if got := index(); got != 1 {
-		t.Fatalf("begins with state %d", got)
+		t.Fatalf("first state is %d", got)
 	}
 	close(later)
 	for end := time.Now().Add(20 * time.Second); index() != 3; time.Sleep(time.Millisecond) {
@@ -97,23 +95,21 @@
 	}
 }
 
-// Symptom: a thousand instances start and none is ready for a minute: three core instances
-// are at the end of their processor and elect no leader.
-// Events: all instances know the same three core instances and ask each of them again and
-// again.
-// Cause: each answer held all targets and all entry instances.
-func TestBeginsWithProbes(t *testing.T) {
+// Guards against a thousand starting instances of which none is ready for a minute: all know the
+// same three core instances and ask them repeatedly, each answer holds all targets and all entry
+// instances, and the core instances run out of processor time and elect no leader.
+func TestStartsWithProbes(t *testing.T) {
 	var mu sync.Mutex
 	var reports []feed.Report
-	core := answering(t, func(_ context.Context, r *feed.Report) (feed.Update, error) {
+	core := serveReports(t, func(_ context.Context, r *feed.Report) (feed.Update, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		reports = append(reports, *r)
 		return feed.Update{HasLeader: len(reports) == 3, ListAgeMillis: -1}, nil
 	})
 	i := newInstance(t)
-	i.o.Seeds, i.askOn = []string{core}, 0
-	i.begin(t.Context())
+	i.o.Seeds, i.startupProbeTime = []string{core}, 0
+	i.probeCores(t.Context())
 	i.wg.Wait()
 	if len(reports) != 3 {
 		t.Errorf("%d reports", len(reports))
--- a/node/entry/learn.go
+++ b/node/entry/update.go
@@ -14,22 +14,22 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// learn takes in the answer of a core instance to a report. Neither the state of the log
-// nor the list goes back: the core instance may lag.
-func (i *Instance) learn(from string, u *feed.Update, r feed.Report) {
+// applyUpdate applies the answer of a core instance to a report. Neither the state of the log nor
+// the list is replaced by an older one: the core instance may lag.
+func (i *Instance) applyUpdate(from string, u *feed.Update, r feed.Report) {
 	now := time.Now()
-	i.killers.learn(u.Suspects)
+	i.poisonRequests.merge(u.Suspects)
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	k := &i.known
 	if u.Head != nil {
-		i.learnHead(now, from, u.Head)
+		i.applyHead(now, from, u.Head)
 	}
 	readAt := now.Add(-time.Duration(u.ListAgeMillis) * time.Millisecond)
 	switch {
 	case u.ListAgeMillis < 0 || !readAt.After(k.list.ReadAt):
 	case len(u.List) > 0:
-		i.learnList(u.List, now, readAt)
+		i.applyList(u.List, now, readAt)
 	case r.ListDigest == k.list.Digest:
 		k.list.ReadAt = readAt
 	}
@@ -42,21 +42,21 @@
 	}
 	if !r.Brief {
 		k.regions = u.Regions
-		// The answer to a report that called this instance ready tells of all that were.
+		// The answer to a report in which this instance was ready includes all instances that were.
 		k.joined = k.joined || r.Self.Ready
 	}
 	if u.SameRegion {
-		k.loads, k.partial = u.Loads, r.PartialLoads
+		k.loads, k.partialLoads = u.Loads, r.PartialLoads
 	}
 	if !r.Brief {
-		k.wait = nextWait(u)
+		k.nextReportWait = waitAfter(u)
 	}
-	i.show(now)
+	i.updateView(now)
 }
 
-// learnList takes in news of the list; those about another list than the one held are
-// asked for anew.
-func (i *Instance) learnList(data []byte, now, readAt time.Time) {
+// applyList applies an update of the list. An update based on another list than the one held is
+// ignored, and the next report asks for it again.
+func (i *Instance) applyList(data []byte, now, readAt time.Time) {
 	var n feed.ListUpdate
 	if err := cbor.Unmarshal(data, &n); err != nil {
 		i.log.Warn("a list of targets cannot be read", zap.Error(err))
@@ -67,9 +67,9 @@
 	}
 }
 
-// learnHead takes in a state that a core instance tells of. Its evacuations hold at once,
-// its document has to be asked for.
-func (i *Instance) learnHead(now time.Time, from string, h *newest.Head) {
+// applyHead applies a state that a core instance has reported. Its evacuations take effect at once;
+// its document must be requested.
+func (i *Instance) applyHead(now time.Time, from string, h *newest.Head) {
 	k := &i.known
 	if k.head != nil && h.Index < k.head.Index {
 		return
@@ -82,64 +82,64 @@
 	i.fetcher.want(now, h, from)
 }
 
-// show makes the view of what is known.
-func (i *Instance) show(now time.Time) {
+// updateView builds the view from the known state.
+func (i *Instance) updateView(now time.Time) {
 	k := &i.known
 	if k.index == nil || k.list.ReadAt.IsZero() {
-		// Without a list it would take requests and have no target for any.
+		// Without a list it would accept requests and have no target for any.
 		return
 	}
 	next := &exchange.View{
 		Index: k.index, Regions: map[exchange.RegionService]pick.RegionLoad{}, Entries: len(k.entries.Entries) + 1, ListAt: k.list.ReadAt,
 	}
-	i.showRegions(next)
-	if current := i.currentBasis(); i.last.basis != current {
-		i.last = lastView{basis: current, peers: i.currentPeers()}
-		snapshot := i.snapshot(next.Index)
+	i.addRegions(next)
+	if current := i.currentInputs(); i.lastView.inputs != current {
+		i.lastView = lastView{inputs: current, peers: i.currentPeers()}
+		snapshot := i.poolSnapshot(next.Index)
 		i.pool.Update(now, snapshot)
 		i.limits.SetView(next.Index, snapshot.Entries, next.Entries)
 	} else {
 		i.pool.UpdateLoads(now, k.poolLoads())
 	}
-	next.Peers = i.last.peers
+	next.Peers = i.lastView.peers
 	i.gateway.SetView(next)
 }
 
-// lastView is what the last view was made of.
+// lastView holds what the last view was built from.
 type lastView struct {
-	basis basis
-	peers []exchange.Peer
+	inputs viewInputs
+	peers  []exchange.Peer
 }
 
-// basis is all that a snapshot of the pool is made of but the loads.
+// viewInputs is all that a snapshot of the pool is built from except the loads.
 //
-// What goes wrong where each report makes a snapshot: an instance before thousands of targets
-// goes over all of them some times a second, when nothing has changed.
-type basis struct {
+// If each report built a snapshot, an instance with thousands of targets would go over all of them
+// several times a second, although nothing has changed.
+type viewInputs struct {
 	index *routes.Index
 	head  *newest.Head
 	list  uint64
 	// epoch and at are those of the entry instances.
 	epoch, at                uint64
 	ready, leaving, draining bool
-	joined, partial          bool
-	settle                   time.Duration
+	joined, partialLoads     bool
+	propagationDelay         time.Duration
 }
 
-func (i *Instance) currentBasis() basis {
+func (i *Instance) currentInputs() viewInputs {
 	k := &i.known
-	return basis{
+	return viewInputs{
 		index: k.index, head: k.head, list: k.list.Digest, epoch: k.entries.Epoch, at: k.entries.At,
-		ready: i.Ready(), leaving: i.leaving(), draining: i.draining.Load(), joined: k.joined, partial: k.partial,
-		settle: k.settle(),
+		ready: i.Ready(), leaving: i.leaving(), draining: i.draining.Load(), joined: k.joined, partialLoads: k.partialLoads,
+		propagationDelay: k.propagationDelay(),
 	}
 }
 
-// currentPeers are the entry instances of other regions that take requests.
+// currentPeers returns the entry instances of other regions that accept requests.
 func (i *Instance) currentPeers() (out []exchange.Peer) {
 	for _, e := range i.known.entries.Entries {
-		// One that leaves is no way into its region: its end would cut off what was passed on
-		// to it, and the caller's own instance may be leaving as well.
+		// A leaving one is excluded: its end would cut off requests forwarded to it, and the
+		// caller's own instance may be leaving as well.
 		if e.Ready && e.Region != i.o.Self.Region {
 			out = append(out, exchange.Peer{Address: e.ID, Region: e.Region})
 		}
@@ -147,8 +147,8 @@
 	return out
 }
 
-// showRegions sums up the other regions.
-func (i *Instance) showRegions(v *exchange.View) {
+// addRegions adds the summaries of the other regions to a view.
+func (i *Instance) addRegions(v *exchange.View) {
 	for _, s := range i.known.regions {
 		if !s.Valid() {
 			i.metrics.SummariesInvalid.Inc(1)
@@ -159,14 +159,15 @@
 		}
 		key := exchange.RegionService{Region: s.Region, Service: s.Service}
 		v.Regions[key] = pick.RegionLoad{Targets: s.Targets, Slots: s.Slots, Load: pick.Load{
-			Running: s.Running, PendingPrefill: queue(s.PendingPrefill), PrefillMillis: s.PrefillMillis,
+			Running: s.Running, PendingPrefill: queueByRank(s.PendingPrefill), PrefillMillis: s.PrefillMillis,
 		}, Prefill: pick.PrefillSums{Tokens: float64(s.PrefillSumTokens), Millis: float64(s.PrefillSumMillis)}, LoadUnknown: s.LoadUnknown}
 	}
 }
 
-// takers are the entry instances of a region that take requests: the ready ones, or where
-// it has none those that leave and still take all, so that these agree on who decides.
-func takers(entries []feed.Entry, region string) []string {
+// acceptingEntries returns the entry instances of a region that accept requests: the ready ones,
+// or, if it has none, those that are leaving and still accept all, so that these agree on the group
+// owners.
+func acceptingEntries(entries []feed.Entry, region string) []string {
 	var ready, leaving []string
 	for _, e := range entries {
 		switch {
@@ -183,9 +184,9 @@
 	return leaving
 }
 
-// queue is what waits, as another instance told it; ranks beyond those that are told apart
-// count as the last.
-func queue(byRank []int) pick.Queue {
+// queueByRank converts pending prefill tokens by rank; ranks above the highest known one count as
+// that.
+func queueByRank(byRank []int) pick.Queue {
 	var q pick.Queue
 	for rank, tokens := range byRank {
 		q[min(rank, pick.Ranks-1)] += tokens
@@ -193,10 +194,10 @@
 	return q
 }
 
-// snapshot is what the pool needs to know.
-func (i *Instance) snapshot(index *routes.Index) pick.Snapshot {
+// poolSnapshot returns what the pool needs to know.
+func (i *Instance) poolSnapshot(index *routes.Index) pick.Snapshot {
 	k := &i.known
-	s := pick.Snapshot{Evacuated: map[string]bool{}, Loads: k.poolLoads(), PartialLoads: k.partial, PropagationDelay: k.settle(), Rules: map[string]pick.ServiceRules{}}
+	s := pick.Snapshot{Evacuated: map[string]bool{}, Loads: k.poolLoads(), PartialLoads: k.partialLoads, PropagationDelay: k.propagationDelay(), Rules: map[string]pick.ServiceRules{}}
 	for _, zone := range k.head.Zones() {
 		s.Evacuated[zone] = true
 	}
@@ -213,7 +214,7 @@
 	// The first view makes it ready.
 	self.Ready, self.Leaving = !i.draining.Load(), i.leaving()
 	s.Joining = !k.joined
-	s.Entries = takers(append([]feed.Entry{self}, k.entries.Entries...), self.Region)
+	s.Entries = acceptingEntries(append([]feed.Entry{self}, k.entries.Entries...), self.Region)
 	for _, service := range index.Table.Services {
 		rules := pick.ServiceRules{
 			ColdFor: service.ColdFor, ColdPerSecond: service.ColdPerSecond, GapAim: index.GapAim(service.Name),
@@ -226,18 +227,21 @@
 	return s
 }
 
-// slackOfNews is how much longer than its intervals news may take, over a busy link and at
-// instances that are short of processor.
-const slackOfNews = 300 * time.Millisecond
+// propagationSlack is how much longer than its intervals an update may take, over a busy link and
+// at instances that are short of processor time.
+const propagationSlack = 300 * time.Millisecond
 
-// settle is how long news of an entry instance take to the others: see pick.Snapshot.
-func (k *knowledge) settle() time.Duration { return 2*k.wait + control.GossipInterval + slackOfNews }
+// propagationDelay is how long an update of an entry instance takes to reach the others: see
+// pick.Snapshot.
+func (k *knownState) propagationDelay() time.Duration {
+	return 2*k.nextReportWait + control.GossipInterval + propagationSlack
+}
 
-// poolLoads are the loads of the others as the pool takes them.
-func (k *knowledge) poolLoads() map[string]pick.Load {
+// poolLoads returns the loads of the others in the form that the pool uses.
+func (k *knownState) poolLoads() map[string]pick.Load {
 	out := make(map[string]pick.Load, len(k.loads))
 	for _, l := range k.loads {
-		out[l.Target] = pick.Load{Running: l.Running, PendingPrefill: queue(l.PendingPrefill), PrefillMillis: l.PrefillMillis}
+		out[l.Target] = pick.Load{Running: l.Running, PendingPrefill: queueByRank(l.PendingPrefill), PrefillMillis: l.PrefillMillis}
 	}
 	return out
 }
