--- a/node/entry/fetch.go
+++ b/node/entry/fetch.go
@@ -142,7 +142,7 @@
 		return
 	}
 	f.slowLogged = head.Root
-	i.log.Warn("a configuration takes long to come", zap.Uint64("version", head.Version), zap.Duration("since", now.Sub(since)),
+	i.log.Warn("slow transfer of a configuration", zap.Uint64("version", head.Version), zap.Duration("since", now.Sub(since)),
 		zap.Bool("manifest", known), zap.Int("pieces_left", left), zap.String("from", q.To), zap.Error(err))
 }
 
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -199,7 +199,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
 		if _, err := i.report(ctx, i.followed(), i.newReport(0)); err != nil {
-			i.log.Warn("leaving was not told, the next report tells", zap.Error(err))
+			i.log.Warn("leaving could not be reported; the next report includes it", zap.Error(err))
 		}
 	})
 }
