--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -188,7 +188,7 @@
 }
 
 func (b *baseline) neighbour(r *route.Request) string {
-	if r.Crossed {
+	if r.Forwarded {
 		return ""
 	}
 	var open []string
--- a/experiment/call.go
+++ b/experiment/call.go
@@ -171,12 +171,12 @@
 // it comes back to its home, which may not spill it again.
 func (w *world) spill(c *call, d route.Decision) {
 	i := slices.IndexFunc(w.regions, func(r *region) bool { return r.name == d.Region })
-	if c.req.Crossed || i < 0 || !c.mayRunIn(d.Region) {
+	if c.req.Forwarded || i < 0 || !c.mayRunIn(d.Region) {
 		w.loops++
 		w.final(c, refused)
 		return
 	}
-	c.req.Crossed = true
+	c.req.Forwarded = true
 	home, away := c.in.region, w.regions[i]
 	if home.cut || away.cut {
 		w.after(2*regionDelay, func() { w.decide(c) })
--- a/node/placing/placing.go
+++ b/node/placing/placing.go
@@ -84,7 +84,7 @@
 	o    Options
 	ends *ring.Ring[placement.Event]
 	// wanted waits for the loop; a later bundle replaces it.
-	wanted atomic.Pointer[placement.Wanted]
+	wanted atomic.Pointer[placement.Desired]
 
 	mu      sync.Mutex
 	planner *placement.Planner
@@ -113,7 +113,7 @@
 
 // SetBundle replaces the bundle in force. It may be called from any goroutine.
 func (s *Service) SetBundle(b *bundle.Bundle) {
-	w := placement.WantedOf(b, s.o.Region)
+	w := placement.DesiredFor(b, s.o.Region)
 	s.wanted.Store(&w)
 }
 
@@ -140,7 +140,7 @@
 			return
 		case <-tick.C:
 			if w := s.wanted.Swap(nil); w != nil {
-				s.step(ctx, &under, placement.SetWanted{Wanted: *w})
+				s.step(ctx, &under, placement.SetDesired{Desired: *w})
 			}
 			s.step(ctx, &under, s.lease())
 			s.report()
@@ -188,9 +188,9 @@
 	defer cancel()
 	r, err := s.o.Engines.Engine(p.Address).Load(ctx)
 	if err != nil {
-		return placement.Observed{Target: p.Target, Asked: p.Asked}
+		return placement.Observed{Target: p.Target, PolledAt: p.PolledAt}
 	}
-	return placement.Observed{Target: p.Target, Asked: p.Asked, Report: &r}
+	return placement.Observed{Target: p.Target, PolledAt: p.PolledAt, Report: &r}
 }
 
 // send gives an order. The engine's client refuses one that has expired right
--- a/node/placing/placing_test.go
+++ b/node/placing/placing_test.go
@@ -120,7 +120,7 @@
 // service runs the placement with short times in place of those of a region.
 func (f *fleet) service(t *testing.T) *placing.Service {
 	ms := time.Millisecond
-	o := placement.Options{ReportLag: 20 * ms, SpreadTime: 20 * ms, PollInterval: 10 * ms, RetryBase: 50 * ms}
+	o := placement.Options{ReportLag: 20 * ms, PropagationDelay: 20 * ms, PollInterval: 10 * ms, RetryBase: 50 * ms}
 	o.Lease.Duration, o.Lease.Drift = 500*ms, 0.005
 	s := placing.New(placing.Options{
 		Region: "r", Engines: f.set, Leadership: leads{}, Log: zap.NewNop(), Planner: o, Tick: 10 * ms,
@@ -138,7 +138,7 @@
 	for t.Context().Err() == nil {
 		done := len(s.Status().Targets) == engines
 		for _, target := range s.Status().Targets {
-			done = done && target.Reached
+			done = done && target.Converged
 		}
 		for _, a := range f.addresses {
 			r, err := f.set.Engine(a).Load(t.Context())
--- a/pipeline/attempts.go
+++ b/pipeline/attempts.go
@@ -66,7 +66,7 @@
 	defer cancel()
 	x.Ctx = ctx
 	q := x.routeRequest()
-	q.Crossed = q.Crossed || f.deps.Forwarder == nil
+	q.Forwarded = q.Forwarded || f.deps.Forwarder == nil
 	q.Tried = f.routing.Reserved()
 	f.budgets.request(x.Service.ID)
 	for {
@@ -105,7 +105,7 @@
 		err = f.attempt(x, a, s)
 	case route.Spill:
 		err = f.forward.send(x, a.decision.Region)
-		q.Crossed = true
+		q.Forwarded = true
 	case route.Hold:
 		if !f.routing.Hold(x.Ctx, a.decision.DecideAgain) {
 			return false, &verdict.Error{Code: CodeOverloaded, Message: "too many requests wait here", RetryAfter: retryLater}
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -119,7 +119,7 @@
 		Idempotent:   !x.Once,
 		Home:         x.Workspace.Home,
 		Regions:      x.Regions,
-		Crossed:      x.Hops.Crossed(x.View.Region),
+		Forwarded:    x.Hops.Crossed(x.View.Region),
 	}
 	if x.Once {
 		// Its claim was granted to this instance and lets nobody else send.
--- a/pipeline/hop_test.go
+++ b/pipeline/hop_test.go
@@ -173,7 +173,7 @@
 type spillsFirst struct{ spiller }
 
 func (s spillsFirst) Decide(now time.Time, q *route.Request) route.Decision {
-	if q.Crossed {
+	if q.Forwarded {
 		return s.Decider.Decide(now, q)
 	}
 	return s.spiller.Decide(now, q)
--- a/pipeline/move.go
+++ b/pipeline/move.go
@@ -120,7 +120,7 @@
 	q.Prefix = nil
 	q.FirstTokenBy = time.Time{}
 	q.Regions = []string{m.x.View.Region}
-	q.Crossed = true
+	q.Forwarded = true
 	q.Tried = append(m.f.routing.Reserved(), a.decision.Target)
 	return &q
 }
--- a/placement/advance.go
+++ b/placement/advance.go
@@ -140,7 +140,7 @@
 func (p *Planner) warmUpEnded(e WarmUpEnded) {
 	t := p.find(e.Target)
 	if t == nil || !t.warm.running || t.warm.number != e.Number {
-		p.counts.Stray++
+		p.counts.Unmatched++
 		return
 	}
 	t.warm.running = false
@@ -277,7 +277,7 @@
 func (p *Planner) orderEnded(e OrderEnded) {
 	t := p.find(e.Target)
 	if t == nil || t.order == nil || t.order.order.ID != e.ID || t.order.stage != stageSending {
-		p.counts.Stray++
+		p.counts.Unmatched++
 		return
 	}
 	switch e.Outcome {
--- a/placement/events.go
+++ b/placement/events.go
@@ -11,13 +11,13 @@
 type Event interface{ event() }
 
 // SetWanted replaces what the bundle in force wants.
-type SetWanted struct{ Wanted Wanted }
+type SetDesired struct{ Desired Desired }
 
 // Observed is the end of a Poll.
 type Observed struct {
 	Target string
 	// Asked is that of the Poll.
-	Asked time.Time
+	PolledAt time.Time
 	// Report is nil if the target was not reached.
 	Report *ports.LoadReport
 }
@@ -84,7 +84,7 @@
 // Tick lets time pass. The host sends it several times in a second.
 type Tick struct{}
 
-func (SetWanted) event()   {}
+func (SetDesired) event()  {}
 func (Observed) event()    {}
 func (OrderEnded) event()  {}
 func (WarmUpEnded) event() {}
@@ -117,7 +117,7 @@
 	Target, Address string
 	// Asked is the time of the Step. The report counts as no younger: an answer
 	// can lie in the buffers of a process that was stopped for any time.
-	Asked time.Time
+	PolledAt time.Time
 }
 
 func (Send) effect()   {}
--- a/placement/foreign_test.go
+++ b/placement/foreign_test.go
@@ -40,7 +40,7 @@
 		}
 		w.run(30 * time.Second) // A new leader waits out the one before.
 		for _, s := range w.hosts[w.leader].p.Status().Targets {
-			if elsewhere := s.Target == e.id; elsewhere != (s.Blocked == BlockedDrainedElsewhere) || elsewhere == s.Reached {
+			if elsewhere := s.Target == e.id; elsewhere != (s.Blocked == BlockedDrainedElsewhere) || elsewhere == s.Converged {
 				t.Fatalf("%+v, drained elsewhere: %v", s, elsewhere)
 			}
 		}
@@ -87,6 +87,6 @@
 	w.wanted.Goals = append([]Goal(nil), w.wanted.Goals...)
 	find(w.wanted.Goals, func(g *Goal) bool { return g.Target == id }).Leaving = leaving
 	for _, h := range w.hosts {
-		w.step(h, SetWanted{Wanted: w.wanted})
+		w.step(h, SetDesired{Desired: w.wanted})
 	}
 }
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -23,7 +23,7 @@
 	ReportLag time.Duration
 	// SpreadTime is how long instances may take to learn that a target takes
 	// nothing new; default 2 s.
-	SpreadTime time.Duration
+	PropagationDelay time.Duration
 	// PollInterval is the time between polls of a target; default 500 ms.
 	PollInterval time.Duration
 	// StaleAfter is when a target without a new report counts as unseen;
@@ -48,7 +48,7 @@
 		o.MaxOutShare = 0.25
 	}
 	setDefault(&o.ReportLag, 2*time.Second)
-	setDefault(&o.SpreadTime, 2*time.Second)
+	setDefault(&o.PropagationDelay, 2*time.Second)
 	setDefault(&o.PollInterval, 500*time.Millisecond)
 	setDefault(&o.StaleAfter, 3*time.Second)
 	setDefault(&o.LostAfter, 30*time.Second)
@@ -71,7 +71,7 @@
 type Planner struct {
 	o      Options
 	now    time.Time
-	wanted Wanted
+	wanted Desired
 	counts Counts
 
 	holder *lease.Holder
@@ -113,8 +113,8 @@
 	}
 	p.effects = p.effects[:0]
 	switch e := e.(type) {
-	case SetWanted:
-		p.setWanted(e.Wanted)
+	case SetDesired:
+		p.setWanted(e.Desired)
 	case LeaseHeld:
 		p.leaseHeld(e)
 	case LeaseLost:
@@ -200,7 +200,7 @@
 }
 
 // setWanted replaces the goals; what is known of a target stays.
-func (p *Planner) setWanted(w Wanted) {
+func (p *Planner) setWanted(w Desired) {
 	w.MaxLoads = max(1, w.MaxLoads)
 	old := map[string]*target{}
 	for _, t := range p.targets {
@@ -235,7 +235,7 @@
 	}
 	t.polling = false
 	if e.Report != nil {
-		t.take(e.Asked, *e.Report, p)
+		t.take(e.PolledAt, *e.Report, p)
 	}
 }
 
@@ -245,7 +245,7 @@
 			continue
 		}
 		t.polling, t.pollAt = true, p.now
-		p.effects = append(p.effects, Poll{Target: t.goal.Target, Address: t.goal.Address, Asked: p.now})
+		p.effects = append(p.effects, Poll{Target: t.goal.Target, Address: t.goal.Address, PolledAt: p.now})
 	}
 }
 
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -134,7 +134,7 @@
 // its share. A target that is down or empty was not taken out by an order. One
 // that a newer leader drains since a newer bundle has it leave is not known to an
 // older leader, nor does it wait: no new work may go there for long.
-func (w *world) checkShare(e *engine, goals Wanted, fence uint64) {
+func (w *world) checkShare(e *engine, goals Desired, fence uint64) {
 	own := find(goals.Goals, func(g *Goal) bool { return g.Target == e.id })
 	if own.Leaving || e.report.Version == "" || e.report.Draining {
 		return
@@ -213,7 +213,7 @@
 	}
 	status := w.hosts[w.leader].p.Status()
 	for _, s := range status.Targets {
-		if !w.engines[s.Target].down && (!s.Reached || s.Blocked != "") {
+		if !w.engines[s.Target].down && (!s.Converged || s.Blocked != "") {
 			return fmt.Sprintf("%+v after all had time to end", s)
 		}
 	}
--- a/placement/status.go
+++ b/placement/status.go
@@ -66,7 +66,7 @@
 	// Blocked is empty if nothing is to be done.
 	Blocked Blocked
 	// Reached says that the target is as the bundle wants.
-	Reached bool
+	Converged bool
 }
 
 // Counts since the making of the Planner.
@@ -82,7 +82,7 @@
 	// WarmUpsFailed had no whole answer.
 	WarmUpsFailed uint64
 	// Stray ends belong to no order under way: late or doubled.
-	Stray uint64
+	Unmatched uint64
 }
 
 // Status is the state of a Planner.
@@ -103,7 +103,7 @@
 	}
 	for _, t := range p.targets {
 		s.Targets = append(s.Targets, TargetStatus{
-			Target: t.goal.Target, Phase: t.phase, Since: t.since, Blocked: t.blocked, Reached: t.reached(p.now, &p.o),
+			Target: t.goal.Target, Phase: t.phase, Since: t.since, Blocked: t.blocked, Converged: t.reached(p.now, &p.o),
 		})
 	}
 	return s
--- a/placement/target.go
+++ b/placement/target.go
@@ -164,7 +164,7 @@
 // SpreadTime after it was first seen. Only a report that was made later counts.
 func (t *target) drained(o *Options) bool {
 	return t.report.Draining && inProgress(&t.report) == 0 && !t.warm.running &&
-		!t.seenAt.Before(t.drainSeen.Add(o.SpreadTime+o.ReportLag)) && !t.seenAt.Before(t.trustFrom)
+		!t.seenAt.Before(t.drainSeen.Add(o.PropagationDelay+o.ReportLag)) && !t.seenAt.Before(t.trustFrom)
 }
 
 // uncertain reports whether an order that was not answered may still arrive, or
--- a/placement/wanted.go
+++ b/placement/wanted.go
@@ -36,7 +36,7 @@
 }
 
 // Wanted is what a bundle wants of a region's engines.
-type Wanted struct {
+type Desired struct {
 	// Goals, one for each engine of the region, sorted by target.
 	Goals []Goal
 	// BytesPerSecond bounds what loads of the region read from the weight store.
@@ -51,8 +51,8 @@
 }
 
 // WantedOf reads a checked bundle for one region. Plain services take no orders.
-func WantedOf(b *bundle.Bundle, region string) Wanted {
-	w := Wanted{
+func DesiredFor(b *bundle.Bundle, region string) Desired {
+	w := Desired{
 		BytesPerSecond: b.Rules.WeightStoreBytesPerSecond,
 		MaxLoads:       b.Rules.MaxConcurrentLoads,
 		DrainTime:      time.Duration(b.Rules.DrainSeconds) * time.Second,
--- a/placement/world_test.go
+++ b/placement/world_test.go
@@ -24,14 +24,14 @@
 
 func worldOptions() Options {
 	return Options{
-		Region:      "r",
-		Lease:       lease.Config{Duration: 4 * time.Second, Drift: 0.005},
-		MaxOutShare: 0.4,
-		ReportLag:   time.Second,
-		SpreadTime:  time.Second,
-		LostAfter:   8 * time.Second,
-		WarmUpTime:  time.Second,
-		RetryMax:    4 * time.Second,
+		Region:           "r",
+		Lease:            lease.Config{Duration: 4 * time.Second, Drift: 0.005},
+		MaxOutShare:      0.4,
+		ReportLag:        time.Second,
+		PropagationDelay: time.Second,
+		LostAfter:        8 * time.Second,
+		WarmUpTime:       time.Second,
+		RetryMax:         4 * time.Second,
 	}.withDefaults()
 }
 
@@ -96,7 +96,7 @@
 	term    uint64
 	// ledUntil is the last time at which a term's leader was the newest.
 	ledUntil map[uint64]time.Time
-	wanted   Wanted
+	wanted   Desired
 	version  int
 	maxLoads int
 	// namesDrain says that load reports name the order of a drain.
@@ -132,7 +132,7 @@
 // roll puts a bundle in force, at each host after a while and never back.
 func (w *world) roll() {
 	version := Weights{ID: fmt.Sprintf("v%d", w.rng.IntN(3)), Key: "k", Bytes: 1000 + 4000*w.rng.Int64N(3)}
-	next := Wanted{BytesPerSecond: storeRate, MaxLoads: w.maxLoads, DrainTime: 5 * time.Second, LargestBytes: 9000}
+	next := Desired{BytesPerSecond: storeRate, MaxLoads: w.maxLoads, DrainTime: 5 * time.Second, LargestBytes: 9000}
 	for i, id := range w.ids {
 		g := Goal{
 			Target: id, Service: fmt.Sprintf("s%d", i/5), Model: "m", Version: version, Role: "both",
@@ -153,7 +153,7 @@
 		w.later(w.upTo(2*time.Second), h, func() {
 			if h.version < number {
 				h.version = number
-				w.step(h, SetWanted{Wanted: next})
+				w.step(h, SetDesired{Desired: next})
 			}
 		})
 	}
@@ -208,7 +208,7 @@
 // serve ends and begins requests. What is loading or empty takes none.
 func (w *world) serve(e *engine) {
 	e.requests = slices.DeleteFunc(e.requests, func(end time.Time) bool { return !w.now.Before(end) })
-	known := e.report.Draining && w.now.Sub(e.drainedAt) >= worldOptions().SpreadTime
+	known := e.report.Draining && w.now.Sub(e.drainedAt) >= worldOptions().PropagationDelay
 	if !e.down && !known && e.report.Version != "" && !e.loading(w.now) && w.rng.IntN(8) == 0 {
 		e.requests = append(e.requests, w.now.Add(w.upTo(w.upTo(maxRequest))))
 	}
@@ -229,11 +229,11 @@
 
 func (w *world) poll(h *host, p Poll) {
 	if w.chance(10) {
-		w.later(time.Second, h, func() { w.step(h, Observed{Target: p.Target, Asked: p.Asked}) })
+		w.later(time.Second, h, func() { w.step(h, Observed{Target: p.Target, PolledAt: p.PolledAt}) })
 		return
 	}
 	w.later(w.upTo(step), nil, func() {
-		e, end := w.engines[p.Target], Observed{Target: p.Target, Asked: p.Asked}
+		e, end := w.engines[p.Target], Observed{Target: p.Target, PolledAt: p.PolledAt}
 		if !e.down {
 			end.Report = w.reportOf(e)
 		}
@@ -314,7 +314,7 @@
 }
 
 // arrive has an engine take an order, and its answer lost, late or doubled.
-func (w *world) arrive(h *host, s Send, goals Wanted, sent time.Time) {
+func (w *world) arrive(h *host, s Send, goals Desired, sent time.Time) {
 	w.arrived(s)
 	end := OrderEnded{Target: s.Target, ID: s.Order.ID}
 	end.Outcome = w.obey(w.engines[s.Target], s.Order, goals, sent)
@@ -337,7 +337,7 @@
 	}
 }
 
-func (w *world) obey(e *engine, o ports.Order, goals Wanted, sent time.Time) Outcome {
+func (w *world) obey(e *engine, o ports.Order, goals Desired, sent time.Time) Outcome {
 	switch {
 	case e.down:
 		return OrderUnanswered
--- a/route/admission.go
+++ b/route/admission.go
@@ -57,7 +57,7 @@
 		Region:       c.Spec.Region,
 		Start:        now.Add(duration(c.FirstToken)),
 		Finish:       now.Add(duration(c.Finish)),
-		CachedTokens: int(c.Cached),
+		CachedTokens: int(c.CachedTokens),
 	}
 	if q.Idempotent && q.Attempt == 0 {
 		d.HedgeAt = r.hedgeAt(now, q, c)
@@ -109,7 +109,7 @@
 	if over <= 0 {
 		return 0
 	}
-	s.floor = min(floorBurst, s.floor+r.cfg.FloorShare)
+	s.floor = min(floorBurst, s.floor+r.cfg.MinAdmitShare)
 	if s.floor >= 1 {
 		s.floor--
 		return 0
--- a/route/config.go
+++ b/route/config.go
@@ -54,8 +54,8 @@
 	MaxScored int
 	// PickSpread is the temperature of the picker as a part of the best
 	// score, and PickFloor its least value. Defaults 0.08 and 4ms.
-	PickSpread float64
-	PickFloor  time.Duration
+	PickTemperature    float64
+	MinPickTemperature time.Duration
 
 	// EjectFactor is how many times slower than the median of its service a
 	// target is before it is ejected as grey. Default 2.5.
@@ -79,7 +79,7 @@
 	ShedWait time.Duration
 	// FloorShare is the part of shed requests let through all the same, so
 	// that low priorities do not starve. Default 0.1.
-	FloorShare float64
+	MinAdmitShare float64
 
 	// SpillMargin is how much sooner a neighbour must be predicted to answer
 	// before a request that could be served in time here is spilled. Spilling
@@ -124,15 +124,15 @@
 	orDefault(&c.AffinityGain, 0.3)
 	orDefault(&c.HitWeight, 3)
 	orDefault(&c.MaxScored, 192)
-	orDefault(&c.PickSpread, 0.08)
-	orDefault(&c.PickFloor, 4*time.Millisecond)
+	orDefault(&c.PickTemperature, 0.08)
+	orDefault(&c.MinPickTemperature, 4*time.Millisecond)
 	orDefault(&c.EjectFactor, 2.5)
 	orDefault(&c.EjectShare, 0.34)
 	orDefault(&c.EjectFor, 5*time.Second)
 	orDefault(&c.BreakAfter, 3)
 	orDefault(&c.SlowStart, 10*time.Second)
 	orDefault(&c.ShedWait, 4*time.Second)
-	orDefault(&c.FloorShare, 0.1)
+	orDefault(&c.MinAdmitShare, 0.1)
 	orDefault(&c.SpillMargin, 4*time.Second)
 	orDefault(&c.SummaryStale, 5*time.Second)
 	orDefault(&c.GrantLoad, 0.9)
--- a/route/picker_softmin.go
+++ b/route/picker_softmin.go
@@ -25,7 +25,7 @@
 		}
 	}
 	low := in[best].Score
-	heat := max(s.Config.PickFloor.Seconds(), s.Config.PickSpread*in[best].FirstToken)
+	heat := max(s.Config.MinPickTemperature.Seconds(), s.Config.PickTemperature*in[best].FirstToken)
 	sum := 0.0
 	for i := range in {
 		in[i].weight = nearness((in[i].Score - low) / heat)
--- a/route/plugins_test.go
+++ b/route/plugins_test.go
@@ -9,7 +9,7 @@
 
 func snapshotOf(q Request) *Snapshot {
 	cfg := Config{Region: "here", Zone: "a", AdapterLoad: 0}.withDefaults()
-	return &Snapshot{Request: &q, Config: &cfg, HoldTime: 1, Model: true, Stretch: 1}
+	return &Snapshot{Request: &q, Config: &cfg, HoldTime: 1, Model: true, WaitFactor: 1}
 }
 
 // idle returns candidates t0, t1, ... that differ in nothing but their names.
@@ -19,7 +19,7 @@
 		id := TargetID("t" + string(rune('0'+i)))
 		out[i] = Candidate{
 			Spec:        &TargetSpec{ID: id, Region: "here", Zone: "a", Slots: 4},
-			PrefillTime: 0.001, TokenTime: 0.01, Slots: 4, Ahead: 1, WarmFor: 1e6, hash: mix(uint64(i)),
+			PrefillTime: 0.001, TokenTime: 0.01, Slots: 4, AheadShare: 1, WarmFor: 1e6, hash: mix(uint64(i)),
 		}
 	}
 	return out
@@ -68,13 +68,13 @@
 		want   float64
 	}{
 		{"idle", queueScorer{}, func(*Snapshot, *Candidate) {}, 0.5},
-		{"tokens in front", queueScorer{}, func(_ *Snapshot, c *Candidate) { c.Pending = 2000 }, 2.5},
+		{"tokens in front", queueScorer{}, func(_ *Snapshot, c *Candidate) { c.PendingTokens = 2000 }, 2.5},
 		{"no slot", queueScorer{}, func(_ *Snapshot, c *Candidate) { c.InFlight = 5 }, 1},
 		{"plain", queueScorer{}, func(s *Snapshot, c *Candidate) { s.Model = false; c.PlainTime = 0.1; c.InFlight = 4 }, 0.125},
 		{"no hit", prefixScorer{}, func(*Snapshot, *Candidate) {}, 0},
-		{"hit", prefixScorer{}, func(s *Snapshot, c *Candidate) { c.Cached = 400; s.Config.HitWeight = 1 }, -0.4},
-		{"memory free", kvScorer{}, func(s *Snapshot, c *Candidate) { s.Memory = 0.1; s.MemoryHold = 4; c.KVUsed = 0.9 }, 0},
-		{"memory lacking", kvScorer{}, func(s *Snapshot, c *Candidate) { s.Memory = 0.1; s.MemoryHold = 4; c.KVUsed = 1 }, 0.4},
+		{"hit", prefixScorer{}, func(s *Snapshot, c *Candidate) { c.CachedTokens = 400; s.Config.HitWeight = 1 }, -0.4},
+		{"memory free", kvScorer{}, func(s *Snapshot, c *Candidate) { s.MemoryShare = 0.1; s.MemoryHoldTime = 4; c.KVUsed = 0.9 }, 0},
+		{"memory lacking", kvScorer{}, func(s *Snapshot, c *Candidate) { s.MemoryShare = 0.1; s.MemoryHoldTime = 4; c.KVUsed = 1 }, 0.4},
 		{"own zone", zoneScorer{}, func(*Snapshot, *Candidate) {}, 0},
 		{"other zone", zoneScorer{}, func(_ *Snapshot, c *Candidate) { c.Spec.Zone = "b" }, 0.001},
 		{"adapter to load", adapterScorer{}, func(s *Snapshot, _ *Candidate) { s.Config.AdapterLoad = time.Second }, 1},
--- a/route/router.go
+++ b/route/router.go
@@ -112,9 +112,9 @@
 func (r *Router) takeSnapshot(now time.Time, s *service, q *Request) {
 	r.snapshot = Snapshot{Request: q, Config: &r.cfg, HoldTime: s.hold, Model: s.model}
 	v := &r.snapshot
-	v.MemoryHold = s.memory.holdTime()
-	v.Memory = s.memory.perToken() * float64(q.PromptTokens+q.OutputTokens)
-	v.Stretch = 1 / (1 - s.overtaken(r.seconds(now), priority(q), s.others(&r.cfg)))
+	v.MemoryHoldTime = s.memory.holdTime()
+	v.MemoryShare = s.memory.perToken() * float64(q.PromptTokens+q.OutputTokens)
+	v.WaitFactor = 1 / (1 - s.overtaken(r.seconds(now), priority(q), s.others(&r.cfg)))
 	v.setBounds(now, q)
 	if !s.model {
 		return
@@ -158,15 +158,15 @@
 		c := &cands[i]
 		c.describe(t, at)
 		t.load.advance(at, t.prefillRate(), p)
-		c.Pending = t.load.pending * ahead
-		c.Ahead = ahead
+		c.PendingTokens = t.load.pending * ahead
+		c.AheadShare = ahead
 		c.InFlight = t.load.inFlight(at, stale, p)
 		c.KVUsed = t.load.kv + t.load.memorySince(p)*perToken + float64(t.waiting)*perRequest*ahead
 		c.PlainTime = s.plain * t.speed.first.factor()
-		c.Cached = 0
+		c.CachedTokens = 0
 		if s.model {
 			held := int(s.index.held(t.index)) * PrefixBlockTokens
-			c.Cached = t.trust * float64(min(held, q.PromptTokens-1))
+			c.CachedTokens = t.trust * float64(min(held, q.PromptTokens-1))
 		}
 	}
 	for _, f := range r.filters {
@@ -184,7 +184,7 @@
 	c.TokenTime = t.tokenTime
 	c.Health = t.guard.state(at)
 	c.WarmFor = at - t.warmAt
-	c.Stalled = t.stalled
+	c.StalledFor = t.stalled
 	c.Wait, c.FirstToken, c.Finish, c.Score = 0, 0, 0, 0
 }
 
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -56,7 +56,7 @@
 		Priority:     rapid.IntRange(-1, 10).Draw(j.t, "priority"),
 		PromptTokens: rapid.IntRange(1, 5000).Draw(j.t, "prompt"), OutputTokens: rapid.IntRange(1, 300).Draw(j.t, "output"),
 		Regions:    rapid.SampledFrom([][]string{nil, nil, {"here"}, {"there"}, {"here", "there"}}).Draw(j.t, "regions"),
-		Crossed:    rapid.Bool().Draw(j.t, "crossed"),
+		Forwarded:  rapid.Bool().Draw(j.t, "crossed"),
 		Idempotent: true,
 	}
 	if rapid.Bool().Draw(j.t, "bounded") {
@@ -93,8 +93,8 @@
 		j.r.Sent(j.now, j.next, &q, d)
 		j.open = append(j.open, j.next)
 	case Spill:
-		if q.Crossed || d.Region != "there" || (len(q.Regions) > 0 && !slices.Contains(q.Regions, d.Region)) {
-			j.t.Fatalf("spilled to %s: crossed %v, allowed %v", d.Region, q.Crossed, q.Regions)
+		if q.Forwarded || d.Region != "there" || (len(q.Regions) > 0 && !slices.Contains(q.Regions, d.Region)) {
+			j.t.Fatalf("spilled to %s: crossed %v, allowed %v", d.Region, q.Forwarded, q.Regions)
 		}
 	case Refuse:
 		if d.RetryAfter <= 0 || d.Reason == ReasonNone {
--- a/route/scorer_kv.go
+++ b/route/scorer_kv.go
@@ -15,11 +15,11 @@
 	}
 	for i := range in {
 		c := &in[i]
-		lack := min(c.KVUsed, c.KVUsed+s.Memory-s.Config.KVHigh)
+		lack := min(c.KVUsed, c.KVUsed+s.MemoryShare-s.Config.KVHigh)
 		if lack <= 0 {
 			continue
 		}
-		wait := lack * s.MemoryHold * s.Stretch
+		wait := lack * s.MemoryHoldTime * s.WaitFactor
 		c.Wait += wait
 		c.Score += wait
 		c.FirstToken += wait
--- a/route/scorer_prefix.go
+++ b/route/scorer_prefix.go
@@ -15,7 +15,7 @@
 	}
 	for i := range in {
 		c := &in[i]
-		saved := c.Cached * c.PrefillTime
+		saved := c.CachedTokens * c.PrefillTime
 		c.FirstToken -= saved
 		c.Finish -= saved
 		c.Score -= saved * s.Config.HitWeight
--- a/route/scorer_queue.go
+++ b/route/scorer_queue.go
@@ -12,14 +12,14 @@
 	for i := range in {
 		c := &in[i]
 		if !s.Model || c.PrefillTime == 0 {
-			c.Wait = slotWait(c, c.PlainTime) + c.Stalled
+			c.Wait = slotWait(c, c.PlainTime) + c.StalledFor
 			c.FirstToken = c.Wait + c.PlainTime
 			c.Finish = c.FirstToken
 			c.Score += c.FirstToken
 			continue
 		}
-		c.Wait = max(c.Pending*c.PrefillTime, slotWait(c, s.HoldTime)) * s.Stretch
-		c.Wait += c.Stalled
+		c.Wait = max(c.PendingTokens*c.PrefillTime, slotWait(c, s.HoldTime)) * s.WaitFactor
+		c.Wait += c.StalledFor
 		c.FirstToken = c.Wait + float64(q.PromptTokens)*c.PrefillTime
 		c.Finish = c.FirstToken + float64(q.OutputTokens)*c.TokenTime
 		c.Score += c.FirstToken
@@ -32,5 +32,5 @@
 	if c.InFlight < c.Slots {
 		return 0
 	}
-	return ((c.InFlight-c.Slots)*c.Ahead + 1) * hold / c.Slots
+	return ((c.InFlight-c.Slots)*c.AheadShare + 1) * hold / c.Slots
 }
--- a/route/snapshot.go
+++ b/route/snapshot.go
@@ -19,10 +19,10 @@
 	Model bool
 	// Memory is the share of a target's KV cache memory that the request takes,
 	// MemoryHold the mean time in seconds that memory is held.
-	Memory, MemoryHold float64
+	MemoryShare, MemoryHoldTime float64
 	// Stretch is by how much waits grow because requests of more priority come
 	// and go first, 1 or more.
-	Stretch float64
+	WaitFactor float64
 	// MaxFirst and MaxFinish are the request's bounds on first token and whole
 	// answer in seconds from now, infinite where it has none.
 	MaxFirst, MaxFinish float64
@@ -54,10 +54,10 @@
 	// Spec is the target's description.
 	Spec *TargetSpec
 	// Pending is the estimate of prompt tokens in front.
-	Pending float64
+	PendingTokens float64
 	// Ahead is the part of queued work that runs before or with a request of
 	// this priority, 0 to 1; Pending has it counted in.
-	Ahead float64
+	AheadShare float64
 	// InFlight is the estimate of requests running and waiting, of all instances.
 	InFlight float64
 	// Slots is the number of requests it runs at once, as far as memory allows.
@@ -73,12 +73,12 @@
 	// PlainTime is the learned time of a plain call in seconds.
 	PlainTime float64
 	// Cached is the predicted prefix hit in tokens.
-	Cached float64
+	CachedTokens float64
 	// Health says whether the breaker or the grey signal bars it.
 	Health Health
 	// Stalled is how long it has given no first token though one is overdue, in
 	// seconds.
-	Stalled float64
+	StalledFor float64
 	// WarmFor is how long it has been warm, in seconds.
 	WarmFor float64
 	// Wait is the predicted wait in seconds before the own prefill.
--- a/route/spill.go
+++ b/route/spill.go
@@ -96,7 +96,7 @@
 // cache here would have saved. A request that can be served in time here goes
 // only if it gains SpillMargin, or half of it while spilling goes on.
 func (r *Router) trySpill(now time.Time, s *service, q *Request, local localWait) (Decision, bool) {
-	if q.Crossed {
+	if q.Forwarded {
 		return Decision{}, false
 	}
 	best, cost := r.cheapest(now, s, q)
--- a/route/spill_test.go
+++ b/route/spill_test.go
@@ -89,7 +89,7 @@
 	}{{"", 0, 0}, {"a", 1, 1}, {"a", 2, 1}, {"b", 3, 2}, {"b", 7.5, 1}, {"", 13, 0}}
 	for i, st := range steps {
 		if st.home != "" {
-			s.count(st.at, &Request{Crossed: true, Home: st.home})
+			s.count(st.at, &Request{Forwarded: true, Home: st.home})
 		}
 		if got := s.users(st.at); got != st.want {
 			t.Fatalf("step %d: %d users, want %d", i, got, st.want)
@@ -105,7 +105,7 @@
 			r.Ended(now, End{Attempt: AttemptID(i), Outcome: Succeeded, OutputTokens: 10, CachedTokens: -1})
 		}
 		for _, h := range homes {
-			r.services["llm"].count(10, &Request{Crossed: true, Home: h})
+			r.services["llm"].count(10, &Request{Forwarded: true, Home: h})
 		}
 		return r.Summarise(epoch.Add(10 * time.Second))[0].FreeRate
 	}
@@ -122,7 +122,7 @@
 		"unreachable": func(r *Router, _ *Request) { r.SetLinks(now, []Link{{Region: "there", MaxShare: 1}}) },
 		"no link":     func(r *Router, _ *Request) { r.SetLinks(now, nil) },
 		"bound":       func(_ *Router, q *Request) { q.Regions = []string{"here"} },
-		"crossed":     func(_ *Router, q *Request) { q.Crossed = true },
+		"crossed":     func(_ *Router, q *Request) { q.Forwarded = true },
 		"too late":    func(_ *Router, q *Request) { q.FirstTokenBy = now.Add(100 * time.Millisecond) },
 	}
 	for name, spoil := range cases {
--- a/route/summary.go
+++ b/route/summary.go
@@ -112,7 +112,7 @@
 		sum.Targets++
 		capacity += s.capacityOf(t, at)
 		t.load.advance(at, t.prefillRate(), p)
-		c := Candidate{InFlight: t.load.inFlight(at, r.cfg.ReportStale.Seconds(), p), Slots: t.slots(), Ahead: 1}
+		c := Candidate{InFlight: t.load.inFlight(at, r.cfg.ReportStale.Seconds(), p), Slots: t.slots(), AheadShare: 1}
 		wait := slotWait(&c, max(s.hold, s.plain))
 		if s.model {
 			wait = max(wait, t.load.pending/t.prefillRate())
--- a/route/target.go
+++ b/route/target.go
@@ -211,7 +211,7 @@
 		return
 	}
 	s.arrivals.add(at, 1)
-	if q.Crossed {
+	if q.Forwarded {
 		s.crossed.add(at, 1)
 		s.crossedFrom(q.Home, at)
 	}
--- a/route/types.go
+++ b/route/types.go
@@ -106,7 +106,7 @@
 	Regions []string
 	// Crossed says that it has already crossed from another region; it must
 	// not cross again.
-	Crossed bool
+	Forwarded bool
 	// Attempt counts earlier sendings; Tried names their targets.
 	Attempt int
 	Tried   []TargetID
