--- a/route/admission.go
+++ b/route/admission.go
@@ -6,45 +6,47 @@
 )
 
 const (
-	// unknownRetry is when to come back for a service that nobody serves.
-	unknownRetry = 30 * time.Second
-	// noTargetRetry is when to come back while no target takes work.
+	// unknownServiceRetry is the retry delay reported for a service that no
+	// region serves.
+	unknownServiceRetry = 30 * time.Second
+	// noTargetRetry is the retry delay reported while no target accepts work.
 	noTargetRetry = 2 * time.Second
-	// minRetry and maxRetry bound the time told to come back after.
+	// minRetry and maxRetry bound the reported retry delay.
 	minRetry = 100 * time.Millisecond
 	maxRetry = 60 * time.Second
-	// retryMargin and retrySlack lengthen that time a little: who comes back at
-	// the very moment would be refused again.
-	retryMargin = 1.05
+	// retryFactor and retrySlack extend the predicted delay slightly, since a
+	// retry at exactly that time would be refused again.
+	retryFactor = 1.05
 	retrySlack  = 10 * time.Millisecond
-	// floorBurst bounds the credit of low priorities, in requests.
-	floorBurst = 5.0
-	// standingTime is the time in seconds after which a queue that was never
-	// short stands; its bound on the wait is divided by standingPart.
-	standingTime = 20.0
-	standingPart = 4.0
+	// maxAdmitCredit bounds the admission credit of low priorities, in
+	// requests.
+	maxAdmitCredit = 5.0
+	// A queue whose wait was not short for persistentQueueSeconds is
+	// persistent; its wait bound is divided by persistentQueueDivisor.
+	persistentQueueSeconds = 20.0
+	persistentQueueDivisor = 4.0
 )
 
-// admit sends the request to one of the scored candidates that make it in time,
-// spills it, or refuses it at once: a request that can't make its deadline only
-// takes the place of ones that can.
+// admit sends the request to one of the scored candidates that meet its
+// deadlines, spills it, or refuses it immediately. A request that cannot meet
+// its deadline would only take capacity from requests that can.
 func (r *Router) admit(now time.Time, s *service, q *Request, cands []Candidate) Decision {
 	o := r.snapshot.outlook(cands)
 	inTime := cands
-	if o.latest > 0 {
+	if o.maxLateness > 0 {
 		inTime = keep(cands, func(c *Candidate) bool { return r.snapshot.lateness(c) <= 0 })
 	}
 	if len(inTime) == 0 {
-		if d, ok := r.trySpill(now, s, q, localWait{never: true}); ok {
+		if d, ok := r.trySpill(now, s, q, localWait{tooLate: true}); ok {
 			return d
 		}
-		return refuse(ReasonDeadline, o.late)
+		return refuse(ReasonDeadline, o.minLateness)
 	}
-	if d, ok := r.trySpill(now, s, q, localWait{seconds: o.first}); ok {
+	if d, ok := r.trySpill(now, s, q, localWait{seconds: o.minFirstToken}); ok {
 		return d
 	}
-	if over := r.shedBy(r.seconds(now), s, q, o.wait); over > 0 {
-		return refuse(ReasonOverload, over)
+	if excess := r.excessWait(r.seconds(now), s, q, o.minWait); excess > 0 {
+		return refuse(ReasonOverload, excess)
 	}
 	c := &inTime[r.picker.Pick(&r.snapshot, inTime)]
 	return r.send(now, q, c)
@@ -65,8 +67,9 @@
 	return d
 }
 
-// hedgeAt is when a second attempt is worth starting: long after the first
-// token was predicted, and soon enough to be of use.
+// hedgeAt returns when to start a second attempt: well after the predicted
+// first token. It is zero if that is after q.FirstTokenBy, when a second
+// attempt would be too late.
 func (r *Router) hedgeAt(now time.Time, q *Request, c *Candidate) time.Time {
 	wait := max(r.cfg.HedgeMin, duration(r.cfg.HedgeFactor*c.FirstToken))
 	at := now.Add(wait)
@@ -76,111 +79,112 @@
 	return at
 }
 
-// outlook sums up the candidates, in seconds: the least predicted time to first
-// token, wait and lateness, and the greatest lateness.
+// outlook summarises the candidates, in seconds: the least predicted time to
+// first token, wait and lateness, and the greatest lateness.
 type outlook struct {
-	first, wait, late, latest float64
+	minFirstToken, minWait, minLateness, maxLateness float64
 }
 
 func (s *Snapshot) outlook(cands []Candidate) outlook {
 	inf := math.Inf(1)
-	o := outlook{first: inf, wait: inf, late: inf, latest: -inf}
+	o := outlook{minFirstToken: inf, minWait: inf, minLateness: inf, maxLateness: -inf}
 	for i := range cands {
 		c := &cands[i]
 		late := s.lateness(c)
-		o.first = min(o.first, c.FirstToken)
-		o.wait = min(o.wait, c.Wait)
-		o.late = min(o.late, late)
-		o.latest = max(o.latest, late)
+		o.minFirstToken = min(o.minFirstToken, c.FirstToken)
+		o.minWait = min(o.minWait, c.Wait)
+		o.minLateness = min(o.minLateness, late)
+		o.maxLateness = max(o.maxLateness, late)
 	}
 	return o
 }
 
-// shedBy is by how many seconds the least wait exceeds what the request's
-// priority bears; 0 means that it is admitted. Of the ones that would be shed a
-// part is admitted all the same, so that a low priority does not starve behind
-// a steady load of higher ones.
-func (r *Router) shedBy(at float64, s *service, q *Request, wait float64) float64 {
+// excessWait returns by how many seconds the least wait exceeds the bound for
+// the request's priority; 0 admits it. MinAdmitShare of the requests over the
+// bound are admitted, so that low priorities do not starve under a steady load
+// of higher ones.
+func (r *Router) excessWait(at float64, s *service, q *Request, wait float64) float64 {
 	if priority(q) == priorities-1 {
 		return 0
 	}
 	bound := r.cfg.ShedWait.Seconds() * float64(priority(q)+1)
-	over := wait - s.stood[priority(q)].tighten(at, wait, bound)
-	if over <= 0 {
+	excess := wait - s.queues[priority(q)].waitBound(at, wait, bound)
+	if excess <= 0 {
 		return 0
 	}
-	s.floor = min(floorBurst, s.floor+r.cfg.MinAdmitShare)
-	if s.floor >= 1 {
-		s.floor--
+	s.admitCredit = min(maxAdmitCredit, s.admitCredit+r.cfg.MinAdmitShare)
+	if s.admitCredit >= 1 {
+		s.admitCredit--
 		return 0
 	}
-	return over
+	return excess
 }
 
-// standing sees a queue that does not drain, of one priority. Where more comes
-// than can be done, a long queue answers no more requests than a short one, only
-// later; where a burst is being worked off it answers more. What tells the two
-// apart is whether the queue was ever short of late (CoDel: Nichols, Jacobson 2012).
-type standing struct {
-	seen bool
-	// since is when the wait was last short, in seconds.
-	since float64
+// persistentQueue detects a queue of one priority that does not drain. Under
+// sustained overload a long queue completes no more requests than a short one,
+// only later; while a burst drains, it completes more. The two differ in
+// whether the wait was short recently (CoDel: Nichols, Jacobson 2012).
+type persistentQueue struct {
+	observed bool
+	// shortAt is the last time at which the wait was short, in seconds.
+	shortAt float64
 }
 
-// tighten returns the bound on the wait, which is a part of the usual one while
-// the queue stands. All in seconds.
-func (s *standing) tighten(at, wait, bound float64) float64 {
-	tight := bound / standingPart
-	if !s.seen || wait < tight/2 {
-		s.seen = true
-		s.since = at
-	}
-	if at-s.since > standingTime {
+// waitBound records the wait at time at and returns the bound on it: bound, or
+// a fraction of it while the queue is persistent. All values are in seconds.
+func (s *persistentQueue) waitBound(at, wait, bound float64) float64 {
+	tight := bound / persistentQueueDivisor
+	if !s.observed || wait < tight/2 {
+		s.observed = true
+		s.shortAt = at
+	}
+	if at-s.shortAt > persistentQueueSeconds {
 		return tight
 	}
 	return bound
 }
 
-// withoutTarget answers where no target here can take the request now.
-func (r *Router) withoutTarget(now time.Time, s *service, q *Request) Decision {
-	if d, ok := r.trySpill(now, s, q, localWait{never: true}); ok {
+// decideWithoutTarget decides on a request that no target of this region can
+// take now.
+func (r *Router) decideWithoutTarget(now time.Time, s *service, q *Request) Decision {
+	if d, ok := r.trySpill(now, s, q, localWait{tooLate: true}); ok {
 		return d
 	}
-	serve, may := r.serving(s, q)
+	served, permitted := r.serving(s, q)
 	switch {
-	case !serve:
-		return Decision{Action: Refuse, Reason: ReasonUnknownService, RetryAfter: unknownRetry}
-	case !may:
-		return Decision{Action: Refuse, Reason: ReasonResidency, RetryAfter: unknownRetry}
+	case !served:
+		return Decision{Action: Refuse, Reason: ReasonUnknownService, RetryAfter: unknownServiceRetry}
+	case !permitted:
+		return Decision{Action: Refuse, Reason: ReasonResidency, RetryAfter: unknownServiceRetry}
 	}
 	return Decision{Action: Refuse, Reason: ReasonNoTarget, RetryAfter: noTargetRetry}
 }
 
-// serving says whether any region is known to serve the service, and whether
-// one of those may serve the request.
-func (r *Router) serving(s *service, q *Request) (serve, may bool) {
+// serving reports whether any known region serves the service, and whether one
+// of those regions is permitted for the request.
+func (r *Router) serving(s *service, q *Request) (served, permitted bool) {
 	if len(s.list) > 0 {
-		serve = true
-		may = allowed(q, r.cfg.Region)
+		served = true
+		permitted = allowed(q, r.cfg.Region)
 	}
-	for _, region := range r.abroad[q.Service] {
-		serve = true
-		may = may || allowed(q, region)
+	for _, region := range r.remoteRegions[q.Service] {
+		served = true
+		permitted = permitted || allowed(q, region)
 	}
-	for i := range s.spill.to {
-		if s.spill.to[i].summary.Targets == 0 {
+	for i := range s.spill.neighbours {
+		if s.spill.neighbours[i].summary.Targets == 0 {
 			continue
 		}
-		serve = true
-		may = may || allowed(q, s.spill.to[i].summary.Region)
+		served = true
+		permitted = permitted || allowed(q, s.spill.neighbours[i].summary.Region)
 	}
-	return serve, may
+	return served, permitted
 }
 
-func refuse(why Reason, seconds float64) Decision {
-	// Bounded before the conversion: a longer time than a duration holds would
-	// wrap around to a short one.
+func refuse(reason Reason, seconds float64) Decision {
+	// Bounded before the conversion: a value beyond the range of time.Duration
+	// would wrap around to a short delay.
 	seconds = min(max(seconds, 0), maxRetry.Seconds())
-	after := min(max(duration(seconds*retryMargin), minRetry)+retrySlack, maxRetry)
-	return Decision{Action: Refuse, Reason: why, RetryAfter: after}
+	after := min(max(duration(seconds*retryFactor), minRetry)+retrySlack, maxRetry)
+	return Decision{Action: Refuse, Reason: reason, RetryAfter: after}
 }
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -9,7 +9,7 @@
 
 const benchTargets = 690
 
-// BenchmarkDecide measures one decision among 690 targets with a prompt of 64
+// BenchmarkDecide measures a decision among 690 targets for a prompt of 64
 // known blocks.
 func BenchmarkDecide(b *testing.B) {
 	for _, services := range []int{36, 1} {
@@ -17,7 +17,7 @@
 	}
 }
 
-// BenchmarkRefuse measures one decision where all of the 690 targets are full.
+// BenchmarkRefuse measures a decision while all 690 targets are full.
 func BenchmarkRefuse(b *testing.B) {
 	r := newRouter(1)
 	var specs []TargetSpec
--- a/route/events.go
+++ b/route/events.go
@@ -11,16 +11,16 @@
 // SetTargets implements Decider.
 func (r *Router) SetTargets(now time.Time, specs []TargetSpec) {
 	at := r.seconds(now)
-	first := !r.primed
-	r.primed = true
+	first := !r.targetsSet
+	r.targetsSet = true
 	seen := make(map[TargetID]bool, len(specs))
-	clear(r.abroad)
-	for _, name := range r.names {
+	clear(r.remoteRegions)
+	for _, name := range r.serviceNames {
 		r.services[name].list = r.services[name].list[:0]
 	}
 	for _, spec := range specs {
 		if spec.Region != r.cfg.Region {
-			r.noteAbroad(spec)
+			r.addRemoteRegion(spec)
 			continue
 		}
 		if seen[spec.ID] {
@@ -28,26 +28,26 @@
 		}
 		seen[spec.ID] = true
 		t := r.setTarget(at, spec, first)
-		t.place = len(t.svc.list)
+		t.listIndex = len(t.svc.list)
 		t.svc.list = append(t.svc.list, t)
 	}
 	for id, t := range r.targets {
 		if !seen[id] {
-			r.forget(t)
+			r.removeTarget(t)
 		}
 	}
 }
 
-func (r *Router) noteAbroad(spec TargetSpec) {
-	if !slices.Contains(r.abroad[spec.Service], spec.Region) {
-		r.abroad[spec.Service] = append(r.abroad[spec.Service], spec.Region)
+func (r *Router) addRemoteRegion(spec TargetSpec) {
+	if !slices.Contains(r.remoteRegions[spec.Service], spec.Region) {
+		r.remoteRegions[spec.Service] = append(r.remoteRegions[spec.Service], spec.Region)
 	}
 }
 
 func (r *Router) setTarget(at float64, spec TargetSpec, first bool) *target {
 	t := r.targets[spec.ID]
 	if t != nil && t.spec.Service != spec.Service {
-		r.forget(t)
+		r.removeTarget(t)
 		t = nil
 	}
 	if t == nil {
@@ -58,17 +58,17 @@
 		}
 	} else if spec.State == Warm && t.spec.State != Warm && t.spec.State != Leaving {
 		t.warmAt = at
-		t.restart()
+		t.reset()
 	}
 	t.spec = spec
-	t.learned()
+	t.applySpeed()
 	t.svc.model = t.svc.model || t.model()
 	return t
 }
 
-// restart forgets what was learned before the target was away: its cache is
+// reset discards what was learned before the target went away: its cache is
 // cold, and its speed and failures may have been the reason.
-func (t *target) restart() {
+func (t *target) reset() {
 	t.cache.clear()
 	t.speed = speed{}
 	t.guard = guard{}
@@ -78,21 +78,21 @@
 
 func (r *Router) newTarget(spec TargetSpec) *target {
 	s := r.service(spec.Service)
-	n := slices.Index(s.bySlot, nil)
+	n := slices.Index(s.byIndex, nil)
 	if n < 0 {
-		n = len(s.bySlot)
-		s.bySlot = append(s.bySlot, nil)
+		n = len(s.byIndex)
+		s.byIndex = append(s.byIndex, nil)
 	}
 	t := &target{spec: spec, svc: s, index: int32(n), hash: xxhash.Sum64String(string(spec.ID)), trust: 1}
 	t.cache = newBlockLRU(s.index, t.index, r.cfg.CacheBlocks)
-	s.bySlot[n] = t
+	s.byIndex[n] = t
 	r.targets[spec.ID] = t
 	return t
 }
 
-func (r *Router) forget(t *target) {
+func (r *Router) removeTarget(t *target) {
 	t.cache.clear()
-	t.svc.bySlot[t.index] = nil
+	t.svc.byIndex[t.index] = nil
 	delete(r.targets, t.spec.ID)
 }
 
@@ -102,13 +102,14 @@
 	r.links = slices.Clone(links)
 }
 
-// SetInstances tells how many instances of the region decide alike, this one
-// included. It replaces Config.Instances; less than 1 counts as 1.
+// SetInstances sets the number of instances that route requests in the region,
+// including this one. It replaces Config.Instances; values below 1 count as 1.
 func (r *Router) SetInstances(n int) { r.cfg.Instances = max(1, n) }
 
-// Report implements Decider. Reports of unknown targets are ignored, as are ones
-// older than the last. A time in the future is taken for now: believed, it would
-// hide what was sent since, and every report until then.
+// Report implements Decider. Reports of unknown targets and reports older than
+// the last one are ignored. A time in the future is replaced by now: otherwise
+// the report would hide attempts sent since, and suppress every report until
+// then.
 func (r *Router) Report(now time.Time, rep Report) {
 	t := r.targets[rep.Target]
 	if t == nil {
@@ -119,36 +120,37 @@
 	if t.load.reported && at <= t.load.reportedAt {
 		return
 	}
-	rep.KVUsed = t.heldMemory(&rep)
+	rep.KVUsed = t.requestMemory(&rep)
 	t.load.report(seen, at, rep, t.prefillRate(), t.svc.peers(&r.cfg))
 	t.waiting = rep.Waiting
 	t.running = rep.Running
-	t.svc.sawReport(&rep, t.load.own)
-	t.svc.memory.sawReport(&rep, t.load.own, t.load.ownTokens)
+	t.svc.observeReport(&rep, t.load.ownInFlight)
+	t.svc.memory.observeReport(&rep, t.load.ownInFlight, t.load.ownTokens)
 }
 
-// heldMemory is the share of memory that requests hold. Some engines count
-// cached prefixes as used, which they give up when a request needs the room;
-// what is used while nothing runs is such a cache.
-func (t *target) heldMemory(rep *Report) float64 {
+// requestMemory returns the share of memory held by requests. Some engines
+// count cached prefixes as used, although they evict them when a request needs
+// the memory; memory in use while nothing runs is such a cache.
+func (t *target) requestMemory(rep *Report) float64 {
 	if rep.Running == 0 && rep.Waiting == 0 {
-		t.cachedMemory = rep.KVUsed
+		t.idleKVUsed = rep.KVUsed
 	}
-	return max(0, rep.KVUsed-t.cachedMemory)
+	return max(0, rep.KVUsed-t.idleKVUsed)
 }
 
-// firstEvent is the number of the first cache event of a target's life.
-const firstEvent = 1
+// firstEventSeq is the sequence number of the first cache event after a target
+// starts.
+const firstEventSeq = 1
 
-// CacheEvent implements Decider. The first event's number again means that the
-// target started anew with an empty cache. A gap in the numbers means that stored and
-// dropped blocks went unheard of, so predicted hits are believed less.
+// CacheEvent implements Decider. A repeated firstEventSeq means that the target
+// restarted with an empty cache. After a gap in the sequence, stored and
+// evicted blocks are missing, so the trust in predicted hits is reduced.
 func (r *Router) CacheEvent(_ time.Time, e CacheEvent) {
 	t := r.targets[e.Target]
 	if t == nil {
 		return
 	}
-	if e.Seq == firstEvent && t.eventSeq > firstEvent {
+	if e.Seq == firstEventSeq && t.eventSeq > firstEventSeq {
 		t.cache.clear()
 		t.eventSeq = 0
 	}
@@ -181,27 +183,28 @@
 	a := attempt{t: t, sentAt: at, cached: d.CachedTokens}
 	a.uncached, a.memory = uncached, float64(q.PromptTokens+q.OutputTokens)
 	a.predicted = t.predict(now, d, uncached)
-	a.expected = a.predicted / t.speed.first.factor()
+	a.expected = a.predicted / t.speed.firstToken.factor()
 	if !t.model() {
 		a.memory = 0
 	}
 	r.attempts[id] = a
 	t.unanswered = append(t.unanswered, id)
 	if !t.model() {
-		t.load.send(at, sending{}, 0, t.svc.peers(&r.cfg))
+		t.load.send(at, sentAttempt{}, 0, t.svc.peers(&r.cfg))
 		return
 	}
 	hold := uncached/t.spec.PrefillRate + float64(q.OutputTokens)*t.ratedTokenTime()
-	t.svc.sawSending(q, uncached, hold)
-	t.svc.tokens.add(at, uncached)
-	t.svc.held.add(at, a.memory)
-	t.load.send(at, sending{tokens: uncached, memory: a.memory}, t.prefillRate(), t.svc.peers(&r.cfg))
+	t.svc.observeAttempt(q, uncached, hold)
+	t.svc.uncachedRate.add(at, uncached)
+	t.svc.memoryRate.add(at, a.memory)
+	t.load.send(at, sentAttempt{tokens: uncached, memory: a.memory}, t.prefillRate(), t.svc.peers(&r.cfg))
 	t.cache.touch(q.Prefix)
 }
 
-// predict is the predicted time to first token of a sending in seconds. A host
-// that chose the target itself, for a request that must run alone, has none:
-// taken for zero, each such answer would look late and the target slow.
+// predict returns the predicted time to first token of an attempt in seconds. A
+// decision made by the host, for a request that must run alone, has no
+// prediction. Taken as zero, it would make each response look late and the
+// target slow.
 func (t *target) predict(now time.Time, d Decision, uncached float64) float64 {
 	switch {
 	case !d.Start.IsZero():
@@ -209,7 +212,7 @@
 	case t.model():
 		return uncached * t.prefillTime
 	}
-	return t.svc.plain * t.speed.first.factor()
+	return t.svc.meanPlain * t.speed.firstToken.factor()
 }
 
 // FirstToken implements Decider.
@@ -223,8 +226,8 @@
 	a.firstAt = at
 	a.t.answeredAt = at
 	r.attempts[id] = a
-	a.t.speed.first.observe(at, at-a.sentAt, a.expected)
-	a.t.learned()
+	a.t.speed.firstToken.observe(at, at-a.sentAt, a.expected)
+	a.t.applySpeed()
 }
 
 // Ended implements Decider.
@@ -242,30 +245,31 @@
 	case Succeeded:
 		t.answeredAt = at
 		t.guard.succeed()
-		t.sawHit(a.cached, e.CachedTokens)
-		r.learnEnd(at, a, e)
+		t.observeHit(a.cached, e.CachedTokens)
+		r.observeEnd(at, a, e)
 	case Failed, Unreached:
 		t.guard.fail(at, &r.cfg)
 	case Rejected, Cancelled:
 	}
 }
 
-// learnEnd learns the speed of decoding, or of a plain call, from a whole answer.
-func (r *Router) learnEnd(at float64, a attempt, e End) {
+// observeEnd updates the decode speed, or the duration of a plain call, from a
+// complete response.
+func (r *Router) observeEnd(at float64, a attempt, e End) {
 	t := a.t
 	if !t.model() {
-		t.svc.sawPlain(at - a.sentAt)
+		t.svc.observePlainCall(at - a.sentAt)
 		if !a.answered {
-			t.speed.first.observe(at, at-a.sentAt, a.expected)
+			t.speed.firstToken.observe(at, at-a.sentAt, a.expected)
 		}
 		return
 	}
 	if !a.answered {
 		return
 	}
-	t.svc.memory.sawHold(a.memory, at-a.firstAt+a.uncached/t.prefillRate())
+	t.svc.memory.observeHold(a.memory, at-a.firstAt+a.uncached/t.prefillRate())
 	if e.OutputTokens > 1 {
 		t.speed.decode.observe(at, at-a.firstAt, float64(e.OutputTokens-1)*t.ratedTokenTime())
-		t.learned()
+		t.applySpeed()
 	}
 }
--- a/route/filter_adapter.go
+++ b/route/filter_adapter.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// adapterFilter drops targets without the adapter asked for, unless targets
-// load adapters on demand.
+// adapterFilter drops targets that do not list the requested adapter, unless
+// targets load adapters on demand.
 type adapterFilter struct{}
 
 func (adapterFilter) Apply(s *Snapshot, in []Candidate) []Candidate {
--- a/route/filter_residency.go
+++ b/route/filter_residency.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// residencyFilter drops targets outside the regions that the request allows.
+// residencyFilter drops targets outside the request's allowed regions.
 type residencyFilter struct{}
 
 func (residencyFilter) Apply(s *Snapshot, in []Candidate) []Candidate {
--- a/route/filter_slowstart.go
+++ b/route/filter_slowstart.go
@@ -1,9 +1,9 @@
 package route
 
-// slowStartFilter gives a newly warm target a share of its slots that grows
-// with the time it has been warm. It looks idle to all instances at once; fed
-// without bound, it gets their whole backlog onto a cold cache. If it would
-// drop all, it drops none.
+// slowStartFilter limits a newly warm target to a share of its slots that grows
+// with the time since it became warm. The target looks idle to all instances at
+// once; without a limit, their whole backlog would reach a cold cache. If the
+// filter leaves none, it keeps all.
 type slowStartFilter struct{}
 
 func (slowStartFilter) Apply(s *Snapshot, in []Candidate) []Candidate {
--- a/route/guard.go
+++ b/route/guard.go
@@ -6,104 +6,104 @@
 )
 
 const (
-	// greyEvery is how often, in seconds, grey targets are looked for.
-	greyEvery = 0.25
-	// overdueFactor is how many times the predicted time of its oldest attempt a
-	// target may give no first token before it counts as grey, and overdueMin
-	// the least time in seconds.
-	overdueFactor = 5.0
-	overdueMin    = 2.0
-	// maxBackoff bounds how often the time of an ejection doubles.
-	maxBackoff = 4
+	// greyCheckSeconds is the interval between checks for grey targets.
+	greyCheckSeconds = 0.25
+	// A target counts as stalled if it has given no first token for
+	// overdueFactor times the predicted time of its oldest attempt, and for at
+	// least overdueMinSeconds.
+	overdueFactor     = 5.0
+	overdueMinSeconds = 2.0
+	// maxEjectDoublings bounds how often the duration of an exclusion doubles.
+	maxEjectDoublings = 4
 )
 
-// guard bars a target for a time: as Broken after failures in a row, as Ejected
-// while it is grey (alive but far slower than its like). A grey target answers
-// its health checks; one notices it only by slow first tokens, and plain
-// least-outstanding routing keeps feeding it.
+// guard excludes a target temporarily: as Broken after consecutive failures, as
+// Ejected while it is grey (alive but far slower than the service's other
+// targets). A grey target passes its health checks and shows only in slow first
+// tokens, and plain least-outstanding routing keeps sending to it.
 type guard struct {
-	failures int
-	health   Health
-	until    float64
-	// row counts bars in a row without a success between.
-	row int
+	failures      int
+	health        Health
+	excludedUntil float64
+	// consecutive counts exclusions without a success between them.
+	consecutive int
 }
 
-// state is the health at now. A bar that has run out lets work through again;
-// the first outcome decides.
+// state returns the health at now. After an exclusion expires, the target gets
+// work again and its next outcome decides.
 func (g *guard) state(now float64) Health {
-	if now >= g.until {
+	if now >= g.excludedUntil {
 		return Healthy
 	}
 	return g.health
 }
 
-func (g *guard) bar(now float64, h Health, seconds float64) {
+func (g *guard) exclude(now float64, h Health, seconds float64) {
 	g.health = h
-	g.until = now + seconds*float64(int(1)<<min(g.row, maxBackoff))
-	g.row++
+	g.excludedUntil = now + seconds*float64(int(1)<<min(g.consecutive, maxEjectDoublings))
+	g.consecutive++
 }
 
 func (g *guard) succeed() {
 	g.failures = 0
 	if g.health == Broken {
-		g.row = 0
-		g.until = 0
+		g.consecutive = 0
+		g.excludedUntil = 0
 	}
 }
 
 func (g *guard) fail(now float64, c *Config) {
 	g.failures++
 	if g.failures >= c.BreakAfter && g.state(now) == Healthy {
-		g.bar(now, Broken, c.EjectFor.Seconds())
+		g.exclude(now, Broken, c.EjectFor.Seconds())
 	}
 }
 
-// lookForGrey is the regular look at a service: what was learned fades, and the
-// targets that are slower than EjectFactor times the median are ejected.
-func (r *Router) lookForGrey(s *service, now float64) {
-	if now-s.greyAt < greyEvery {
+// checkGrey runs every greyCheckSeconds for a service: it decays what was
+// learned and ejects targets slower than EjectFactor times the median.
+func (r *Router) checkGrey(s *service, now float64) {
+	if now-s.greyCheckedAt < greyCheckSeconds {
 		return
 	}
-	s.greyAt = now
-	s.prefill, s.warm = 0, 0
-	r.slow = r.slow[:0]
-	barred := 0
+	s.greyCheckedAt = now
+	s.totalPrefillRate, s.warmTargets = 0, 0
+	r.slowTargets = r.slowTargets[:0]
+	excluded := 0
 	for _, t := range s.list {
-		t.speed.fade(now)
-		t.learned()
+		t.speed.decay(now)
+		t.applySpeed()
 		if t.spec.State == Warm {
-			s.prefill += t.prefillRate()
-			s.warm++
+			s.totalPrefillRate += t.prefillRate()
+			s.warmTargets++
 		}
 		if t.guard.state(now) != Healthy {
-			barred++
+			excluded++
 		}
-		r.slow = append(r.slow, slowTarget{t, r.slowness(t, now)})
+		r.slowTargets = append(r.slowTargets, slowTarget{t, r.slowness(t, now)})
 	}
-	slices.SortStableFunc(r.slow, slowestFirst)
-	r.ejectSlow(now, int(r.cfg.EjectShare*float64(len(s.list)))-barred)
+	slices.SortStableFunc(r.slowTargets, slowestFirst)
+	r.ejectSlow(now, int(r.cfg.EjectShare*float64(len(s.list)))-excluded)
 }
 
-// ejectSlow ejects the slowest first, at most so many.
-func (r *Router) ejectSlow(now float64, most int) {
-	if len(r.slow) < 2 {
+// ejectSlow ejects up to limit targets, slowest first.
+func (r *Router) ejectSlow(now float64, limit int) {
+	if len(r.slowTargets) < 2 {
 		return
 	}
-	median := max(1, r.slow[len(r.slow)/2].factor)
-	for _, v := range r.slow {
-		if most <= 0 || v.factor < r.cfg.EjectFactor*median {
+	median := max(1, r.slowTargets[len(r.slowTargets)/2].factor)
+	for _, v := range r.slowTargets {
+		if limit <= 0 || v.factor < r.cfg.EjectFactor*median {
 			return
 		}
 		if v.t.guard.state(now) != Healthy {
 			continue
 		}
-		v.t.guard.bar(now, Ejected, r.cfg.EjectFor.Seconds())
-		most--
+		v.t.guard.exclude(now, Ejected, r.cfg.EjectFor.Seconds())
+		limit--
 	}
 }
 
-// slowTarget is a target with how many times slower than expected it is.
+// slowTarget is a target and the factor by which it is slower than expected.
 type slowTarget struct {
 	t      *target
 	factor float64
@@ -111,24 +111,24 @@
 
 func slowestFirst(a, b slowTarget) int { return cmp.Compare(b.factor, a.factor) }
 
-// slowness is the learned factor, or more if the target has stalled: one that
-// has stopped gives no observations.
+// slowness returns the learned factor, or a larger one if the target has
+// stalled, since a stalled target yields no observations.
 func (r *Router) slowness(t *target, now float64) float64 {
 	f := 1.0
-	if t.speed.seen() >= speedEnough {
-		f = t.speed.slow()
+	if t.speed.observations() >= minObservations {
+		f = t.speed.slowdown()
 	}
 	t.stalled = 0
 	a, ok := r.oldestUnanswered(t)
 	if !ok {
 		return f
 	}
-	// A request that others overtake is late while the target works; only one
-	// that gives nobody a first token has stalled.
-	silent := now - max(a.sentAt, t.answeredAt)
-	if silent > overdueMin && silent > overdueFactor*a.predicted {
-		t.stalled = silent
-		f = max(f, silent/(a.predicted+speedFloor))
+	// A request overtaken by others is late while the target works. Only a
+	// target that gives no first token at all has stalled.
+	silentFor := now - max(a.sentAt, t.answeredAt)
+	if silentFor > overdueMinSeconds && silentFor > overdueFactor*a.predicted {
+		t.stalled = silentFor
+		f = max(f, silentFor/(a.predicted+speedFloorSeconds))
 	}
 	return f
 }
--- a/route/guard_test.go
+++ b/route/guard_test.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// Symptom: one target answers, but slowly, and spoils the slowest answers.
-// Events: first tokens of half of the targets take four times as long, or those
-// of two thirds stop.
-// Cause: they fail no health check; nothing looks at their speed. The bound on
-// ejections keeps a wrong signal from taking the service away.
-func TestGreyTargetsGetLittle(t *testing.T) {
+// Guards against a target that responds slowly and dominates tail latency:
+// first tokens of half of the targets take four times as long, or those of two
+// thirds stop. Such targets pass their health checks. The bound on ejections
+// keeps a wrong signal from taking the service away.
+func TestGreyTargetsGetFewRequests(t *testing.T) {
 	cases := []struct {
 		stalled bool
 		last    TargetID
 		most    int
 	}{{false, "here-2", 20}, {true, "here-2", 10}, {true, "here-3", 10}}
 	for _, tc := range cases {
-		r := region(6)
+		r := newRegion(6)
 		grey := func(id TargetID) bool { return id <= tc.last }
 		const all, late = 400, 200
 		got := 0
@@ -57,13 +56,13 @@
 	}
 }
 
-// Symptom: a target that works is ejected, or one that has stopped is not.
-// Events: a request at it gets no first token for a minute, because others
-// overtake it, or because the target gives nobody one.
-// Cause: lateness of one request taken for a stall of the target.
-func TestOnlyASilentTargetHasStalled(t *testing.T) {
+// Guards against ejecting a working target, or not ejecting a stalled one: a
+// request gets no first token for a minute, because others overtake it or
+// because the target gives none at all. A single late request must not count as
+// a stall.
+func TestOnlySilentTargetCountsAsStalled(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		r := region(4)
+		r := newRegion(4)
 		at := func(id TargetID, now time.Time) Decision {
 			return Decision{Action: Send, Target: id, Start: now.Add(200 * time.Millisecond)}
 		}
@@ -105,14 +104,14 @@
 		g.fail(1, &c)
 	}
 	if g.state(1) != Healthy {
-		t.Fatal("open though a success came between")
+		t.Fatal("open although a success came between")
 	}
 	g.fail(1, &c)
 	if g.state(1) != Broken || g.state(1+c.EjectFor.Seconds()) != Healthy {
-		t.Fatal("not open, or open for ever")
+		t.Fatal("not open, or still open after its time")
 	}
 	g.fail(6, &c)
 	if g.state(6+c.EjectFor.Seconds()) != Broken {
-		t.Fatal("the second time is not longer")
+		t.Fatal("the second exclusion is not longer")
 	}
 }
--- a/route/helpers_test.go
+++ b/route/helpers_test.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// region returns a Router with n warm model targets and a neighbour "there".
-func region(n int) *Router {
+// newRegion returns a Router with n warm model targets and a neighbour "there".
+func newRegion(n int) *Router {
 	r := newRouter(1)
 	var specs []TargetSpec
 	for i := range n {
@@ -20,8 +20,8 @@
 	return &Request{Service: "llm", PromptTokens: tokens, OutputTokens: 10, Priority: 5, Home: "here", Idempotent: true}
 }
 
-// load reports the same queue of prompt tokens for all targets.
-func queue(r *Router, now time.Time, tokens int) {
+// reportQueue reports the same queue of prompt tokens for all targets.
+func reportQueue(r *Router, now time.Time, tokens int) {
 	for id := range r.targets {
 		r.Report(now, Report{Target: id, At: now, Running: 1, WaitingTokens: tokens})
 	}
--- a/route/herd_test.go
+++ b/route/herd_test.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	herdRouters = 9
-	herdTargets = 12
-	herdEach    = 8
+	herdRouters  = 9
+	herdTargets  = 12
+	herdRequests = 8
 )
 
-// herd lets several instances decide between two reports that show target 0
-// idle and the others with a little queue, and returns the greatest share that
-// one target got.
+// herd lets several instances decide between two reports, with target 0 idle
+// and a short queue at the others, and returns the largest share of requests
+// that one target got.
 func herd(decide func(i int, q *Request) int) float64 {
 	var got [herdTargets]int
-	for k := range herdEach {
+	for k := range herdRequests {
 		for i := range herdRouters {
 			got[decide(i, &Request{ID: uint64(k*herdRouters + i), Service: "llm", PromptTokens: 1000, OutputTokens: 50})]++
 		}
@@ -26,7 +26,7 @@
 	for _, n := range got {
 		most = max(most, n)
 	}
-	return float64(most) / (herdRouters * herdEach)
+	return float64(most) / (herdRouters * herdRequests)
 }
 
 func herdReport(i int) Report {
@@ -37,10 +37,9 @@
 	return r
 }
 
-// Symptom: the target that looked idle gets everything, and a second later
-// another one does.
-// Events: nine instances decide on the same lagging reports.
-// Cause: each takes the least reported load and knows nothing of the others.
+// Guards against a thundering herd: nine instances decide on the same lagging
+// reports. If each takes the least reported load and ignores the others, the
+// target that looked idle gets everything, and a second later another one does.
 func TestInstancesDoNotAllPickTheIdleTarget(t *testing.T) {
 	naive := herd(func(int, *Request) int {
 		best := 0
--- a/route/idle_test.go
+++ b/route/idle_test.go
@@ -6,13 +6,12 @@
 	"time"
 )
 
-// Symptom: after a quiet time, idle targets are refused small requests as
-// deadline_unmeetable, and go on being refused, since nothing refused reaches a
-// target. Events: targets serve for a while, then report no request in progress
-// and memory full of cached prefixes.
-// Cause: memory that a cache fills, and would give up, taken for memory that
-// requests hold; their number sinks towards nothing, and what one seems to hold
-// rises without bound.
+// Guards against idle targets that refuse small requests as
+// deadline_unmeetable, and keep refusing because no request reaches them. After
+// a quiet time, targets report no running request and memory full of cached
+// prefixes. If that memory counted as held by requests, the mean number of
+// requests would approach 0 and the estimated memory per request would grow
+// without bound.
 func TestIdleTargetsWithFullCachesTakeWork(t *testing.T) {
 	r := New(Config{Region: "jatim"}, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(1000, 0)
@@ -43,28 +42,27 @@
 			r.Report(now, Report{Target: id, At: now, KVUsed: 1})
 		}
 		if d := r.Decide(now, request()); d.Action != Send {
-			t.Fatalf("%v after the last work: %+v", now.Sub(time.Unix(1024, 0)), d)
+			t.Fatalf("%v after the last request: %+v", now.Sub(time.Unix(1024, 0)), d)
 		}
 	}
 }
 
-// Symptom: a caller is told to come back at once by a target that is hopelessly
-// late. Events: the predicted lateness is beyond what a duration holds.
-// Cause: a conversion that wraps around.
-func TestLatenessBeyondAllTimesIsBounded(t *testing.T) {
+// Guards against an immediate retry at a hopelessly late target: a predicted
+// lateness beyond the range of time.Duration wraps around in the conversion.
+func TestExtremeLatenessIsBounded(t *testing.T) {
 	for _, seconds := range []float64{1e3, 1e11, 1e300} {
 		if d := refuse(ReasonDeadline, seconds); d.RetryAfter != maxRetry {
-			t.Errorf("%g s: come back after %v", seconds, d.RetryAfter)
+			t.Errorf("late by %g s: retry after %v", seconds, d.RetryAfter)
 		}
 	}
 	if d := refuse(ReasonDeadline, -5); d.RetryAfter < minRetry || d.RetryAfter > time.Second {
-		t.Errorf("late by less than nothing: come back after %v", d.RetryAfter)
+		t.Errorf("negative lateness: retry after %v", d.RetryAfter)
 	}
 }
 
-// Symptom: a region that lost its targets refuses although its neighbours idle.
-// Events: a region has served nothing since its start, and summarises.
-// Cause: a capacity that is learned from requests only.
+// Guards against a region that refuses after losing its targets although its
+// neighbours are idle: a region without requests since its start must still
+// grant capacity, which therefore cannot be learned from requests only.
 func TestIdleRegionGrants(t *testing.T) {
 	r := New(Config{Region: "bali"}, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(1000, 0)
@@ -78,8 +76,9 @@
 			granted = s.FreeRate
 		}
 	}
-	// Eight requests of 1,000 tokens hold it for 2.1 s: at most 3.8 a second.
+	// Eight requests of 1,000 tokens hold the slots for 2.1 s: at most 3.8
+	// requests per second.
 	if granted <= 0 || granted > 3.8 {
-		t.Fatalf("grants %g requests a second", granted)
+		t.Fatalf("grants %g requests per second", granted)
 	}
 }
--- a/route/load.go
+++ b/route/load.go
@@ -1,163 +1,171 @@
 package route
 
-// recentMax bounds the sendings and ends remembered for targets whose reports
-// do not come.
-const recentMax = 1024
+// maxRecentAttempts bounds the sent and ended attempts kept for a target that
+// does not report.
+const maxRecentAttempts = 1024
 
-// sending is one own sending that a later report may not count yet.
-type sending struct {
+// sentAttempt is an own attempt that the next report may not include.
+type sentAttempt struct {
 	at float64
-	// tokens are the prompt tokens to prefill, memory prompt and answer tokens.
+	// tokens is the number of prompt tokens to prefill, memory that of prompt
+	// and output tokens.
 	tokens, memory float64
-	// ended says that the attempt is over.
-	ended bool
+	ended          bool
 }
 
-// ending is the end of an own attempt that a later report may not show yet.
-type ending struct {
+// endedAttempt is the end of an own attempt that the next report may not
+// reflect.
+type endedAttempt struct {
 	sentAt, at float64
 }
 
-// load is the estimate of one target's queue. Reports lag: what this instance
-// sent since a report's time is added, as is what its peers are believed to
-// have sent, and what the target must have prefilled meanwhile is taken off.
+// load estimates one target's queue. Because reports lag, it adds the attempts
+// sent since the time of the last report, by this instance and as estimated by
+// its peers, and subtracts what the target must have prefilled since.
 //
-// Without the correction every decision between two reports goes to the target
-// that looked idle in the last one; one notices a queue that jumps from target
-// to target at the pace of the reports.
+// Without this correction, every decision between two reports goes to the
+// target that was idle in the last one, and a queue jumps from target to target
+// at the report interval.
 type load struct {
-	// reportedAt is the time the last report describes, in seconds.
+	// reportedAt is the time that the last report describes, in seconds.
 	reportedAt float64
 	reported   bool
-	// reportedIn and kv are running plus waiting requests and KV share reported.
-	reportedIn float64
-	kv         float64
-	// pending is the estimate of queued prompt tokens at asOf.
-	pending float64
-	asOf    float64
-	// own counts this instance's attempts in flight, sentSince those of them
-	// sent after reportedAt, endedSince the ended ones that the report counts.
-	own        int
-	sentSince  int
-	endedSince int
-	// ownTokens are the prompt and answer tokens of own attempts in flight.
-	ownTokens float64
-	sends     []sending
-	ends      []ending
+	// reportedInFlight is the reported number of running and waiting requests,
+	// kvUsed the reported KV cache share.
+	reportedInFlight float64
+	kvUsed           float64
+	// pendingTokens estimates the queued prompt tokens at asOf.
+	pendingTokens float64
+	asOf          float64
+	// ownInFlight counts own attempts in flight, sentSinceReport those sent
+	// after reportedAt, and endedSinceReport ended attempts that the report
+	// still counts.
+	ownInFlight      int
+	sentSinceReport  int
+	endedSinceReport int
+	// ownTokens is the number of prompt and output tokens of own attempts in
+	// flight.
+	ownTokens   float64
+	recentSent  []sentAttempt
+	recentEnded []endedAttempt
 }
 
-// peers is what is assumed of the other instances.
+// peers is the estimated behaviour of the other instances.
 type peers struct {
-	// follow is the number of peer sendings to a target for each own one to it.
-	follow float64
-	// tokens is the rate of peer tokens that reach each target regardless of
-	// own choices, in tokens per second.
-	tokens float64
+	// perOwn is the number of peer attempts to a target per own attempt to it.
+	perOwn float64
+	// tokenRate is the rate of peer tokens that reach each target independently
+	// of own choices, in tokens per second.
+	tokenRate float64
 }
 
-// advance moves the estimate to now with the target prefilling at rate.
+// advance moves the estimate to now while the target prefills rate tokens per
+// second.
 func (l *load) advance(now, rate float64, p peers) {
 	dt := now - l.asOf
 	if dt <= 0 {
 		return
 	}
-	l.pending = max(0, l.pending+(p.tokens-rate)*dt)
+	l.pendingTokens = max(0, l.pendingTokens+(p.tokenRate-rate)*dt)
 	l.asOf = now
 }
 
-// send adds one own sending.
-func (l *load) send(now float64, s sending, rate float64, p peers) {
+// send records an own attempt.
+func (l *load) send(now float64, s sentAttempt, rate float64, p peers) {
 	l.advance(now, rate, p)
-	l.pending += s.tokens * (1 + p.follow)
+	l.pendingTokens += s.tokens * (1 + p.perOwn)
 	l.ownTokens += s.memory
-	l.own++
-	l.sentSince++
-	if len(l.sends) >= recentMax {
-		l.sends = append(l.sends[:0], l.sends[recentMax/2:]...)
+	l.ownInFlight++
+	l.sentSinceReport++
+	if len(l.recentSent) >= maxRecentAttempts {
+		l.recentSent = append(l.recentSent[:0], l.recentSent[maxRecentAttempts/2:]...)
 	}
 	s.at = now
-	l.sends = append(l.sends, s)
+	l.recentSent = append(l.recentSent, s)
 }
 
-// end takes off one own attempt of so many tokens that was sent at sentAt.
+// end removes an own attempt that was sent at sentAt; memory is its number of
+// prompt and output tokens.
 func (l *load) end(now, sentAt, memory float64) {
-	l.own--
+	l.ownInFlight--
 	l.ownTokens -= memory
 	if l.reported && sentAt <= l.reportedAt {
-		l.endedSince++
+		l.endedSinceReport++
 	} else {
-		l.sentSince--
+		l.sentSinceReport--
 	}
-	for i := range l.sends {
-		if l.sends[i].at == sentAt && !l.sends[i].ended {
-			l.sends[i].ended = true
+	for i := range l.recentSent {
+		if l.recentSent[i].at == sentAt && !l.recentSent[i].ended {
+			l.recentSent[i].ended = true
 			break
 		}
 	}
-	if len(l.ends) >= recentMax {
-		l.ends = append(l.ends[:0], l.ends[recentMax/2:]...)
+	if len(l.recentEnded) >= maxRecentAttempts {
+		l.recentEnded = append(l.recentEnded[:0], l.recentEnded[maxRecentAttempts/2:]...)
 	}
-	l.ends = append(l.ends, ending{sentAt: sentAt, at: now})
+	l.recentEnded = append(l.recentEnded, endedAttempt{sentAt: sentAt, at: now})
 }
 
-// report replaces the estimate by a report that describes the target at at and
-// replays what was sent after it. The caller drops reports older than the last.
+// report replaces the estimate by report r, which describes the target at time
+// at, and replays the attempts sent since. The caller must drop reports older
+// than the last.
 func (l *load) report(now, at float64, r Report, rate float64, p peers) {
 	l.reported = true
 	l.reportedAt = at
-	l.reportedIn = float64(r.Running + r.Waiting)
-	l.kv = r.KVUsed
-	l.pending = float64(r.WaitingTokens)
+	l.reportedInFlight = float64(r.Running + r.Waiting)
+	l.kvUsed = r.KVUsed
+	l.pendingTokens = float64(r.WaitingTokens)
 	l.asOf = at
 	l.trim(at)
-	l.sentSince = 0
-	for _, s := range l.sends {
+	l.sentSinceReport = 0
+	for _, s := range l.recentSent {
 		l.advance(s.at, rate, p)
-		l.pending += s.tokens * (1 + p.follow)
+		l.pendingTokens += s.tokens * (1 + p.perOwn)
 		if !s.ended {
-			l.sentSince++
+			l.sentSinceReport++
 		}
 	}
 	l.advance(now, rate, p)
-	l.endedSince = 0
-	for _, e := range l.ends {
+	l.endedSinceReport = 0
+	for _, e := range l.recentEnded {
 		if e.sentAt <= at {
-			l.endedSince++
+			l.endedSinceReport++
 		}
 	}
 }
 
-// trim forgets sendings and ends that a report of time at shows already.
+// trim drops sent and ended attempts that a report of time at includes.
 func (l *load) trim(at float64) {
 	n := 0
-	for n < len(l.sends) && l.sends[n].at <= at {
+	for n < len(l.recentSent) && l.recentSent[n].at <= at {
 		n++
 	}
-	l.sends = append(l.sends[:0], l.sends[n:]...)
+	l.recentSent = append(l.recentSent[:0], l.recentSent[n:]...)
 	n = 0
-	for n < len(l.ends) && l.ends[n].at <= at {
+	for n < len(l.recentEnded) && l.recentEnded[n].at <= at {
 		n++
 	}
-	l.ends = append(l.ends[:0], l.ends[n:]...)
+	l.recentEnded = append(l.recentEnded[:0], l.recentEnded[n:]...)
 }
 
-// memorySince estimates the tokens sent since the last report that need memory,
-// of all instances.
-func (l *load) memorySince(p peers) float64 {
+// memorySinceReport estimates the tokens that need memory and were sent since
+// the last report, by all instances.
+func (l *load) memorySinceReport(p peers) float64 {
 	sum := 0.0
-	for _, s := range l.sends {
+	for _, s := range l.recentSent {
 		if !s.ended {
 			sum += s.memory
 		}
 	}
-	return sum * (1 + p.follow)
+	return sum * (1 + p.perOwn)
 }
 
-// inFlight estimates the requests at the target, of all instances.
+// inFlight estimates the target's running and waiting requests from all
+// instances.
 func (l *load) inFlight(now, stale float64, p peers) float64 {
 	if !l.reported || now-l.reportedAt > stale {
-		return float64(l.own) * (1 + p.follow)
+		return float64(l.ownInFlight) * (1 + p.perOwn)
 	}
-	n := l.reportedIn + float64(l.sentSince)*(1+p.follow) - float64(l.endedSince)
-	return max(float64(l.own), n)
+	n := l.reportedInFlight + float64(l.sentSinceReport)*(1+p.perOwn) - float64(l.endedSinceReport)
+	return max(float64(l.ownInFlight), n)
 }
--- a/route/load_test.go
+++ b/route/load_test.go
@@ -7,20 +7,21 @@
 	"pgregory.net/rapid"
 )
 
-// past is one own attempt with its times in seconds.
-type past struct {
+// pastAttempt is an own attempt with its times in seconds; tokens are those to
+// prefill and to hold in memory.
+type pastAttempt struct {
 	sent, ended, tokens float64
 }
 
-// Symptom: a target looks idle, or loaded, long after it was.
-// Events: reports that lag, between sendings and ends in any order.
-// Cause: a sending counted twice (by itself and by a report that shows it) or
-// not at all. The estimate must be what a replay of all events gives.
-func TestLoadCountsWhatTheReportDoesNotShow(t *testing.T) {
+// Guards against a target that looks idle or loaded long after it was: reports
+// lag, and come between attempts and ends in any order. An attempt must not be
+// counted twice (by itself and by a report that includes it) or not at all; the
+// estimate must equal a replay of all events.
+func TestLoadCountsAttemptsMissingFromReport(t *testing.T) {
 	const rate, never = 1000.0, math.MaxFloat64
 	rapid.Check(t, func(t *rapid.T) {
 		var l load
-		var all []past
+		var all []pastAttempt
 		now, reportedAt := 0.0, -1.0
 		var last Report
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -28,9 +29,9 @@
 			open := rapid.IntRange(0, max(0, len(all)-1)).Draw(t, "which")
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				p := past{sent: now, ended: never, tokens: float64(rapid.IntRange(1, 3000).Draw(t, "tokens"))}
+				p := pastAttempt{sent: now, ended: never, tokens: float64(rapid.IntRange(1, 3000).Draw(t, "tokens"))}
 				all = append(all, p)
-				l.send(now, sending{tokens: p.tokens, memory: p.tokens}, rate, peers{})
+				l.send(now, sentAttempt{tokens: p.tokens, memory: p.tokens}, rate, peers{})
 			case 1:
 				if len(all) > 0 && all[open].ended == never {
 					all[open].ended = now
@@ -50,7 +51,7 @@
 	})
 }
 
-func check(t *rapid.T, l *load, all []past, last Report, now, reportedAt, rate float64) {
+func check(t *rapid.T, l *load, all []pastAttempt, last Report, now, reportedAt, rate float64) {
 	own, memory := 0, 0.0
 	in, pending, asOf := float64(last.Running), float64(last.WaitingTokens), max(0, reportedAt)
 	for _, p := range all {
@@ -72,11 +73,11 @@
 	}
 	pending = max(0, pending-rate*(now-asOf))
 	l.advance(now, rate, peers{})
-	if l.own != own || math.Abs(l.ownTokens-memory) > 1e-6 {
-		t.Fatalf("%d own attempts of %v tokens, want %d of %v", l.own, l.ownTokens, own, memory)
+	if l.ownInFlight != own || math.Abs(l.ownTokens-memory) > 1e-6 {
+		t.Fatalf("%d own attempts of %v tokens, want %d of %v", l.ownInFlight, l.ownTokens, own, memory)
 	}
-	if math.Abs(l.pending-pending) > 1e-6 {
-		t.Fatalf("%v tokens in front, want %v", l.pending, pending)
+	if math.Abs(l.pendingTokens-pending) > 1e-6 {
+		t.Fatalf("%v tokens pending, want %v", l.pendingTokens, pending)
 	}
 	if got := l.inFlight(now, math.Inf(1), peers{}); reportedAt >= 0 && got != max(in, float64(own)) {
 		t.Fatalf("%v in flight, want %v", got, in)
--- a/route/memory.go
+++ b/route/memory.go
@@ -1,25 +1,27 @@
 package route
 
-// memoryEnough is the mean KV use from which the size of the memory is judged.
-const memoryEnough = 0.02
+// minMeanKVUse is the mean KV cache share below which the memory size is not
+// estimated.
+const minMeanKVUse = 0.02
 
-// memory is what is learned of the KV cache memory of a service's targets. A
-// long request waits for memory while slots are free, and what stands behind it
-// waits as well; one notices first tokens that come seconds after the queue of
-// prompt tokens was gone.
+// memory is what is learned about the KV cache memory of a service's targets. A
+// long request can wait for memory while slots are free and block the requests
+// queued behind it; their first tokens then come seconds after the queue of
+// prompt tokens is empty.
 type memory struct {
-	// used, running and ownTokens are means over reports: share in use, running
-	// requests, tokens (prompt and answer) of own attempts at the target.
+	// used, running, ownTokens and own are means over reports: memory share in
+	// use, running requests, prompt and output tokens of own attempts at the
+	// target, and the number of those attempts.
 	used, running, ownTokens, own float64
-	// weighted and tokens give the mean time that a token stays in memory, in
-	// seconds: their quotient.
-	weighted, tokens float64
+	// tokenSeconds / tokens is the mean time that a token stays in memory, in
+	// seconds.
+	tokenSeconds, tokens float64
 }
 
-// sawReport takes a report of a target at which this instance has own attempts
-// of ownTokens tokens in flight. A report of an idle target says nothing of
-// what a request takes, and would only drag the mean number of requests down.
-func (m *memory) sawReport(rep *Report, own int, ownTokens float64) {
+// observeReport records a report of a target with own attempts of ownTokens
+// tokens in flight. Reports of idle targets are ignored: they say nothing about
+// the memory per request and would lower the mean number of running requests.
+func (m *memory) observeReport(rep *Report, own int, ownTokens float64) {
 	if rep.Running == 0 {
 		return
 	}
@@ -29,24 +31,25 @@
 	m.ownTokens += meanWeight * (ownTokens - m.ownTokens)
 }
 
-// sawHold takes the time in seconds that a request of so many tokens was held.
-func (m *memory) sawHold(tokens, seconds float64) {
-	m.weighted += meanWeight * (tokens*seconds - m.weighted)
+// observeHold records that a request with the given number of tokens held
+// memory for the given time in seconds.
+func (m *memory) observeHold(tokens, seconds float64) {
+	m.tokenSeconds += meanWeight * (tokens*seconds - m.tokenSeconds)
 	m.tokens += meanWeight * (tokens - m.tokens)
 }
 
-// perToken is the share of a target's memory that one token takes, 0 while
-// nothing is known.
+// perToken returns the share of a target's memory that one token takes, or 0 if
+// unknown.
 func (m *memory) perToken() float64 {
-	if m.used < memoryEnough || m.ownTokens <= 0 || m.running <= 0 {
+	if m.used < minMeanKVUse || m.ownTokens <= 0 || m.running <= 0 {
 		return 0
 	}
 	mean := m.ownTokens / m.own
 	return m.used / (m.running * mean)
 }
 
-// perRequest is the share of a target's memory that an average request in
-// flight takes.
+// perRequest returns the share of a target's memory that an average running
+// request takes, or 0 if unknown.
 func (m *memory) perRequest() float64 {
 	if m.running <= 0 {
 		return 0
@@ -54,10 +57,11 @@
 	return m.used / m.running
 }
 
-// holdTime is the mean time in seconds that memory is held.
+// holdTime returns the mean time in seconds that a token holds memory, or 0 if
+// unknown.
 func (m *memory) holdTime() float64 {
 	if m.tokens <= 0 {
 		return 0
 	}
-	return m.weighted / m.tokens
+	return m.tokenSeconds / m.tokens
 }
--- a/route/picker_softmin.go
+++ b/route/picker_softmin.go
@@ -2,17 +2,18 @@
 
 import "math/rand/v2"
 
-// softminCut is the distance from the best score, in temperatures, beyond which
-// a candidate has no chance.
-const softminCut = 5.0
+// softminCutoff is the distance from the best score, in temperatures, beyond
+// which a candidate is never picked.
+const softminCutoff = 5.0
 
-// softminPicker picks by weighted chance among the near best: the weight falls
-// about by e with each temperature of distance from the best score. The temperature is
-// a part of the best predicted first token, at least PickFloor. Ties have equal
-// chances.
+// softminPicker picks randomly among the best candidates: the weight falls by
+// about a factor of e per temperature of distance from the best score. The
+// temperature is PickTemperature times the best candidate's predicted time to
+// first token, at least MinPickTemperature. Candidates with equal scores are
+// equally likely.
 //
-// Always the best would be wrong: instances that see the same lagging reports
-// would all pick the same target.
+// Without it, instances that see the same lagging reports would all pick the
+// same target.
 type softminPicker struct {
 	rng *rand.Rand
 }
@@ -28,7 +29,7 @@
 	heat := max(s.Config.MinPickTemperature.Seconds(), s.Config.PickTemperature*in[best].FirstToken)
 	sum := 0.0
 	for i := range in {
-		in[i].weight = nearness((in[i].Score - low) / heat)
+		in[i].weight = softminWeight((in[i].Score - low) / heat)
 		sum += in[i].weight
 	}
 	left := p.rng.Float64() * sum
@@ -41,11 +42,11 @@
 	return best
 }
 
-// nearness is the weight of a candidate d temperatures from the best. It is the
-// inverse of the series of exp(d): the function itself costs more than the rest
-// of the decision where hundreds of idle targets are equally good.
-func nearness(d float64) float64 {
-	if d > softminCut {
+// softminWeight returns the weight of a candidate d temperatures from the best.
+// It uses the inverse of the truncated series of exp(d): with hundreds of
+// equally good idle targets, math.Exp costs more than the rest of the decision.
+func softminWeight(d float64) float64 {
+	if d > softminCutoff {
 		return 0
 	}
 	return 1 / (1 + d*(1+d*(1.0/2+d*(1.0/6+d/24))))
--- a/route/plugins_test.go
+++ b/route/plugins_test.go
@@ -12,8 +12,9 @@
 	return &Snapshot{Request: &q, Config: &cfg, HoldTime: 1, Model: true, WaitFactor: 1}
 }
 
-// idle returns candidates t0, t1, ... that differ in nothing but their names.
-func idle(n int) []Candidate {
+// idleCandidates returns candidates t0, t1, ... that differ only in their
+// names.
+func idleCandidates(n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
 		id := TargetID("t" + string(rune('0'+i)))
@@ -47,12 +48,12 @@
 		{"adapter", adapterFilter{}, Request{Adapter: "x"}, func(c []Candidate) { c[1].Spec.Adapters = []string{"x"} }, "t1 "},
 		{"tried", triedFilter{}, Request{Tried: []TargetID{"t0", "t1"}}, func([]Candidate) {}, "t2 "},
 		{"grey and broken", healthFilter{}, Request{}, func(c []Candidate) { c[0].Health = Ejected; c[1].Health = Broken }, "t2 "},
-		{"all barred", healthFilter{}, Request{}, func(c []Candidate) { c[0].Health, c[1].Health, c[2].Health = Broken, Broken, Ejected }, "t0 t1 t2 "},
+		{"all excluded", healthFilter{}, Request{}, func(c []Candidate) { c[0].Health, c[1].Health, c[2].Health = Broken, Broken, Ejected }, "t0 t1 t2 "},
 		{"newly warm and busy", slowStartFilter{}, Request{}, func(c []Candidate) { c[0].WarmFor = 1; c[0].InFlight = 2 }, "t1 t2 "},
 		{"newly warm and idle", slowStartFilter{}, Request{}, func(c []Candidate) { c[0].WarmFor = 1 }, "t0 t1 t2 "},
 	}
 	for _, tc := range cases {
-		in := idle(3)
+		in := idleCandidates(3)
 		tc.change(in)
 		if got := ids(tc.filter.Apply(snapshotOf(tc.q), in)); got != tc.want {
 			t.Errorf("%s: kept %q, want %q", tc.name, got, tc.want)
@@ -60,7 +61,7 @@
 	}
 }
 
-func TestScorersSpeakInSeconds(t *testing.T) {
+func TestScorersUseSeconds(t *testing.T) {
 	cases := []struct {
 		name   string
 		scorer Scorer
@@ -68,13 +69,13 @@
 		want   float64
 	}{
 		{"idle", queueScorer{}, func(*Snapshot, *Candidate) {}, 0.5},
-		{"tokens in front", queueScorer{}, func(_ *Snapshot, c *Candidate) { c.PendingTokens = 2000 }, 2.5},
+		{"tokens pending", queueScorer{}, func(_ *Snapshot, c *Candidate) { c.PendingTokens = 2000 }, 2.5},
 		{"no slot", queueScorer{}, func(_ *Snapshot, c *Candidate) { c.InFlight = 5 }, 1},
 		{"plain", queueScorer{}, func(s *Snapshot, c *Candidate) { s.Model = false; c.PlainTime = 0.1; c.InFlight = 4 }, 0.125},
 		{"no hit", prefixScorer{}, func(*Snapshot, *Candidate) {}, 0},
 		{"hit", prefixScorer{}, func(s *Snapshot, c *Candidate) { c.CachedTokens = 400; s.Config.HitWeight = 1 }, -0.4},
 		{"memory free", kvScorer{}, func(s *Snapshot, c *Candidate) { s.MemoryShare = 0.1; s.MemoryHoldTime = 4; c.KVUsed = 0.9 }, 0},
-		{"memory lacking", kvScorer{}, func(s *Snapshot, c *Candidate) { s.MemoryShare = 0.1; s.MemoryHoldTime = 4; c.KVUsed = 1 }, 0.4},
+		{"memory missing", kvScorer{}, func(s *Snapshot, c *Candidate) { s.MemoryShare = 0.1; s.MemoryHoldTime = 4; c.KVUsed = 1 }, 0.4},
 		{"own zone", zoneScorer{}, func(*Snapshot, *Candidate) {}, 0},
 		{"other zone", zoneScorer{}, func(_ *Snapshot, c *Candidate) { c.Spec.Zone = "b" }, 0.001},
 		{"adapter to load", adapterScorer{}, func(s *Snapshot, _ *Candidate) { s.Config.AdapterLoad = time.Second }, 1},
@@ -85,7 +86,7 @@
 	}
 	for _, tc := range cases {
 		s := snapshotOf(Request{PromptTokens: 500, OutputTokens: 10, Adapter: "x"})
-		in := idle(2)
+		in := idleCandidates(2)
 		tc.change(s, &in[1])
 		tc.scorer.Score(s, in)
 		if d := in[1].Score - tc.want; d > 1e-9 || d < -1e-9 {
@@ -94,13 +95,13 @@
 	}
 }
 
-// Symptom: a new prefix is prefilled cold at every target.
-// Events: several instances see the prefix for the first time.
-// Cause: each picks another target; a hash that all share prevents it.
+// Guards against prefilling a new prefix cold at every target: several
+// instances see it for the first time, and without a shared hash each picks
+// another target.
 func TestNewPrefixHasTheSameFewTargets(t *testing.T) {
 	s := snapshotOf(Request{})
 	s.NewPrefix, s.NewTokens = 77, 1000
-	a, b := idle(8), idle(8)
+	a, b := idleCandidates(8), idleCandidates(8)
 	slices.Reverse(b)
 	prefixScorer{}.Score(s, a)
 	prefixScorer{}.Score(s, b)
@@ -120,7 +121,7 @@
 
 func TestPickerSpreadsOverTheNearBestOnly(t *testing.T) {
 	s := snapshotOf(Request{})
-	in := idle(4)
+	in := idleCandidates(4)
 	in[3].Score = 1
 	var n [4]int
 	p := softminPicker{rng: rand.New(rand.NewPCG(1, 1))}
@@ -140,7 +141,7 @@
 	if known := x.lookup([]uint64{1, 2, 3, 4}); known != 3 || x.held(0) != 3 || x.held(1) != 1 {
 		t.Fatalf("known %d, held %d and %d", known, x.held(0), x.held(1))
 	}
-	a.store(9) // over capacity: the innermost block goes
+	a.store(9) // over capacity: evicts the innermost block
 	if x.lookup([]uint64{1, 2, 3}); x.held(0) != 2 {
 		t.Fatalf("held %d after eviction", x.held(0))
 	}
@@ -151,8 +152,8 @@
 	}
 }
 
-// Symptom: a block that all targets hold makes the index grow and every lookup
-// slow. Cause: no bound on the holders remembered.
+// Guards against unbounded growth of the index and of lookup time by a block
+// that all targets hold.
 func TestPrefixIndexBoundsHolders(t *testing.T) {
 	x := newPrefixIndex()
 	var all []*blockLRU
--- a/route/prefixindex.go
+++ b/route/prefixindex.go
@@ -1,20 +1,20 @@
 package route
 
-// maxHolders bounds the targets remembered for one block. A block that more
-// targets hold is held nearly everywhere: who holds it says little.
+// maxHolders bounds the targets tracked per block. A block with more holders is
+// held nearly everywhere, so its holders say little.
 const maxHolders = 32
 
-// prefixIndex knows approximately which targets of one service hold which
-// prefix blocks. It is inverted: looking a prompt up costs as many steps as it
-// has blocks, not that times the number of targets.
+// prefixIndex tracks approximately which targets of one service hold which
+// prefix blocks. It is an inverted index: a lookup takes one step per block of
+// the prompt, independently of the number of targets.
 type prefixIndex struct {
 	holders map[uint64][]int32
-	// blocks is how many blocks each target holds of the last prompt looked up;
-	// valid where mark equals stamp.
-	blocks []int32
-	mark   []uint32
-	stamp  uint32
-	// found are the targets that hold some of it.
+	// blocks is the number of blocks of the last looked-up prompt that each
+	// target holds; valid where generations equals generation.
+	blocks      []int32
+	generations []uint32
+	generation  uint32
+	// found lists the targets that hold at least one block of it.
 	found []int32
 }
 
@@ -22,30 +22,30 @@
 	return &prefixIndex{holders: make(map[uint64][]int32)}
 }
 
-// grow makes room for target number n.
+// grow makes room for target index n.
 func (x *prefixIndex) grow(n int) {
 	for len(x.blocks) <= n {
 		x.blocks = append(x.blocks, 0)
-		x.mark = append(x.mark, 0)
+		x.generations = append(x.generations, 0)
 	}
 }
 
-// lookup finds for each target the deepest block of prefix that it holds, and
-// the number of outermost blocks that somebody holds.
+// lookup finds the deepest block of prefix that each target holds, and returns
+// the number of outermost blocks known to be held by any target.
 func (x *prefixIndex) lookup(prefix []uint64) (known int) {
-	x.stamp++
-	if x.stamp == 0 {
-		clear(x.mark)
-		x.stamp = 1
+	x.generation++
+	if x.generation == 0 {
+		clear(x.generations)
+		x.generation = 1
 	}
 	x.found = x.found[:0]
 	most := min(maxHolders, len(x.blocks))
 	for i := len(prefix) - 1; i >= 0 && len(x.found) < most; i-- {
 		for _, n := range x.holders[prefix[i]] {
-			if x.mark[n] == x.stamp {
+			if x.generations[n] == x.generation {
 				continue
 			}
-			x.mark[n] = x.stamp
+			x.generations[n] = x.generation
 			x.blocks[n] = int32(i + 1)
 			known = max(known, i+1)
 			x.found = append(x.found, n)
@@ -54,9 +54,10 @@
 	return known
 }
 
-// held returns the blocks that target n holds of the last prompt looked up.
+// held returns the number of blocks of the last looked-up prompt that target n
+// holds.
 func (x *prefixIndex) held(n int32) int32 {
-	if x.mark[n] != x.stamp {
+	if x.generations[n] != x.generation {
 		return 0
 	}
 	return x.blocks[n]
@@ -87,7 +88,7 @@
 	}
 }
 
-// noBlock ends the list of a blockLRU.
+// noBlock marks the end of a blockLRU's list.
 const noBlock = int32(-1)
 
 type blockNode struct {
@@ -95,29 +96,29 @@
 	prev, next int32
 }
 
-// blockLRU is the bounded memory of the blocks that one target is believed to
-// hold, least recently used first out, as the engines do.
+// blockLRU is a bounded LRU set of the blocks that one target is believed to
+// hold. It evicts the least recently used block first, as the engines do.
 type blockLRU struct {
-	index *prefixIndex
-	self  int32
-	cap   int
-	at    map[uint64]int32
-	nodes []blockNode
-	free  []int32
-	head  int32
-	tail  int32
-}
-
-func newBlockLRU(index *prefixIndex, self int32, capacity int) *blockLRU {
-	index.grow(int(self))
+	index       *prefixIndex
+	targetIndex int32
+	cap         int
+	nodeOf      map[uint64]int32
+	nodes       []blockNode
+	free        []int32
+	head        int32
+	tail        int32
+}
+
+func newBlockLRU(index *prefixIndex, targetIndex int32, capacity int) *blockLRU {
+	index.grow(int(targetIndex))
 	return &blockLRU{
-		index: index, self: self, cap: capacity,
-		at: make(map[uint64]int32), head: noBlock, tail: noBlock,
+		index: index, targetIndex: targetIndex, cap: capacity,
+		nodeOf: make(map[uint64]int32), head: noBlock, tail: noBlock,
 	}
 }
 
-// touch makes the blocks of a prefix the most recently used ones, the outermost
-// last: an engine drops the innermost first.
+// touch makes the blocks of a prefix the most recently used, the outermost
+// last, since an engine evicts the innermost first.
 func (c *blockLRU) touch(prefix []uint64) {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		c.store(prefix[i])
@@ -125,33 +126,33 @@
 }
 
 func (c *blockLRU) store(digest uint64) {
-	if n, ok := c.at[digest]; ok {
+	if n, ok := c.nodeOf[digest]; ok {
 		c.unlink(n)
 		c.pushFront(n)
 		return
 	}
-	if len(c.at) >= c.cap {
+	if len(c.nodeOf) >= c.cap {
 		c.evict(c.nodes[c.tail].digest)
 	}
 	n := c.alloc()
 	c.nodes[n].digest = digest
-	c.at[digest] = n
+	c.nodeOf[digest] = n
 	c.pushFront(n)
-	c.index.add(digest, c.self)
+	c.index.add(digest, c.targetIndex)
 }
 
 func (c *blockLRU) evict(digest uint64) {
-	n, ok := c.at[digest]
+	n, ok := c.nodeOf[digest]
 	if !ok {
 		return
 	}
 	c.unlink(n)
 	c.free = append(c.free, n)
-	delete(c.at, digest)
-	c.index.drop(digest, c.self)
+	delete(c.nodeOf, digest)
+	c.index.drop(digest, c.targetIndex)
 }
 
-// clear forgets all blocks.
+// clear removes all blocks.
 func (c *blockLRU) clear() {
 	for c.tail != noBlock {
 		c.evict(c.nodes[c.tail].digest)
--- a/route/router.go
+++ b/route/router.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Router decides for one instance. It is not safe for concurrent use; its
-// decisions are a function of its settings, its random source and its events.
+// Router routes the requests of one instance. It is not safe for concurrent
+// use. Its decisions depend only on its settings, its random source and its
+// events.
 type Router struct {
 	cfg      Config
 	rng      *rand.Rand
@@ -15,35 +16,37 @@
 	started  bool
 	targets  map[TargetID]*target
 	services map[string]*service
-	// names are the services in order, so that no result depends on the order
-	// of a map; abroad those that some other region has targets of.
-	names    []string
-	abroad   map[string][]string
-	links    []Link
-	attempts map[AttemptID]attempt
-	// primed says that targets have been set once.
-	primed  bool
-	filters []Filter
-	scorers []Scorer
-	picker  Picker
-	// scoped, candidates, slow and snapshot are reused by each decision.
-	scoped     []*target
-	least      leastLoaded
-	candidates []Candidate
-	slow       []slowTarget
-	snapshot   Snapshot
+	// serviceNames are sorted, so that no result depends on map order.
+	// remoteRegions lists, by service, the other regions that have targets of
+	// it.
+	serviceNames  []string
+	remoteRegions map[string][]string
+	links         []Link
+	attempts      map[AttemptID]attempt
+	// targetsSet is true after the first SetTargets.
+	targetsSet bool
+	filters    []Filter
+	scorers    []Scorer
+	picker     Picker
+	// scopedTargets, least, candidates, slowTargets and snapshot are buffers
+	// reused by each decision.
+	scopedTargets []*target
+	least         leastLoaded
+	candidates    []Candidate
+	slowTargets   []slowTarget
+	snapshot      Snapshot
 }
 
-// attempt is one own sending in flight.
+// attempt is an own attempt in flight.
 type attempt struct {
 	t      *target
 	sentAt float64
 	// predicted is the predicted time to first token in seconds, expected the
-	// same at rated speed.
+	// same at the rated speed.
 	predicted, expected float64
 	cached              int
-	// uncached are the prompt tokens without a hit, memory prompt and answer
-	// tokens; 0 for plain services.
+	// uncached is the number of prompt tokens without a prefix hit, memory that
+	// of prompt and output tokens; memory is 0 for plain services.
 	uncached, memory float64
 	firstAt          float64
 	answered         bool
@@ -51,15 +54,15 @@
 
 var _ Decider = (*Router)(nil)
 
-// New makes a Router. rng is its only source of chance.
+// New returns a Router. rng is its only source of randomness.
 func New(cfg Config, rng *rand.Rand) *Router {
 	r := &Router{
-		cfg:      cfg.withDefaults(),
-		rng:      rng,
-		targets:  make(map[TargetID]*target),
-		services: make(map[string]*service),
-		abroad:   make(map[string][]string),
-		attempts: make(map[AttemptID]attempt),
+		cfg:           cfg.withDefaults(),
+		rng:           rng,
+		targets:       make(map[TargetID]*target),
+		services:      make(map[string]*service),
+		remoteRegions: make(map[string][]string),
+		attempts:      make(map[AttemptID]attempt),
 		filters: []Filter{
 			residencyFilter{}, stateFilter{}, adapterFilter{}, triedFilter{},
 			healthFilter{}, slowStartFilter{},
@@ -70,7 +73,7 @@
 	return r
 }
 
-// seconds turns a time into seconds since the first event.
+// seconds converts a time to seconds since the first event.
 func (r *Router) seconds(now time.Time) float64 {
 	if !r.started {
 		r.started = true
@@ -83,23 +86,23 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Decide implements Decider. Of its own state it changes only the accounts of
-// admission and spilling.
+// Decide implements Decider. Of the Router's state, it changes only the
+// admission and spill accounting.
 func (r *Router) Decide(now time.Time, q *Request) Decision {
 	at := r.seconds(now)
 	s := r.services[q.Service]
 	if s == nil {
 		s = &service{}
 	}
-	s.count(at, q)
+	s.countDecided(at, q)
 	cands := r.candidatesFor(now, s, q)
 	if len(cands) == 0 {
-		return r.withoutTarget(now, s, q)
+		return r.decideWithoutTarget(now, s, q)
 	}
 	return r.admit(now, s, q, cands)
 }
 
-// scored filters targets and scores those that are left.
+// scored filters the targets and scores the remaining ones.
 func (r *Router) scored(s *service, at float64, q *Request, targets []*target) []Candidate {
 	cands := r.filtered(s, at, q, targets)
 	for _, sc := range r.scorers {
@@ -108,13 +111,13 @@
 	return cands
 }
 
-// takeSnapshot sets the snapshot of a request, without its candidates.
+// takeSnapshot sets the snapshot for a request, without the candidates.
 func (r *Router) takeSnapshot(now time.Time, s *service, q *Request) {
-	r.snapshot = Snapshot{Request: q, Config: &r.cfg, HoldTime: s.hold, Model: s.model}
+	r.snapshot = Snapshot{Request: q, Config: &r.cfg, HoldTime: s.meanHold, Model: s.model}
 	v := &r.snapshot
 	v.MemoryHoldTime = s.memory.holdTime()
 	v.MemoryShare = s.memory.perToken() * float64(q.PromptTokens+q.OutputTokens)
-	v.WaitFactor = 1 / (1 - s.overtaken(r.seconds(now), priority(q), s.others(&r.cfg)))
+	v.WaitFactor = 1 / (1 - s.higherPriorityShare(r.seconds(now), priority(q), s.peerRatio(&r.cfg)))
 	v.setBounds(now, q)
 	if !s.model {
 		return
@@ -126,12 +129,12 @@
 	}
 }
 
-// candidatesFor takes the snapshot of a service, filters its targets and scores
-// them: the ones in scope; the least loaded if those might have the request
-// refused; all if none is left.
+// candidatesFor takes the snapshot of a service, then filters and scores its
+// targets: those in scope, or the least loaded if the request might be refused
+// with those, or all if neither leaves a candidate.
 func (r *Router) candidatesFor(now time.Time, s *service, q *Request) []Candidate {
 	at := r.seconds(now)
-	r.lookForGrey(s, at)
+	r.checkGrey(s, at)
 	r.takeSnapshot(now, s, q)
 	targets := r.scope(s, &r.snapshot)
 	cands := r.scored(s, at, q, targets)
@@ -144,11 +147,12 @@
 	return r.scored(s, at, q, s.list)
 }
 
-// filtered describes targets as they are believed to be and filters them.
+// filtered returns the candidates for targets, with their estimated state, that
+// pass the filters.
 func (r *Router) filtered(s *service, at float64, q *Request, targets []*target) []Candidate {
 	perToken, perRequest := s.memory.perToken(), s.memory.perRequest()
 	p := s.peers(&r.cfg)
-	ahead, _ := s.byPriority.of(priority(q))
+	ahead, _ := s.prefillByPriority.of(priority(q))
 	stale := r.cfg.ReportStale.Seconds()
 	for len(r.candidates) < len(targets) {
 		r.candidates = append(r.candidates, Candidate{})
@@ -158,11 +162,11 @@
 		c := &cands[i]
 		c.describe(t, at)
 		t.load.advance(at, t.prefillRate(), p)
-		c.PendingTokens = t.load.pending * ahead
+		c.PendingTokens = t.load.pendingTokens * ahead
 		c.AheadShare = ahead
 		c.InFlight = t.load.inFlight(at, stale, p)
-		c.KVUsed = t.load.kv + t.load.memorySince(p)*perToken + float64(t.waiting)*perRequest*ahead
-		c.PlainTime = s.plain * t.speed.first.factor()
+		c.KVUsed = t.load.kvUsed + t.load.memorySinceReport(p)*perToken + float64(t.waiting)*perRequest*ahead
+		c.PlainTime = s.meanPlain * t.speed.firstToken.factor()
 		c.CachedTokens = 0
 		if s.model {
 			held := int(s.index.held(t.index)) * PrefixBlockTokens
@@ -175,7 +179,8 @@
 	return cands
 }
 
-// describe sets what depends on the target alone, and clears the scores.
+// describe sets the fields that depend only on the target and clears the
+// scores.
 func (c *Candidate) describe(t *target, at float64) {
 	c.Spec = &t.spec
 	c.hash = t.hash
@@ -188,20 +193,20 @@
 	c.Wait, c.FirstToken, c.Finish, c.Score = 0, 0, 0, 0
 }
 
-// allowed says whether the request may be served in region.
+// allowed reports whether the request may be served in region.
 func allowed(q *Request, region string) bool {
 	return len(q.Regions) == 0 || slices.Contains(q.Regions, region)
 }
 
-// service returns the service of that name, making it if need be.
+// service returns the named service, creating it if needed.
 func (r *Router) service(name string) *service {
 	s := r.services[name]
 	if s != nil {
 		return s
 	}
-	s = &service{name: name, index: newPrefixIndex(), plain: r.cfg.PlainTime.Seconds()}
+	s = &service{name: name, index: newPrefixIndex(), meanPlain: r.cfg.PlainTime.Seconds()}
 	r.services[name] = s
-	at, _ := slices.BinarySearch(r.names, name)
-	r.names = slices.Insert(r.names, at, name)
+	at, _ := slices.BinarySearch(r.serviceNames, name)
+	r.serviceNames = slices.Insert(r.serviceNames, at, name)
 	return s
 }
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -23,8 +23,8 @@
 	return New(Config{Region: "here", Zone: "a"}, rand.New(rand.NewPCG(seed, 0)))
 }
 
-// journal drives a Router with drawn events and checks each decision.
-type journal struct {
+// driver feeds random events to a Router and checks each decision.
+type driver struct {
 	t       *rapid.T
 	r       *Router
 	now     time.Time
@@ -34,7 +34,7 @@
 	history string
 }
 
-func (j *journal) setTargets() {
+func (j *driver) setTargets() {
 	var specs []TargetSpec
 	j.specs = make(map[TargetID]TargetSpec)
 	for i := range rapid.IntRange(0, 6).Draw(j.t, "targets") {
@@ -50,13 +50,13 @@
 	j.r.SetTargets(j.now, specs)
 }
 
-func (j *journal) request() Request {
+func (j *driver) request() Request {
 	q := Request{
 		Service:      rapid.SampledFrom([]string{"llm", "llm", "plain", "unknown"}).Draw(j.t, "service"),
 		Priority:     rapid.IntRange(-1, 10).Draw(j.t, "priority"),
 		PromptTokens: rapid.IntRange(1, 5000).Draw(j.t, "prompt"), OutputTokens: rapid.IntRange(1, 300).Draw(j.t, "output"),
 		Regions:    rapid.SampledFrom([][]string{nil, nil, {"here"}, {"there"}, {"here", "there"}}).Draw(j.t, "regions"),
-		Forwarded:  rapid.Bool().Draw(j.t, "crossed"),
+		Forwarded:  rapid.Bool().Draw(j.t, "forwarded"),
 		Idempotent: true,
 	}
 	if rapid.Bool().Draw(j.t, "bounded") {
@@ -72,7 +72,7 @@
 	return q
 }
 
-func (j *journal) decide() {
+func (j *driver) decide() {
 	q := j.request()
 	d := j.r.Decide(j.now, &q)
 	j.history += fmt.Sprintln(d)
@@ -94,18 +94,18 @@
 		j.open = append(j.open, j.next)
 	case Spill:
 		if q.Forwarded || d.Region != "there" || (len(q.Regions) > 0 && !slices.Contains(q.Regions, d.Region)) {
-			j.t.Fatalf("spilled to %s: crossed %v, allowed %v", d.Region, q.Forwarded, q.Regions)
+			j.t.Fatalf("spilled to %s: forwarded %v, allowed %v", d.Region, q.Forwarded, q.Regions)
 		}
 	case Refuse:
 		if d.RetryAfter <= 0 || d.Reason == ReasonNone {
-			j.t.Fatalf("refused without reason or time to come back: %+v", d)
+			j.t.Fatalf("refused without a reason or retry delay: %+v", d)
 		}
 	case Hold:
 		j.t.Fatalf("held")
 	}
 }
 
-func (j *journal) end(i int) {
+func (j *driver) end(i int) {
 	e := End{Attempt: j.open[i], CachedTokens: rapid.IntRange(-1, 500).Draw(j.t, "cached"), OutputTokens: 5}
 	e.Outcome = rapid.SampledFrom([]Outcome{Succeeded, Failed, Unreached, Rejected, Cancelled}).Draw(j.t, "outcome")
 	j.r.Ended(j.now, e)
@@ -113,7 +113,7 @@
 	j.open = slices.Delete(j.open, i, i+1)
 }
 
-func (j *journal) step() {
+func (j *driver) step() {
 	j.now = j.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(j.t, "ms")) * time.Millisecond)
 	id := TargetID(fmt.Sprintf("here-%d", rapid.IntRange(0, 6).Draw(j.t, "id")))
 	switch rapid.IntRange(0, 11).Draw(j.t, "step") {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (j *journal) run(steps int) {
+func (j *driver) run(steps int) {
 	j.setTargets()
 	for range steps {
 		j.step()
@@ -153,8 +153,8 @@
 		j.end(0)
 	}
 	for _, t := range j.r.targets {
-		if t.load.own != 0 || t.load.sentSince != 0 && !t.load.reported {
-			j.t.Fatalf("%s: %d own in flight after all ended", t.spec.ID, t.load.own)
+		if t.load.ownInFlight != 0 || t.load.sentSinceReport != 0 && !t.load.reported {
+			j.t.Fatalf("%s: %d own in flight after all ended", t.spec.ID, t.load.ownInFlight)
 		}
 	}
 	if len(j.r.attempts) != 0 {
@@ -162,26 +162,26 @@
 	}
 }
 
-// Symptom: work at a target that must not have it, a request that crosses
-// twice, accounts that drift.
-// Events: any order of changes, reports, ends (also doubled and unknown ones).
-// Cause: a filter missed on one path, or an account kept in two places.
-func TestDecisionsKeepTheRules(t *testing.T) {
+// Guards against requests at targets that must not serve them, requests
+// forwarded twice and drifting accounts, for any order of changes, reports and
+// ends, including duplicate and unknown ends. Possible causes: a filter missing
+// on one path, or an account kept in two places.
+func TestDecisionsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := journal{t: t, r: newRouter(1), now: epoch}
+		j := driver{t: t, r: newRouter(1), now: epoch}
 		j.r.cfg.MaxScored = rapid.SampledFrom([]int{1, 2, 192}).Draw(t, "scored")
 		j.run(rapid.IntRange(1, 80).Draw(t, "steps"))
 	})
 }
 
-// twin passes every event to two Routers and compares what they say.
+// twin holds two Routers that get the same events.
 type twin struct {
 	*Router
 	other *Router
 }
 
-// Symptom: a trial can't be repeated. Cause: a decision that depends on the
-// order of a map or on the clock.
+// Guards against decisions that depend on map order or the clock, which make an
+// experiment unrepeatable.
 func TestDecisionsAreAFunctionOfSeedAndEvents(t *testing.T) {
 	run := func(seed uint64) string {
 		w := twin{newRouter(seed), newRouter(seed)}
@@ -217,15 +217,15 @@
 	}
 	first, again, other := run(3), run(3), run(4)
 	if first != again || first == other {
-		t.Fatal("the seed does not decide alone")
+		t.Fatal("decisions are not a function of the seed alone")
 	}
 }
 
-// Symptom: a large service refuses though a target could run the request, sends
-// it to a cold one though another holds its prefix, or a new prefix everywhere.
-// Events: more targets than are looked at for one decision.
-// Cause: a window that leaves out the one target that matters.
-func TestScopeOfALargeServiceHasWhatMatters(t *testing.T) {
+// Guards against a scope that misses an important target. With more targets
+// than are scored per decision, a large service would refuse although a target
+// could run the request, send it to a cold target although another holds its
+// prefix, or spread a new prefix over all targets.
+func TestScopeOfLargeServiceHasPreferredTargets(t *testing.T) {
 	const n, only = 50, 37
 	r := newRouter(1)
 	r.cfg.MaxScored = 5
@@ -266,33 +266,33 @@
 	}
 	for range 20 {
 		if d := r.Decide(epoch, &Request{Service: "llm", Adapter: "x", PromptTokens: 10, OutputTokens: 1}); d.Target != specs[only].ID {
-			t.Fatalf("%+v, though one target has the adapter", d)
+			t.Fatalf("%+v, although one target has the adapter", d)
 		}
 	}
 }
 
-// Symptom: a request is refused though a target had room.
-// Events: a large service, all targets full but one.
-// Cause: a decision that looks at a window of the targets only.
-func TestTheOneTargetWithRoomIsFound(t *testing.T) {
+// Guards against refusing a request while a target has room: in a large service
+// with all targets full but one, a decision that looks only at a window of the
+// targets misses that one.
+func TestOnlyTargetWithRoomIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "targets")
-		r := region(n)
+		r := newRegion(n)
 		r.cfg.MaxScored = rapid.IntRange(1, 10).Draw(t, "scored")
 		free := TargetID(modelTarget(rapid.IntRange(0, n-1).Draw(t, "free"), "here").ID)
-		queue(r, epoch, 400_000)
+		reportQueue(r, epoch, 400_000)
 		now := epoch.Add(time.Second)
 		r.Report(now, Report{Target: free, At: now})
 		q := prompt(rapid.IntRange(1, 2000).Draw(t, "prompt"))
 		q.Deadline = now.Add(10 * time.Second)
 		q.Prefix = rapid.SliceOfN(rapid.Uint64(), 0, 3).Draw(t, "prefix")
 		if d := r.Decide(now, q); d.Action != Send || d.Target != free {
-			t.Fatalf("%+v, want a sending to %s", d, free)
+			t.Fatalf("%+v, want an attempt at %s", d, free)
 		}
 	})
 }
 
-// Symptom: the second look decides among targets that are not the least loaded.
+// Guards against choosing among targets that are not the least loaded.
 func TestLeastLoadedKeepsTheLeast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		waits := rapid.SliceOfN(rapid.Float64Range(0, 9), 0, 60).Draw(t, "waits")
@@ -301,12 +301,12 @@
 			l.offer(&target{warmAt: w}, w)
 		}
 		slices.Sort(waits)
-		if l.n != min(len(waits), secondLook) {
+		if l.n != min(len(waits), maxLeastLoaded) {
 			t.Fatalf("%d kept of %d", l.n, len(waits))
 		}
 		for i := range l.n {
 			if l.wait[i] != waits[i] || l.targets[i].warmAt != waits[i] {
-				t.Fatalf("place %d has %v, want %v", i, l.wait[i], waits[i])
+				t.Fatalf("index %d has %v, want %v", i, l.wait[i], waits[i])
 			}
 		}
 	})
--- a/route/scope.go
+++ b/route/scope.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// scope returns the targets that a decision looks at. Of a service with more
-// than MaxScored targets these are a window of so many at a random place, those
-// that hold the request's prefix, and those preferred for a new one: the best of
-// two hundred is hardly worse than the best of all, and costs a third. lookup
-// must have been called for the request's prefix.
+// scope returns the targets to score for a decision. For a service with more
+// than MaxScored targets, these are a window of that size at a random position,
+// the holders of the request's prefix, and the targets preferred for a new
+// prefix: the best of two hundred is hardly worse than the best of all, at a
+// third of the cost. The prefix must have been looked up in the index before.
 func (r *Router) scope(s *service, v *Snapshot) []*target {
 	n := len(s.list)
 	width := r.cfg.MaxScored
@@ -14,15 +14,15 @@
 		return s.list
 	}
 	start := r.rng.IntN(n)
-	out := r.scoped[:0]
+	out := r.scopedTargets[:0]
 	out = append(out, s.list[start:min(n, start+width)]...)
 	if over := start + width - n; over > 0 {
 		out = append(out, s.list[:over]...)
 	}
-	outside := func(t *target) bool { return (t.place-start+n)%n >= width }
+	outside := func(t *target) bool { return (t.listIndex-start+n)%n >= width }
 	if s.model {
 		for _, i := range s.index.found {
-			if t := s.bySlot[i]; outside(t) {
+			if t := s.byIndex[i]; outside(t) {
 				out = append(out, t)
 			}
 		}
@@ -30,17 +30,18 @@
 	if v.NewPrefix != 0 {
 		out = s.addPreferred(out, v, outside)
 	}
-	r.scoped = out
+	r.scopedTargets = out
 	return out
 }
 
-// addPreferred adds the first targets by rendezvous hash that are not in out.
+// addPreferred appends the first targets in rendezvous order that are not in
+// out.
 func (s *service) addPreferred(out []*target, v *Snapshot, outside func(*target) bool) []*target {
 	var best preferred
 	for i, t := range s.list {
 		best.offer(i, mix(v.NewPrefix^t.hash), v.Config.AffinityTargets)
 	}
-	for _, i := range best.at[:min(v.Config.AffinityTargets, maxAffinity)] {
+	for _, i := range best.indexes[:min(v.Config.AffinityTargets, maxAffinity)] {
 		t := s.list[i]
 		if outside(t) && s.index.held(t.index) == 0 {
 			out = append(out, t)
@@ -49,19 +50,20 @@
 	return out
 }
 
-// secondLook is how many targets a second look takes.
-const secondLook = 16
+// maxLeastLoaded is the number of targets that leastLoaded returns.
+const maxLeastLoaded = 16
 
-// leastLoaded are the targets with the least estimated wait, in order.
+// leastLoaded holds the targets with the least estimated wait, in ascending
+// order.
 type leastLoaded struct {
-	targets [secondLook]*target
-	wait    [secondLook]float64
+	targets [maxLeastLoaded]*target
+	wait    [maxLeastLoaded]float64
 	n       int
 }
 
-// offer takes a target in if it is among the least loaded so far.
+// offer inserts a target if it is among the least loaded so far.
 func (l *leastLoaded) offer(t *target, wait float64) {
-	if l.n == secondLook {
+	if l.n == maxLeastLoaded {
 		if wait >= l.wait[l.n-1] {
 			return
 		}
@@ -75,23 +77,25 @@
 	l.n++
 }
 
-// mayRefuse says whether admission might refuse or spill the request for what is
-// in front at the candidates.
+// mayRefuse reports whether admission might refuse or spill the request because
+// of the queues at the candidates.
 func (r *Router) mayRefuse(q *Request, cands []Candidate) bool {
 	o := r.snapshot.outlook(cands)
-	return o.late > 0 || o.wait > r.cfg.ShedWait.Seconds()*float64(priority(q)+1)/standingPart
+	return o.minLateness > 0 || o.minWait > r.cfg.ShedWait.Seconds()*float64(priority(q)+1)/persistentQueueDivisor
 }
 
-// leastLoaded is the second look at a large service: a request may not be refused
-// for a window without room while a target outside has some. It looks roughly at
-// all targets, and decides among the least loaded that may take the request.
+// leastLoaded returns the least loaded targets of a large service that may take
+// the request, by a rough estimate over all targets. Without it, a request
+// could be refused because the scoped window is full while a target outside it
+// has room.
 func (r *Router) leastLoaded(s *service, at float64, q *Request) []*target {
 	r.least.n = 0
 	adapter := q.Adapter != "" && r.cfg.AdapterLoad == 0
 	p := s.peers(&r.cfg)
 	stale := r.cfg.ReportStale.Seconds()
-	hold := max(s.hold, s.plain)
-	// From a random place on, so that instances prefer no one of equal targets.
+	hold := max(s.meanHold, s.meanPlain)
+	// Starts at a random position, so that instances do not prefer the same one
+	// of equal targets.
 	start := r.rng.IntN(len(s.list))
 	for i := range s.list {
 		t := s.list[(start+i)%len(s.list)]
@@ -101,7 +105,7 @@
 		}
 		wait := max(0, t.load.inFlight(at, stale, p)-t.slots()) * hold / t.slots()
 		if t.prefillTime > 0 {
-			wait = max(wait, t.load.pending*t.prefillTime-(at-t.load.asOf))
+			wait = max(wait, t.load.pendingTokens*t.prefillTime-(at-t.load.asOf))
 		}
 		r.least.offer(t, wait)
 	}
@@ -111,18 +115,19 @@
 // maxAffinity bounds Config.AffinityTargets.
 const maxAffinity = 4
 
-// preferred are the first few places by rendezvous hash, the greatest first.
+// preferred holds the indexes with the highest rendezvous hashes, in descending
+// order.
 type preferred struct {
-	at     [maxAffinity]int
-	weight [maxAffinity]uint64
+	indexes [maxAffinity]int
+	weight  [maxAffinity]uint64
 }
 
-// offer takes place i with weight w into the first n if it belongs there.
+// offer inserts index i with weight w if it is among the first n.
 func (p *preferred) offer(i int, w uint64, n int) {
 	for k := range min(n, maxAffinity) {
 		if w > p.weight[k] {
 			p.weight[k], w = w, p.weight[k]
-			p.at[k], i = i, p.at[k]
+			p.indexes[k], i = i, p.indexes[k]
 		}
 	}
 }
--- a/route/scorer_adapter.go
+++ b/route/scorer_adapter.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// adapterScorer adds the time to load the adapter where it is not loaded, in
-// seconds; 0 where it is, or where none is asked for.
+// adapterScorer adds AdapterLoad, in seconds, to candidates that have not
+// loaded the requested adapter.
 type adapterScorer struct{}
 
 func (adapterScorer) Score(s *Snapshot, in []Candidate) {
--- a/route/scorer_kv.go
+++ b/route/scorer_kv.go
@@ -1,12 +1,13 @@
 package route
 
-// kvScorer adds the expected wait for KV cache memory: what the request lacks is
-// freed at the pace at which memory in use turns over. Nothing where it fits
-// under KVHigh; else up to several MemoryHold. In seconds; lower is better.
+// kvScorer adds the expected wait for KV cache memory in seconds: missing
+// memory is freed at the rate at which memory in use turns over. It adds 0 if
+// the request fits below KVHigh, and up to several times MemoryHoldTime
+// otherwise.
 //
-// No more can be waited for than is in use: the size of the memory is learned from
-// sparse reports at low load, and a long prompt that seems larger than all of it
-// would be refused by idle targets.
+// The wait covers at most the memory in use. The memory size is learned from
+// sparse reports at low load, and without this limit idle targets would refuse
+// a long prompt that seems larger than all of their memory.
 type kvScorer struct{}
 
 func (kvScorer) Score(s *Snapshot, in []Candidate) {
--- a/route/scorer_prefix.go
+++ b/route/scorer_prefix.go
@@ -1,12 +1,12 @@
 package route
 
-// prefixScorer takes off what a prefix hit saves of the prefill, in seconds;
-// the better the hit, the lower. As queue and hit are in one unit, a hot prefix
-// leaves its target as soon as the queue there costs more than the hit saves.
+// prefixScorer subtracts the prefill time saved by a prefix hit, in seconds.
+// Queue and hit have the same unit, so a hot prefix moves away from its target
+// as soon as the queue there costs more than the hit saves.
 //
-// For the part of the prefix that nobody is known to hold, the few targets that
-// come first by rendezvous hash get a credit. All instances compute the same
-// ones, so that a new prefix does not go cold to every target in turn.
+// For the part of the prefix that no target is known to hold, the first few
+// targets in rendezvous order get a credit. All instances compute the same
+// targets, so a new prefix is not prefilled cold at every target in turn.
 type prefixScorer struct{}
 
 func (prefixScorer) Score(s *Snapshot, in []Candidate) {
@@ -25,14 +25,14 @@
 	}
 }
 
-// creditNew credits the first few candidates in rendezvous order.
+// creditNew credits the first candidates in rendezvous order.
 func creditNew(s *Snapshot, in []Candidate) {
 	var best preferred
 	n := min(s.Config.AffinityTargets, maxAffinity, len(in))
 	for i := range in {
 		best.offer(i, mix(s.NewPrefix^in[i].hash), n)
 	}
-	for _, i := range best.at[:n] {
+	for _, i := range best.indexes[:n] {
 		in[i].Score -= s.Config.AffinityGain * s.NewTokens * in[i].PrefillTime
 	}
 }
--- a/route/scorer_queue.go
+++ b/route/scorer_queue.go
@@ -1,10 +1,10 @@
 package route
 
-// queueScorer scores the predicted time to first token with a cold cache: the
-// prompt tokens in front and the own ones at the learned prefill rate, or the
-// wait for a slot if that is longer,
-// and the time for which a target has stalled, as it may go on as long. Range 0 and up, in seconds; lower is
-// better. It also sets the predicted first token and finish.
+// queueScorer adds the predicted time to first token with a cold cache, in
+// seconds: prefill of the queued and the request's own prompt tokens at the
+// learned rate, or the wait for a slot if that is longer, plus the time for
+// which the target has stalled, as the stall may last as long again. It also
+// sets Wait, FirstToken and Finish.
 type queueScorer struct{}
 
 func (queueScorer) Score(s *Snapshot, in []Candidate) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// slotWait predicts the wait for a free slot in seconds, where each slot is
-// kept for hold seconds.
+// slotWait returns the predicted wait for a free slot in seconds if each
+// request holds its slot for hold seconds.
 func slotWait(c *Candidate, hold float64) float64 {
 	if c.InFlight < c.Slots {
 		return 0
--- a/route/scorer_zone.go
+++ b/route/scorer_zone.go
@@ -1,7 +1,6 @@
 package route
 
-// zoneScorer adds the round trip to targets of another zone, in seconds; a
-// target of the own zone gets 0.
+// zoneScorer adds the round trip to targets in another zone, in seconds.
 type zoneScorer struct{}
 
 func (zoneScorer) Score(s *Snapshot, in []Candidate) {
--- a/route/snapshot.go
+++ b/route/snapshot.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// Snapshot is what the plugins of one decision see. All of them see the same
-// one, so that a score and the filter before it cannot disagree.
+// Snapshot is the input of the plugins for one decision. All plugins share one
+// snapshot, so that filters and scores are consistent.
 type Snapshot struct {
-	// Request is the request to place.
+	// Request is the request to route.
 	Request *Request
-	// Config are the Router's settings with defaults filled in.
+	// Config holds the Router's settings with defaults filled in.
 	Config *Config
-	// HoldTime is the mean time in seconds that a request of the service keeps
+	// HoldTime is the mean time in seconds that a request of the service holds
 	// a slot.
 	HoldTime float64
-	// Model says that the service is a model engine; else a plain service.
+	// Model is true for model engines, false for plain services.
 	Model bool
-	// Memory is the share of a target's KV cache memory that the request takes,
-	// MemoryHold the mean time in seconds that memory is held.
+	// MemoryShare is the share of a target's KV cache memory that the request
+	// takes, MemoryHoldTime the mean time in seconds that memory is held.
 	MemoryShare, MemoryHoldTime float64
-	// Stretch is by how much waits grow because requests of more priority come
-	// and go first, 1 or more.
+	// WaitFactor is the factor, at least 1, by which waits grow because
+	// requests of higher priority arrive later and run first.
 	WaitFactor float64
-	// MaxFirst and MaxFinish are the request's bounds on first token and whole
-	// answer in seconds from now, infinite where it has none.
+	// MaxFirst and MaxFinish are the request's deadlines for the first token
+	// and the whole response in seconds from now; infinite if it has none.
 	MaxFirst, MaxFinish float64
 	// NewPrefix is the outermost digest of the request's prefix that no target
-	// is known to hold, 0 if there is none. NewTokens is what stands from there on.
+	// is known to hold; 0 if there is none. NewTokens is the number of tokens
+	// from there on.
 	NewPrefix uint64
 	NewTokens float64
 }
 
-// setBounds takes the bounds of a request.
+// setBounds sets the deadlines of a request.
 func (s *Snapshot) setBounds(now time.Time, q *Request) {
 	s.MaxFirst, s.MaxFinish = math.Inf(1), math.Inf(1)
 	if !q.FirstTokenBy.IsZero() {
@@ -43,82 +44,90 @@
 	}
 }
 
-// lateness is by how many seconds a candidate misses the request's bounds; 0 or
-// less means that it makes them.
+// lateness returns by how many seconds a candidate misses the request's
+// deadlines; 0 or less if it meets them.
 func (s *Snapshot) lateness(c *Candidate) float64 {
 	return max(c.FirstToken-s.MaxFirst, c.Finish-s.MaxFinish)
 }
 
-// Candidate is one target as it is believed to be at the time of the decision.
+// Candidate is the estimated state of one target at the time of the decision.
 type Candidate struct {
-	// Spec is the target's description.
+	// Spec is the target's specification.
 	Spec *TargetSpec
-	// Pending is the estimate of prompt tokens in front.
+	// PendingTokens is the estimated number of queued prompt tokens that run
+	// before the request.
 	PendingTokens float64
-	// Ahead is the part of queued work that runs before or with a request of
-	// this priority, 0 to 1; Pending has it counted in.
+	// AheadShare is the fraction of queued work that runs before or with a
+	// request of this priority, 0 to 1. PendingTokens already includes it.
 	AheadShare float64
-	// InFlight is the estimate of requests running and waiting, of all instances.
+	// InFlight is the estimated number of running and waiting requests from all
+	// instances.
 	InFlight float64
-	// Slots is the number of requests it runs at once, as far as memory allows.
+	// Slots is the number of requests the target can run at once, as far as
+	// memory allows.
 	Slots float64
-	// KVUsed is the share of KV cache memory in use or waited for; over 1 if
-	// requests wait for it.
+	// KVUsed is the share of KV cache memory in use or waited for; above 1 if
+	// requests wait for memory.
 	KVUsed float64
-	// PrefillTime is the learned time of one prompt token in seconds, 0 for a
+	// PrefillTime is the learned time per prompt token in seconds; 0 for a
 	// plain service.
 	PrefillTime float64
-	// TokenTime is the learned time of one output token in seconds.
+	// TokenTime is the learned time per output token in seconds.
 	TokenTime float64
-	// PlainTime is the learned time of a plain call in seconds.
+	// PlainTime is the learned duration of a plain call in seconds.
 	PlainTime float64
-	// Cached is the predicted prefix hit in tokens.
+	// CachedTokens is the predicted prefix hit in tokens.
 	CachedTokens float64
-	// Health says whether the breaker or the grey signal bars it.
+	// Health is not Healthy if the circuit breaker or grey detection excludes
+	// the target.
 	Health Health
-	// Stalled is how long it has given no first token though one is overdue, in
-	// seconds.
+	// StalledFor is the time in seconds for which the target has given no first
+	// token although one is overdue.
 	StalledFor float64
-	// WarmFor is how long it has been warm, in seconds.
+	// WarmFor is the time in seconds since the target became warm.
 	WarmFor float64
-	// Wait is the predicted wait in seconds before the own prefill.
+	// Wait is the predicted wait in seconds before the request's own prefill.
 	Wait float64
-	// FirstToken and Finish are predicted seconds from now, set by the queue scorer.
+	// FirstToken and Finish are predicted times in seconds from now, set by the
+	// queue scorer.
 	FirstToken, Finish float64
-	// Score is the sum of the scorers in seconds; lower is better.
+	// Score is the sum of all scorers in seconds; lower is better.
 	Score float64
 
-	// hash is a hash of the target's name.
+	// hash is a hash of the target's ID.
 	hash uint64
-	// weight is its weight in the choice.
+	// weight is the candidate's weight in the random choice.
 	weight float64
 }
 
-// Health is what the breaker and the grey signal say of a target.
+// Health is the state of a target according to the circuit breaker and grey
+// detection.
 type Health uint8
 
 const (
 	// Healthy targets take work.
 	Healthy Health = iota
-	// Ejected targets answer, but far slower than their like.
+	// Ejected targets respond, but far more slowly than the service's other
+	// targets.
 	Ejected
 	// Broken targets failed several times in a row.
 	Broken
 )
 
-// Filter drops candidates that must not be used. It works in place and returns
-// what is left, in the same order.
+// Filter drops candidates that must not be used. Apply works in place and keeps
+// the order.
 type Filter interface {
 	Apply(s *Snapshot, in []Candidate) []Candidate
 }
 
-// Scorer adds to the score of each candidate, in seconds. All speak of the same
-// unit, so that no weights between them are needed.
+// Scorer adds to the score of each candidate, in seconds. As all scorers use
+// this unit, no weights between them are needed.
 type Scorer interface {
 	Score(s *Snapshot, in []Candidate)
 }
 
-// Picker chooses one of at least one scored candidates.
+// Picker chooses one of the scored candidates. Pick returns its index; in must
+// not be empty.
 type Picker interface {
 	Pick(s *Snapshot, in []Candidate) int
 }
--- a/route/speed.go
+++ b/route/speed.go
@@ -3,61 +3,64 @@
 import "math"
 
 const (
-	// speedWeight is the weight of one observation of a target's speed.
+	// speedWeight is the weight of one speed observation.
 	speedWeight = 0.2
-	// speedHalfLife is the time in seconds after which half of what was learned
-	// is forgotten if nothing new was seen. Without it a target that was slow
-	// once would never be tried again.
-	speedHalfLife = 60.0
-	// speedClamp bounds one observation, as a factor of the expected time.
-	speedClamp = 20.0
-	// speedFloor is added to both sides of a comparison, in seconds, so that
-	// noise in very short times does not look like a change of speed.
-	speedFloor = 0.02
-	// speedFull is the expected time in seconds from which an observation has its
-	// full weight, speedLeast the least part of it. Short times are mostly
-	// overhead and tell little of a rate.
-	speedFull  = 0.5
-	speedLeast = 0.1
-	// fastest bounds how much faster than rated a target is believed to
-	// prefill. A request that overtook others looks like a fast target.
-	fastest = 0.8
-	// speedEnough is the number of observations from which they are believed.
-	speedEnough = 3
+	// speedHalfLifeSeconds is the time after which half of the learned
+	// deviation is forgotten without new observations. Without decay, a target
+	// that was slow once would never be tried again.
+	speedHalfLifeSeconds = 60.0
+	// maxSpeedRatio bounds the ratio of a single observation in both
+	// directions.
+	maxSpeedRatio = 20.0
+	// speedFloorSeconds is added to both times of a comparison, so that noise
+	// in very short times does not look like a change of speed.
+	speedFloorSeconds = 0.02
+	// fullWeightSeconds is the expected time from which an observation has its
+	// full weight, minWeightFactor the lowest fraction of that weight. Short
+	// times are mostly overhead and say little about a rate.
+	fullWeightSeconds = 0.5
+	minWeightFactor   = 0.1
+	// minPrefillFactor bounds how much faster than rated a target's prefill is
+	// assumed to be, since a request that overtook others looks like a fast
+	// target.
+	minPrefillFactor = 0.8
+	// minObservations is the number of observations from which the learned
+	// speed is used to detect grey targets.
+	minObservations = 3
 )
 
-// ratio is a learned ratio of observed to expected time, kept as a logarithm so
-// that twice as fast and twice as slow weigh the same.
+// ratio is a learned ratio of observed to expected time. It is kept as a
+// logarithm, so that twice as fast and twice as slow have the same weight.
 type ratio struct {
-	log  float64
-	at   float64
-	seen int
-	// value is the ratio as of at, 0 until something was learned. It is kept
-	// because a decision reads it for each target.
+	log          float64
+	at           float64
+	observations int
+	// value is the ratio at time at; 0 before the first observation. It is
+	// cached because each decision reads it for every target.
 	value float64
 }
 
-// observe takes one pair of times in seconds.
+// observe records an observed and an expected time in seconds.
 func (r *ratio) observe(now, observed, expected float64) {
-	q := (observed + speedFloor) / (expected + speedFloor)
-	q = min(max(q, 1/speedClamp), speedClamp)
-	r.fade(now)
-	w := speedWeight * min(max(expected/speedFull, speedLeast), 1)
+	q := (observed + speedFloorSeconds) / (expected + speedFloorSeconds)
+	q = min(max(q, 1/maxSpeedRatio), maxSpeedRatio)
+	r.decay(now)
+	w := speedWeight * min(max(expected/fullWeightSeconds, minWeightFactor), 1)
 	r.log += w * (math.Log(q) - r.log)
 	r.value = math.Exp(r.log)
-	r.seen++
+	r.observations++
 }
 
-// fade forgets a part of what was learned, by the time since.
-func (r *ratio) fade(now float64) {
+// decay moves the ratio towards 1 by the time since the last update.
+func (r *ratio) decay(now float64) {
 	if r.log != 0 && now > r.at {
-		r.log *= math.Exp2(-(now - r.at) / speedHalfLife)
+		r.log *= math.Exp2(-(now - r.at) / speedHalfLifeSeconds)
 		r.value = math.Exp(r.log)
 	}
 	r.at = now
 }
 
-// factor returns the ratio, 1 if nothing was learned.
+// factor returns the ratio, or 1 before the first observation.
 func (r *ratio) factor() float64 {
 	if r.value == 0 {
 		return 1
@@ -65,23 +68,23 @@
 	return r.value
 }
 
-// speed is what is learned of one target's speed.
+// speed is the learned speed of one target.
 type speed struct {
-	// first and decode compare times to first token and times of output tokens
-	// with what the rated speeds and the queue led to expect.
-	first, decode ratio
+	// firstToken and decode compare times to first token and output token times
+	// with those expected from the rated speeds and the queue.
+	firstToken, decode ratio
 }
 
-// slow is the greater of both, for comparison between targets.
-func (s *speed) slow() float64 {
-	return max(s.first.factor(), s.decode.factor())
+// slowdown returns the greater ratio, to compare targets.
+func (s *speed) slowdown() float64 {
+	return max(s.firstToken.factor(), s.decode.factor())
 }
 
-func (s *speed) fade(now float64) {
-	s.first.fade(now)
-	s.decode.fade(now)
+func (s *speed) decay(now float64) {
+	s.firstToken.decay(now)
+	s.decode.decay(now)
 }
 
-func (s *speed) seen() int {
-	return max(s.first.seen, s.decode.seen)
+func (s *speed) observations() int {
+	return max(s.firstToken.observations, s.decode.observations)
 }
--- a/route/summary.go
+++ b/route/summary.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// grant is the account of what one service grants to all neighbours together,
-// in requests per second.
+// grant is the capacity that one service grants to all neighbours together, in
+// requests per second.
 type grant struct {
 	rate float64
 	at   float64
 }
 
-// Summarise implements Decider. What is spare under GrantLoad is split among
-// the neighbours that use it; a grant rises slowly and falls at once, so that a neighbour's
-// traffic does not pull this region down after its own.
+// Summarise implements Decider. Spare capacity below GrantLoad is split among
+// the neighbours that use it. A grant rises slowly and falls immediately, so
+// that a neighbour's traffic does not overload this region as well.
 func (r *Router) Summarise(now time.Time) []RegionSummary {
 	at := r.seconds(now)
-	out := make([]RegionSummary, 0, len(r.names))
-	for _, name := range r.names {
+	out := make([]RegionSummary, 0, len(r.serviceNames))
+	for _, name := range r.serviceNames {
 		out = append(out, r.summarise(now, at, r.services[name]))
 	}
 	return out
@@ -31,77 +31,80 @@
 	if free := 1 - queue/r.cfg.GrantWait.Seconds(); sum.Targets > 0 && free > 0 {
 		spare = free * max(0, capacity*r.cfg.GrantLoad-s.demand(at, &r.cfg))
 	}
-	s.grant.follow(at, spare, capacity*r.cfg.GrantRamp)
-	sum.FreeRate = s.grant.rate / float64(max(1, s.users(at)))
-	sum.Wait = duration(queue + s.coldTime())
+	s.grant.moveTowards(at, spare, capacity*r.cfg.GrantRamp)
+	sum.FreeRate = s.grant.rate / float64(max(1, s.activeGrantUsers(at)))
+	sum.Wait = duration(queue + s.coldCallTime())
 	return sum
 }
 
-// demand is the estimated rate of requests that the whole region has of its
-// own, without what crossed into it, per second.
+// demand estimates the region's rate of own requests per second, without those
+// forwarded into it.
 func (s *service) demand(at float64, c *Config) float64 {
-	s.arrivals.fade(at)
-	s.crossed.fade(at)
-	own := s.arrivals.perSecond() - s.crossed.perSecond()
+	s.arrivals.decay(at)
+	s.forwardedIn.decay(at)
+	own := s.arrivals.perSecond() - s.forwardedIn.perSecond()
 	return max(0, own) * float64(c.Instances)
 }
 
-// useTime is the time in seconds for which a crossing counts its region as a
+// grantUseSeconds is how long after a forwarded request its region counts as a
 // user of the grant.
-const useTime = 5.0
+const grantUseSeconds = 5.0
 
-// user is a region whose requests crossed into this one, at last at the time at.
-type user struct {
-	home string
-	at   float64
+// grantUser is a region and the time of the last request forwarded from it.
+type grantUser struct {
+	region string
+	at     float64
 }
 
-// crossedFrom notes that a request of a region crossed into this one.
-func (s *service) crossedFrom(home string, at float64) {
-	for i := range s.usedBy {
-		if s.usedBy[i].home == home {
-			s.usedBy[i].at = at
+// noteForwardedFrom records a request forwarded from a region.
+func (s *service) noteForwardedFrom(region string, at float64) {
+	for i := range s.grantUsers {
+		if s.grantUsers[i].region == region {
+			s.grantUsers[i].at = at
 			return
 		}
 	}
-	s.usedBy = append(s.usedBy, user{home, at})
+	s.grantUsers = append(s.grantUsers, grantUser{region, at})
 }
 
-// users is the number of regions that use the grant. Two that begin at once are
-// each told the whole of it until the first crossings have been seen.
-func (s *service) users(at float64) int {
+// activeGrantUsers returns the number of regions that use the grant. Two
+// regions that start at the same time are each offered the whole grant until
+// their first requests arrive.
+func (s *service) activeGrantUsers(at float64) int {
 	n := 0
-	for _, u := range s.usedBy {
-		if at-u.at < useTime {
+	for _, u := range s.grantUsers {
+		if at-u.at < grantUseSeconds {
 			n++
 		}
 	}
 	return n
 }
 
-// follow moves the grant towards spare: down at once, up by ramp per second.
-func (g *grant) follow(at, spare, ramp float64) {
+// moveTowards moves the grant towards spare: immediately downwards, upwards by
+// ramp per second.
+func (g *grant) moveTowards(at, spare, ramp float64) {
 	up := g.rate + ramp*max(0, at-g.at)
 	g.rate = min(spare, up)
 	g.at = at
 }
 
-// coldTime is the time of an average call with a cold cache, without queueing.
-func (s *service) coldTime() float64 {
+// coldCallTime returns the duration of an average call with a cold cache,
+// without queueing, in seconds.
+func (s *service) coldCallTime() float64 {
 	if !s.model {
-		return s.plain
+		return s.meanPlain
 	}
 	for _, t := range s.list {
 		if t.spec.PrefillRate > 0 {
-			return s.prompt / t.spec.PrefillRate
+			return s.meanPrompt / t.spec.PrefillRate
 		}
 	}
 	return 0
 }
 
-// queueAndCapacity returns the queueing time in seconds at the lower quartile
-// of the warm targets and the capacity of all of them in requests per second,
-// and counts them.
+// queueAndCapacity returns the queueing time at the lower quartile of the warm
+// targets in seconds and their total capacity in requests per second, and sets
+// sum.Targets.
 func (r *Router) queueAndCapacity(s *service, at float64, sum *RegionSummary) (queue, capacity float64) {
 	p := s.peers(&r.cfg)
 	var waits []float64
@@ -113,9 +116,9 @@
 		capacity += s.capacityOf(t, at)
 		t.load.advance(at, t.prefillRate(), p)
 		c := Candidate{InFlight: t.load.inFlight(at, r.cfg.ReportStale.Seconds(), p), Slots: t.slots(), AheadShare: 1}
-		wait := slotWait(&c, max(s.hold, s.plain))
+		wait := slotWait(&c, max(s.meanHold, s.meanPlain))
 		if s.model {
-			wait = max(wait, t.load.pending/t.prefillRate())
+			wait = max(wait, t.load.pendingTokens/t.prefillRate())
 		}
 		waits = append(waits, wait)
 	}
@@ -126,33 +129,34 @@
 	return waits[len(waits)/4], capacity
 }
 
-// capacityOf is the rate of average requests that a target bears, per second.
+// capacityOf returns the rate of average requests per second that a target
+// sustains.
 func (s *service) capacityOf(t *target, at float64) float64 {
 	if !s.model {
-		return float64(max(1, t.spec.Slots)) / (s.plain * t.speed.first.factor())
+		return float64(max(1, t.spec.Slots)) / (s.meanPlain * t.speed.firstToken.factor())
 	}
 	if t.spec.PrefillRate <= 0 {
 		return 0
 	}
-	if s.sent == 0 {
+	if s.sentCount == 0 {
 		return t.ratedCapacity()
 	}
-	bySlots := t.slots() / max(s.hold, speedFloor)
-	byPrefill := t.prefillRate() / max(1, s.uncached)
+	bySlots := t.slots() / max(s.meanHold, speedFloorSeconds)
+	byPrefill := t.prefillRate() / max(1, s.meanUncached)
 	return min(bySlots, byPrefill)
 }
 
-// Size of a request, in tokens, that a service is taken for that has had none
-// since this instance started.
+// Assumed request size, in tokens, for a service without requests since this
+// instance started.
 const (
 	priorPrompt = 1000.0
 	priorOutput = 200.0
 )
 
-// ratedCapacity is the rate of requests of the prior size that a target bears
-// by its rated speeds, per second. An idle region would else grant nothing, and
-// refuse the work of a neighbour that lost its targets until it had some of its
-// own.
+// ratedCapacity returns the rate of requests per second, of the assumed size,
+// that a target sustains at its rated speeds. Without it, an idle region would
+// grant nothing, and refuse the work of a neighbour that lost its targets,
+// until it had requests of its own.
 func (t *target) ratedCapacity() float64 {
 	hold := priorPrompt / t.spec.PrefillRate
 	if t.spec.DecodeRate > 0 {
--- a/route/target.go
+++ b/route/target.go
@@ -3,61 +3,63 @@
 import "math"
 
 const (
-	// meanWeight is the weight of one sending in the means of a service.
+	// meanWeight is the weight of one observation in the means of a service.
 	meanWeight = 0.02
-	// peerPrior is the weight, in requests in flight, of the configured number
-	// of instances in the estimate of the peers' sendings.
+	// peerPrior is the weight of the configured number of instances in the
+	// estimate of the peers' attempts, in requests in flight.
 	peerPrior = 2.0
-	// trustWeight is the weight of one observed hit in the trust in the prefix
-	// index, gapTrust what a gap in the cache events leaves of it.
+	// trustWeight is the weight of one observed hit in a target's trust,
+	// gapTrust the factor applied to it after a gap in the cache events.
 	trustWeight = 0.1
 	gapTrust    = 0.9
-	// priorities is the number of priorities, 0 to priorities-1.
+	// priorities is the number of priorities; they range from 0 to
+	// priorities-1.
 	priorities = 10
 )
 
-// target is what a Router knows of one target of its region.
+// target is the state of one target of the region.
 type target struct {
 	spec  TargetSpec
 	svc   *service
 	index int32
-	// place is its place in the service's list, hash a hash of its name.
-	place int
-	hash  uint64
-	load  load
-	speed speed
-	// prefillTime and tokenTime are the learned times of one prompt token and
-	// one output token in seconds, 0 for a plain service.
+	// listIndex is its index in service.list, hash a hash of its ID.
+	listIndex int
+	hash      uint64
+	load      load
+	speed     speed
+	// prefillTime and tokenTime are the learned times per prompt token and per
+	// output token in seconds; 0 for a plain service.
 	prefillTime, tokenTime float64
-	// rate is the inverse of prefillTime, kept because divisions add up.
-	rate  float64
-	guard guard
-	cache *blockLRU
-	// trust is the part of predicted prefix hits that comes true, 0 to 1.
+	// learnedPrefillRate is 1/prefillTime, cached to avoid divisions.
+	learnedPrefillRate float64
+	guard              guard
+	cache              *blockLRU
+	// trust is the fraction of predicted prefix hits that are confirmed, 0 to
+	// 1.
 	trust float64
-	// eventSeq is the last cache event's number.
+	// eventSeq is the sequence number of the last cache event.
 	eventSeq uint64
 	// warmAt is when it became warm, in seconds; minus infinity if it was warm
 	// when first seen.
 	warmAt float64
-	// waiting and running are the requests without and with a slot in the last
-	// report.
+	// waiting and running are the numbers of requests without and with a slot
+	// in the last report.
 	waiting, running int
-	// answeredAt is when it last gave a first token or a whole answer, stalled
-	// how long in seconds it has given none though it is overdue.
+	// answeredAt is the time of its last first token or complete response;
+	// stalled is how many seconds it has given none although one is overdue.
 	answeredAt, stalled float64
-	// unanswered are own attempts without a first token, oldest first.
+	// unanswered lists own attempts without a first token, oldest first.
 	unanswered []AttemptID
-	// cachedMemory is the share of memory in use when the target last reported
+	// idleKVUsed is the share of memory in use when the target last reported
 	// that it was idle.
-	cachedMemory float64
+	idleKVUsed float64
 }
 
-// model says that it is a model engine; else it is a plain service.
+// model reports whether it is a model engine rather than a plain service.
 func (t *target) model() bool { return t.spec.PrefillRate > 0 }
 
-// slots is the number of requests it really runs at once: memory may end
-// before the rated slots do.
+// slots returns the number of requests it can run at once: memory may be
+// exhausted before the rated slots.
 func (t *target) slots() float64 {
 	if t.waiting > 0 && t.running > 0 {
 		return float64(min(t.running, max(1, t.spec.Slots)))
@@ -65,7 +67,7 @@
 	return float64(max(1, t.spec.Slots))
 }
 
-// ratedTokenTime is the rated time of one output token with all slots in use,
+// ratedTokenTime returns the rated time per output token with all slots in use,
 // in seconds.
 func (t *target) ratedTokenTime() float64 {
 	if t.spec.DecodeRate <= 0 {
@@ -74,22 +76,23 @@
 	return float64(max(1, t.spec.Slots)) / t.spec.DecodeRate
 }
 
-// prefillRate is the learned speed in prompt tokens per second, 0 for a plain
-// service.
-func (t *target) prefillRate() float64 { return t.rate }
+// prefillRate returns the learned rate in prompt tokens per second; 0 for a
+// plain service.
+func (t *target) prefillRate() float64 { return t.learnedPrefillRate }
 
-// learned puts what was learned of the speed in force.
-func (t *target) learned() {
+// applySpeed updates the derived times and rates from the learned speed.
+func (t *target) applySpeed() {
 	if !t.model() {
 		return
 	}
-	t.prefillTime = max(fastest, t.speed.first.factor()) / t.spec.PrefillRate
-	t.rate = 1 / t.prefillTime
+	t.prefillTime = max(minPrefillFactor, t.speed.firstToken.factor()) / t.spec.PrefillRate
+	t.learnedPrefillRate = 1 / t.prefillTime
 	t.tokenTime = t.ratedTokenTime() * t.speed.decode.factor()
 }
 
-// sawHit takes the prefix hit that the engine told of against the predicted one.
-func (t *target) sawHit(predicted, actual int) {
+// observeHit compares a predicted prefix hit with the one reported by the
+// engine, in tokens.
+func (t *target) observeHit(predicted, actual int) {
 	if predicted <= 0 || actual < 0 {
 		return
 	}
@@ -97,72 +100,74 @@
 	t.trust += trustWeight * (q - t.trust)
 }
 
-// service is what a Router knows of one service in its region.
+// service is the state of one service in the region.
 type service struct {
 	name string
-	// list are its targets in the order of SetTargets, bySlot the same by
-	// index; nil where an index is free.
-	list   []*target
-	bySlot []*target
-	index  *prefixIndex
-	model  bool
-	// hold, prompt, uncached and plain are means: seconds in a slot, prompt
-	// tokens, prompt tokens without a prefix hit, seconds of a plain call.
-	hold, prompt, uncached, plain float64
-	sent                          int
-	// reportedIn and ownIn are means over reports of a target's requests in
+	// list holds its targets in the order of SetTargets, byIndex by
+	// target.index; nil where an index is free.
+	list    []*target
+	byIndex []*target
+	index   *prefixIndex
+	model   bool
+	// meanHold is in seconds per slot, meanPrompt in prompt tokens,
+	// meanUncached in prompt tokens without a prefix hit, meanPlain in seconds
+	// per plain call.
+	meanHold, meanPrompt, meanUncached, meanPlain float64
+	sentCount                                     int
+	// meanReported and meanOwn are means over reports of a target's requests in
 	// flight and of this instance's among them.
-	reportedIn, ownIn float64
-	memory            memory
-	// arrivals is the rate of own decided requests, crossed the part that came
-	// from other regions, tokens the rate of own uncached prompt tokens sent;
-	// all per second.
-	arrivals, crossed, tokens rate
-	// byPriority are the uncached prompt tokens sent by priority, fading, and
-	// heldBy the tokens that need memory.
-	byPriority, heldBy shares
-	// held is the rate of own tokens sent that need memory, per second.
-	held rate
-	// prefill is the prefill rate of all targets that take work, warm their number.
-	prefill float64
-	warm    int
-	// greyAt is when grey targets were last looked for, in seconds.
-	greyAt float64
-	// floor is the credit of low priorities.
-	floor float64
-	// stood are the queues as requests of each priority saw them.
-	stood [priorities]standing
-	spill spill
-	grant grant
-	// usedBy are the regions that use the grant.
-	usedBy []user
+	meanReported, meanOwn float64
+	memory                memory
+	// arrivals is the rate of requests decided here, forwardedIn of those among
+	// them forwarded from other regions, uncachedRate of uncached prompt tokens
+	// sent from here; all per second.
+	arrivals, forwardedIn, uncachedRate rate
+	// prefillByPriority is the decaying sum of uncached prompt tokens sent,
+	// memoryByPriority that of tokens that need memory.
+	prefillByPriority, memoryByPriority shares
+	// memoryRate is the rate of tokens sent from here that need memory, per
+	// second.
+	memoryRate rate
+	// totalPrefillRate is the prefill rate of all targets that take work,
+	// warmTargets their number.
+	totalPrefillRate float64
+	warmTargets      int
+	// greyCheckedAt is the time of the last check for grey targets, in seconds.
+	greyCheckedAt float64
+	// admitCredit is the admission credit of low priorities, in requests.
+	admitCredit float64
+	// queues tracks the queue as seen by requests of each priority.
+	queues [priorities]persistentQueue
+	spill  spill
+	grant  grant
+	// grantUsers lists the regions that use the grant.
+	grantUsers []grantUser
 }
 
-// others is the estimated number of peer sendings for each own one.
-func (s *service) others(c *Config) float64 {
+// peerRatio estimates the number of peer attempts per own attempt.
+func (s *service) peerRatio(c *Config) float64 {
 	prior := float64(c.Instances - 1)
-	n := (s.reportedIn + peerPrior*float64(c.Instances)) / (s.ownIn + peerPrior)
+	n := (s.meanReported + peerPrior*float64(c.Instances)) / (s.meanOwn + peerPrior)
 	return min(max(n-1, 0), 2*prior+1)
 }
 
-// peers estimates what the other instances do.
 func (s *service) peers(c *Config) peers {
-	others := s.others(c)
-	even := others * (1 - c.PeerShare) * s.tokens.perSecond()
+	others := s.peerRatio(c)
+	even := others * (1 - c.PeerShare) * s.uncachedRate.perSecond()
 	return peers{
-		follow: others * c.PeerShare,
-		tokens: even / float64(max(1, len(s.list))),
+		perOwn:    others * c.PeerShare,
+		tokenRate: even / float64(max(1, len(s.list))),
 	}
 }
 
-// maxOvertaken bounds the part of the capacity that higher priorities are
-// believed to take.
-const maxOvertaken = 0.97
+// maxHigherPriorityShare bounds the estimated share of the capacity that higher
+// priorities take.
+const maxHigherPriorityShare = 0.97
 
-// shares are amounts by priority.
+// shares holds decaying amounts by priority.
 type shares [priorities]float64
 
-// add adds to one priority and lets all fade.
+// add decays all amounts and adds to priority p.
 func (a *shares) add(p int, amount float64) {
 	for i := range a {
 		a[i] *= 1 - meanWeight
@@ -170,7 +175,7 @@
 	a[p] += amount
 }
 
-// of returns the parts that are of at least priority p, and of more than p.
+// of returns the fractions that have at least priority p, and more than p.
 func (a *shares) of(p int) (atLeast, above float64) {
 	var total float64
 	for i, v := range a {
@@ -188,85 +193,87 @@
 	return atLeast / total, above / total
 }
 
-// overtaken is the part of the service's capacity, in prefill or in memory, that
-// requests of more priority than p take. They arrive while a request waits and
-// go first, so that its wait grows; without this a low priority is promised a
-// start that it never gets while the higher ones keep the targets busy.
-func (s *service) overtaken(at float64, p int, others float64) float64 {
-	if s.prefill <= 0 {
+// higherPriorityShare returns the share of the service's capacity, in prefill
+// or in memory, taken by requests of higher priority than p. They arrive while
+// a request waits and run first, so its wait grows. Without this term, a
+// low-priority request is promised a start that it does not get while higher
+// priorities keep the targets busy.
+func (s *service) higherPriorityShare(at float64, p int, others float64) float64 {
+	if s.totalPrefillRate <= 0 {
 		return 0
 	}
-	s.tokens.fade(at)
-	s.held.fade(at)
-	_, above := s.byPriority.of(p)
-	_, heldAbove := s.heldBy.of(p)
-	prefill := s.tokens.perSecond() * above / s.prefill
-	memory := s.held.perSecond() * heldAbove * s.memory.perToken() * s.memory.holdTime() / float64(max(1, s.warm))
-	return min(maxOvertaken, max(prefill, memory)*(1+others))
+	s.uncachedRate.decay(at)
+	s.memoryRate.decay(at)
+	_, above := s.prefillByPriority.of(p)
+	_, heldAbove := s.memoryByPriority.of(p)
+	prefill := s.uncachedRate.perSecond() * above / s.totalPrefillRate
+	memory := s.memoryRate.perSecond() * heldAbove * s.memory.perToken() * s.memory.holdTime() / float64(max(1, s.warmTargets))
+	return min(maxHigherPriorityShare, max(prefill, memory)*(1+others))
 }
 
-// count takes one decided request into the rates; retries do not count again.
-func (s *service) count(at float64, q *Request) {
+// countDecided adds a decided request to the rates; retries are not counted
+// again.
+func (s *service) countDecided(at float64, q *Request) {
 	if q.Attempt > 0 {
 		return
 	}
 	s.arrivals.add(at, 1)
 	if q.Forwarded {
-		s.crossed.add(at, 1)
-		s.crossedFrom(q.Home, at)
+		s.forwardedIn.add(at, 1)
+		s.noteForwardedFrom(q.Home, at)
 	}
 }
 
-func (s *service) sawSending(r *Request, uncached, hold float64) {
-	w := max(meanWeight, 1/float64(s.sent+1))
-	s.sent++
-	s.hold += w * (hold - s.hold)
-	s.prompt += w * (float64(r.PromptTokens) - s.prompt)
-	s.uncached += w * (uncached - s.uncached)
-	s.byPriority.add(priority(r), uncached)
-	s.heldBy.add(priority(r), float64(r.PromptTokens+r.OutputTokens))
+func (s *service) observeAttempt(r *Request, uncached, hold float64) {
+	w := max(meanWeight, 1/float64(s.sentCount+1))
+	s.sentCount++
+	s.meanHold += w * (hold - s.meanHold)
+	s.meanPrompt += w * (float64(r.PromptTokens) - s.meanPrompt)
+	s.meanUncached += w * (uncached - s.meanUncached)
+	s.prefillByPriority.add(priority(r), uncached)
+	s.memoryByPriority.add(priority(r), float64(r.PromptTokens+r.OutputTokens))
 }
 
-func (s *service) sawReport(rep *Report, own int) {
-	s.reportedIn += meanWeight * (float64(rep.Running+rep.Waiting) - s.reportedIn)
-	s.ownIn += meanWeight * (float64(own) - s.ownIn)
+func (s *service) observeReport(rep *Report, own int) {
+	s.meanReported += meanWeight * (float64(rep.Running+rep.Waiting) - s.meanReported)
+	s.meanOwn += meanWeight * (float64(own) - s.meanOwn)
 }
 
-// sawPlain takes the time of a call of a plain service. Calls that queued take
-// longer, so a shorter time tells more.
-func (s *service) sawPlain(seconds float64) {
+// observePlainCall records the duration of a call to a plain service. Queueing
+// lengthens calls, so shorter durations have more weight.
+func (s *service) observePlainCall(seconds float64) {
 	w := meanWeight
-	if seconds < s.plain {
+	if seconds < s.meanPlain {
 		w = 5 * meanWeight
 	}
-	s.plain += w * (seconds - s.plain)
+	s.meanPlain += w * (seconds - s.meanPlain)
 }
 
-// priority returns the request's priority within its range.
+// priority returns the request's priority, clamped to its range.
 func priority(r *Request) int {
 	return min(max(r.Priority, 0), priorities-1)
 }
 
-// rateTime is the time constant of a rate in seconds.
-const rateTime = 5.0
+// rateTimeSeconds is the time constant of a rate.
+const rateTimeSeconds = 5.0
 
-// rate is an exponentially fading rate of events.
+// rate is an exponentially decaying rate of events.
 type rate struct {
 	sum float64
 	at  float64
 }
 
 func (r *rate) add(now, n float64) {
-	r.fade(now)
+	r.decay(now)
 	r.sum += n
 }
 
-func (r *rate) fade(now float64) {
+func (r *rate) decay(now float64) {
 	if now > r.at {
-		r.sum *= math.Exp(-(now - r.at) / rateTime)
+		r.sum *= math.Exp(-(now - r.at) / rateTimeSeconds)
 		r.at = now
 	}
 }
 
-// perSecond is the rate as of the last event.
-func (r *rate) perSecond() float64 { return r.sum / rateTime }
+// perSecond returns the rate at the last update.
+func (r *rate) perSecond() float64 { return r.sum / rateTimeSeconds }
--- a/route/types.go
+++ b/route/types.go
@@ -1,18 +1,18 @@
-// Package route decides where a request runs: at which target, in which
-// region, or nowhere.
+// Package route decides where a request runs: at which target, in which region,
+// or nowhere.
 //
-// A Router is a state machine without input or output. The host steps it with
-// what it sees (reports, sendings, ends, cache events) and asks it to decide;
+// A Router is a state machine without I/O. The host feeds it events (load
+// reports, started and ended attempts, cache events) and asks it for decisions;
 // time and randomness are passed in. One Router serves one instance: it knows
-// its own sendings exactly and everything else through lagging reports.
+// its own attempts exactly and everything else from lagging reports.
 package route
 
 import "time"
 
-// TargetID names a target.
+// TargetID identifies a target.
 type TargetID string
 
-// State is what is known of a target's readiness.
+// State is the readiness of a target.
 type State uint8
 
 const (
@@ -20,13 +20,14 @@
 	Warm State = iota
 	// Loading targets do not take work yet.
 	Loading
-	// Leaving targets finish what they have and take nothing new.
+	// Leaving targets finish their requests and take no new ones.
 	Leaving
-	// Down targets are not reachable.
+	// Down targets are unreachable.
 	Down
 )
 
-// String is the word for a state in logs and in the operators' interface.
+// String returns the name of a state used in logs and in the operators'
+// interface.
 func (s State) String() string {
 	switch s {
 	case Warm:
@@ -40,7 +41,7 @@
 	}
 }
 
-// TargetSpec is what the bundle and the platform say of a target.
+// TargetSpec is a target's specification from the bundle and the platform.
 type TargetSpec struct {
 	ID       TargetID
 	Service  string
@@ -48,30 +49,31 @@
 	Zone     string
 	Adapters []string
 	State    State
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests it can run at once.
 	Slots int
-	// PrefillRate and DecodeRate are rated speeds in tokens per second over
+	// PrefillRate and DecodeRate are the rated speeds in tokens per second over
 	// all slots; 0 for plain services.
 	PrefillRate, DecodeRate float64
-	// CostPerSecond weighs a busy second in the cost of serving.
+	// CostPerSecond is the weight of a busy second in the cost of serving.
 	CostPerSecond float64
 }
 
-// Report is one load report of a target. It describes the target at At, which
-// lies in the past by an unknown lag.
+// Report is a load report of a target. It describes the target at time At,
+// which lies in the past by an unknown lag.
 type Report struct {
 	Target  TargetID
 	At      time.Time
 	Running int
 	Waiting int
-	// WaitingTokens are prompt tokens not prefilled yet, of running and waiting requests.
+	// WaitingTokens is the number of prompt tokens not prefilled yet, of
+	// running and waiting requests.
 	WaitingTokens int
 	// KVUsed is the share of KV cache memory in use, 0 to 1.
 	KVUsed float64
 }
 
-// CacheEvent tells that a target now holds, or dropped, prefix blocks. Events
-// come late and with gaps, so what they say is a hint.
+// CacheEvent reports prefix blocks that a target stored or evicted. Events
+// arrive late and with gaps, so they are only hints.
 type CacheEvent struct {
 	Target  TargetID
 	Seq     uint64
@@ -79,7 +81,7 @@
 	Evicted []uint64
 }
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that decisions depend on.
 type Request struct {
 	ID        uint64
 	Service   string
@@ -88,53 +90,56 @@
 	// Priority is 0 (lowest) to 9.
 	Priority int
 	Arrival  time.Time
-	// Deadline is when the whole answer must have been given.
+	// Deadline is the time by which the response must be complete.
 	Deadline time.Time
-	// FirstTokenBy is when the first token must have been given; zero means no
-	// bound of its own.
+	// FirstTokenBy is the time by which the first token must have been sent;
+	// zero means no such deadline.
 	FirstTokenBy time.Time
-	// PromptTokens and OutputTokens are estimates, at least 1 for model services.
+	// PromptTokens and OutputTokens are estimates, at least 1 for model
+	// services.
 	PromptTokens, OutputTokens int
-	// Prefix are chained digests of the prompt's blocks of PrefixBlockTokens
+	// Prefix holds chained digests of the prompt's blocks of PrefixBlockTokens
 	// tokens, outermost first.
 	Prefix []uint64
-	// Idempotent requests may be sent again after an unknown end.
+	// Idempotent requests may be retried after an unknown outcome.
 	Idempotent bool
-	// Home is the region that the request belongs to.
+	// Home is the request's home region.
 	Home string
-	// Regions that may serve it; empty means any.
+	// Regions lists the regions that may serve it; empty means any.
 	Regions []string
-	// Crossed says that it has already crossed from another region; it must
-	// not cross again.
+	// Forwarded is true if the request was forwarded from another region; it
+	// must not be forwarded again.
 	Forwarded bool
-	// Attempt counts earlier sendings; Tried names their targets.
+	// Attempt is the number of earlier attempts, Tried their targets.
 	Attempt int
 	Tried   []TargetID
 }
 
-// PrefixBlockTokens is the number of tokens that one prefix digest covers.
+// PrefixBlockTokens is the number of tokens covered by one prefix digest.
 const PrefixBlockTokens = 64
 
-// Action is what to do with a request.
+// Action is what the host must do with a request.
 type Action uint8
 
 const (
-	// Send it to Decision.Target.
+	// Send the request to Decision.Target.
 	Send Action = iota
-	// Spill it to Decision.Region, which decides anew.
+	// Spill the request to Decision.Region, which decides again.
 	Spill
-	// Refuse it at once; Decision.RetryAfter says when to come back.
+	// Refuse the request immediately; Decision.RetryAfter is the delay before a
+	// retry.
 	Refuse
-	// Hold it and decide again at Decision.DecideAgain at the latest, or when
-	// an attempt of this instance ends. The host bounds how many it holds.
+	// Hold the request and decide again at Decision.DecideAgain at the latest,
+	// or when an attempt of this instance ends. The host bounds the number of
+	// held requests.
 	Hold
 )
 
-// Reason says why a request was refused or spilled.
+// Reason is why a request was refused or spilled.
 type Reason string
 
 const (
-	// ReasonNone stands with Send.
+	// ReasonNone is the reason of a Send decision.
 	ReasonNone Reason = ""
 	// ReasonUnknownService: no target of any allowed region serves it.
 	ReasonUnknownService Reason = "unknown_service"
@@ -144,45 +149,49 @@
 	ReasonDeadline Reason = "deadline_unmeetable"
 	// ReasonOverload: the request was shed in favour of others.
 	ReasonOverload Reason = "overloaded"
-	// ReasonResidency: its allowed regions do not include one that can serve it.
+	// ReasonResidency: its allowed regions do not include one that can serve
+	// it.
 	ReasonResidency Reason = "residency"
 )
 
-// Decision is the answer of a Router.
+// Decision is the result of Decider.Decide.
 type Decision struct {
 	Action Action
 	Target TargetID
 	Region string
 	Reason Reason
-	// RetryAfter goes with Refuse.
+	// RetryAfter is set for Refuse.
 	RetryAfter time.Duration
-	// DecideAgain goes with Hold.
+	// DecideAgain is set for Hold.
 	DecideAgain time.Time
-	// Start and Finish are predicted times of the first token and of the whole
-	// answer; they go with Send.
+	// Start and Finish are the predicted times of the first token and of the
+	// complete response, set for Send.
 	Start, Finish time.Time
 	// CachedTokens is the predicted prefix hit at the target, in tokens.
 	CachedTokens int
-	// HedgeAt is when a second attempt is worth starting; zero means never.
+	// HedgeAt is when to start a second attempt; zero means never.
 	HedgeAt time.Time
 }
 
-// AttemptID names one sending of one request by one instance.
+// AttemptID identifies one attempt of one request by one instance.
 type AttemptID uint64
 
 // Outcome is how an attempt ended.
 type Outcome uint8
 
 const (
-	// Succeeded: the whole answer came.
+	// Succeeded: the response was complete.
 	Succeeded Outcome = iota
-	// Failed: the target answered with an error of its own or broke off.
+	// Failed: the target returned an error of its own or broke off the
+	// response.
 	Failed
-	// Unreached: the connection was refused; the target did not see it.
+	// Unreached: the connection was refused; the target did not see the
+	// request.
 	Unreached
-	// Rejected: the target refused it for load.
+	// Rejected: the target refused the request because of its load.
 	Rejected
-	// Cancelled: this side gave it up (caller gone, hedge lost).
+	// Cancelled: this side gave up (caller gone, or the other attempt of a
+	// hedge won).
 	Cancelled
 )
 
@@ -190,54 +199,59 @@
 type End struct {
 	Attempt AttemptID
 	Outcome Outcome
-	// OutputTokens that came; CachedTokens as the engine told, -1 if it did not.
+	// OutputTokens is the number of received tokens; CachedTokens is the prefix
+	// hit reported by the engine, -1 if it reported none.
 	OutputTokens, CachedTokens int
 }
 
-// RegionSummary is what a neighbour's relay tells about one service in its region.
+// RegionSummary is a neighbour's summary of one service in its region.
 type RegionSummary struct {
 	Region  string
 	Service string
 	At      time.Time
-	// FreeRate is the work that the region grants to this one, in requests per
-	// second; 0 means none.
+	// FreeRate is the capacity that the region grants to this one, in requests
+	// per second; 0 means none.
 	FreeRate float64
-	// Wait is its predicted time to first token for a cold prompt of average length.
+	// Wait is its predicted time to first token for a cold prompt of average
+	// length.
 	Wait time.Duration
-	// Targets is how many targets of the service take work there.
+	// Targets is the number of targets there that take work for the service.
 	Targets int
 }
 
-// Link is a neighbour as the bundle describes it.
+// Link describes the connection to a neighbour, from the bundle and the
+// membership.
 type Link struct {
 	Region string
 	// OneWay is the usual one-way delay.
 	OneWay time.Duration
-	// MaxShare bounds the share of requests sent over it, 0 to 1.
+	// MaxShare bounds the fraction of requests spilled over it, 0 to 1.
 	MaxShare float64
-	// Reachable is what membership says now.
+	// Reachable is the current state according to the membership.
 	Reachable bool
 }
 
-// Decider is the set of steps of a Router. The experiment's baselines
-// implement it as well, so that all are driven alike.
+// Decider is the interface of a Router. The experiment's baselines implement it
+// too, so that all are driven alike.
 type Decider interface {
-	// SetTargets replaces the targets known; state of the ones kept is kept.
+	// SetTargets replaces the known targets; the state of those that remain is
+	// kept.
 	SetTargets(now time.Time, specs []TargetSpec)
-	// SetLinks replaces the neighbours known.
+	// SetLinks replaces the known neighbours.
 	SetLinks(now time.Time, links []Link)
-	// Report takes a load report.
+	// Report processes a load report.
 	Report(now time.Time, r Report)
-	// CacheEvent takes a prefix cache event.
+	// CacheEvent processes a prefix cache event.
 	CacheEvent(now time.Time, e CacheEvent)
-	// RegionSummary takes a neighbour's summary.
+	// RegionSummary processes a neighbour's summary.
 	RegionSummary(now time.Time, s RegionSummary)
-	// Summarise makes the summary of this region to give to neighbours, one
-	// for each service.
+	// Summarise returns this region's summaries for its neighbours, one per
+	// service.
 	Summarise(now time.Time) []RegionSummary
-	// Decide says what to do with a request. It changes no load state.
+	// Decide returns the decision for a request. It does not change the load
+	// state.
 	Decide(now time.Time, r *Request) Decision
-	// Sent records that the host follows a Send decision.
+	// Sent records that the host carries out a Send decision.
 	Sent(now time.Time, a AttemptID, r *Request, d Decision)
 	// FirstToken records the first token of an attempt.
 	FirstToken(now time.Time, a AttemptID)
