--- a/node/placing/placing.go
+++ b/node/placing/placing.go
@@ -206,7 +206,7 @@
 	var e *verdict.Error
 	switch {
 	case err == nil:
-		return placement.OrderTaken
+		return placement.OrderAccepted
 	case !errors.As(err, &e):
 		return placement.OrderUnanswered
 	case e.Code == ports.CodeOldFence:
--- a/placement/advance.go
+++ b/placement/advance.go
@@ -281,7 +281,7 @@
 		return
 	}
 	switch e.Outcome {
-	case OrderTaken:
+	case OrderAccepted:
 		t.order.stage = stageTaken
 		t.trustFrom = latest(t.trustFrom, p.now.Add(p.o.ReportLag))
 		return
--- a/placement/events.go
+++ b/placement/events.go
@@ -27,7 +27,7 @@
 
 const (
 	// OrderTaken: the engine answered; it obeys or has obeyed.
-	OrderTaken Outcome = iota
+	OrderAccepted Outcome = iota
 	// OrderNotSent: the order can't have reached the engine.
 	OrderNotSent
 	// OrderUnanswered: the order may have reached the engine.
--- a/placement/world_test.go
+++ b/placement/simulation_test.go
@@ -318,7 +318,7 @@
 	w.arrived(s)
 	end := OrderEnded{Target: s.Target, ID: s.Order.ID}
 	end.Outcome = w.obey(w.engines[s.Target], s.Order, goals, sent)
-	if end.Outcome == OrderTaken && w.chance(25) {
+	if end.Outcome == OrderAccepted && w.chance(25) {
 		end.Outcome = OrderUnanswered
 	}
 	back := w.upTo(step)
@@ -347,7 +347,7 @@
 	w.checkFence(e, o)
 	e.fence = max(e.fence, o.Fence)
 	if e.taken[o.ID] {
-		return OrderTaken
+		return OrderAccepted
 	}
 	e.taken[o.ID] = true
 	w.orders++
@@ -366,7 +366,7 @@
 		e.report.Model, e.report.Version, e.report.Adapters = o.Model, o.Version, nil
 		w.load(e, sent, goals.Goals[slices.Index(w.ids, e.id)].Version.Bytes)
 	}
-	return OrderTaken
+	return OrderAccepted
 }
 
 func (w *world) load(e *engine, sent time.Time, bytes int64) {
