--- a/placement/advance.go
+++ b/placement/advance.go
@@ -7,34 +7,35 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// advance takes a target one step on and says what holds it up.
+// advance moves a target one step towards its goal and returns what blocks it;
+// empty if nothing does.
 func (p *Planner) advance(t *target) Blocked {
 	if !t.fresh(p.now, &p.o) {
-		p.forget(t)
+		p.abandon(t)
 		return BlockedUnseen
 	}
-	order, bytes := t.next()
-	if !p.settled(t, &order) {
+	order, bytes := t.nextOrder()
+	if !p.orderSettled(t, &order) {
 		return BlockedOrder
 	}
-	if t.order != nil { // Failed, still called for: the same order again.
+	if t.order != nil { // Failed but still needed: sends the same order again.
 		return p.send(t, t.order.order, bytes)
 	}
 	switch order.Kind {
 	case "":
-		return p.idle(t)
+		return p.idleReason(t)
 	case ports.OrderResume:
-		if !p.warmed(t) {
+		if !p.warmUpDone(t) {
 			return BlockedWarmUp
 		}
 	}
 	return p.send(t, order, bytes)
 }
 
-// idle says what a target that needs no order waits for.
-func (p *Planner) idle(t *target) Blocked {
+// idleReason returns what a target that needs no order is waiting for.
+func (p *Planner) idleReason(t *target) Blocked {
 	if t.goal.Leaving && inProgress(&t.report) > 0 {
-		return p.inProgress(t)
+		return p.requestsReason(t)
 	}
 	if t.report.Loading {
 		return BlockedOrder
@@ -45,88 +46,90 @@
 	return ""
 }
 
-func (p *Planner) inProgress(t *target) Blocked {
-	if p.now.Sub(t.drainSeen) > p.wanted.DrainTime {
+func (p *Planner) requestsReason(t *target) Blocked {
+	if p.now.Sub(t.drainSeenAt) > p.desired.DrainTime {
 		return BlockedDrainOverdue
 	}
 	return BlockedInProgress
 }
 
-// forget gives up what was under way at a target that is gone for long, so that
-// the others don't wait for it.
-func (p *Planner) forget(t *target) {
-	if !t.seenAt.IsZero() && p.now.Sub(latest(t.seenAt, p.watching)) > p.o.LostAfter {
-		t.order, t.seenAt, t.report, t.drainSeen, t.warm.done = nil, time.Time{}, ports.LoadReport{}, time.Time{}, false
+// abandon discards the state of a target that has not been seen for LostAfter,
+// so that other targets don't wait for it.
+func (p *Planner) abandon(t *target) {
+	if !t.seenAt.IsZero() && p.now.Sub(latest(t.seenAt, p.pollingSince)) > p.o.LostAfter {
+		t.order, t.seenAt, t.report, t.drainSeenAt, t.warm.done = nil, time.Time{}, ports.LoadReport{}, time.Time{}, false
 		t.drainedElsewhere = false
 	}
 }
 
-// settled decides on the order under way and reports whether the next may be
-// given: none is under way, or it has to be sent again. An order that was not
-// answered is sent again while it may have arrived and is still called for; one
-// that is not called for any more is waited for, lest the next one overtake it. An order whose effect is
-// reported is kept while a second sending of it may arrive: an engine that
-// crashed in between would take it for a new one.
-func (p *Planner) settled(t *target, next *ports.Order) bool {
+// orderSettled updates the pending order and reports whether an order may be
+// sent: none is pending, or the pending one must be sent again. An unanswered
+// order that may have arrived is sent again while it is still needed; one that
+// is no longer needed is waited for, so that the next order cannot overtake it.
+// An order whose effect is reported is kept while a second copy of it may
+// arrive: an engine that crashed in between would take the copy for a new
+// order.
+func (p *Planner) orderSettled(t *target, next *ports.Order) bool {
 	o := t.order
 	if o == nil {
 		return true
 	}
 	if o.stage == stageSending {
-		p.timeOut(t)
+		p.timeOutSend(t)
 		return false
 	}
-	if o.shows(&t.report) {
-		return p.shown(t)
+	if o.visibleIn(&t.report) {
+		return p.finishOrder(t)
 	}
-	if o.stage == stageTaken {
+	if o.stage == stageAccepted {
 		return p.effectFailed(t)
 	}
-	if t.uncertain(p.now) {
-		return o.same(next)
+	if t.mayStillArrive(p.now) {
+		return o.equalExceptID(next)
 	}
-	t.order = nil // It has not arrived and can't any more; what follows is new.
+	t.order = nil // It has not arrived and no longer can; what follows is a new order.
 	return true
 }
 
-// shown ends an order unless it may arrive a second time.
-func (p *Planner) shown(t *target) bool {
-	if p.now.Before(t.clearAt) {
+// finishOrder ends the pending order unless another copy of it may arrive, and
+// reports whether it did.
+func (p *Planner) finishOrder(t *target) bool {
+	if p.now.Before(t.mayArriveUntil) {
 		return false
 	}
-	t.order, t.trustFrom, t.drainUntil = nil, time.Time{}, time.Time{}
-	t.succeeded()
+	t.order, t.reportsValidFrom, t.ownDrainUntil = nil, time.Time{}, time.Time{}
+	t.resetBackoff()
 	return true
 }
 
-// timeOut treats a sending whose end the host never told as unanswered.
-func (p *Planner) timeOut(t *target) {
+// timeOutSend treats a send whose end the host never reported as unanswered.
+func (p *Planner) timeOutSend(t *target) {
 	if p.now.After(t.order.order.Expires.Add(t.goal.OrderExpiry)) {
 		p.unanswered(t)
 	}
 }
 
-// effectFailed gives up on an order that was taken and whose effect is not
-// reported although reports would show it by now: the engine failed at it, or
-// has crashed since. A load that the engine still reports goes on.
+// effectFailed drops an accepted order whose effect is still missing from
+// reports that would show it: the engine failed to execute it, or has crashed
+// since. A load that the engine still reports continues.
 func (p *Planner) effectFailed(t *target) bool {
-	if t.report.Loading || t.seenAt.Before(t.trustFrom) {
+	if t.report.Loading || t.seenAt.Before(t.reportsValidFrom) {
 		return false
 	}
 	p.counts.Failed++
 	t.order = nil
-	t.failed(p.now, &p.o)
+	t.backOff(p.now, &p.o)
 	return true
 }
 
-// warmed has the target answer once before it takes work, and reports whether
-// it did.
-func (p *Planner) warmed(t *target) bool {
+// warmUpDone reports whether the target has completed its warm-up, which it
+// must before it takes work, and starts one if possible.
+func (p *Planner) warmUpDone(t *target) bool {
 	w := &t.warm
 	if w.running && p.now.Sub(w.startAt) > 2*p.o.WarmUpTime {
 		w.running = false // The host lost its end.
 	}
-	if w.done || w.running || p.now.Before(t.retryAt) || !p.formerEnded() {
+	if w.done || w.running || p.now.Before(t.retryAt) || !p.earlierOrdersEnded() {
 		return w.done
 	}
 	p.seq++
@@ -146,73 +149,75 @@
 	t.warm.running = false
 	if e.Outcome == WarmUpFailed {
 		p.counts.WarmUpsFailed++
-		t.drainSeen = p.now // It may still run there.
-		t.failed(p.now, &p.o)
+		t.drainSeenAt = p.now // The request may still run there.
+		t.backOff(p.now, &p.o)
 		return
 	}
 	t.warm.done = true
-	t.succeeded()
+	t.resetBackoff()
 }
 
-// send gives an order if nothing speaks against it now.
+// send sends an order unless something blocks it now. An order with an ID is
+// sent again.
 func (p *Planner) send(t *target, order ports.Order, bytes int64) Blocked {
-	again := order.ID != ""
-	if blocked := p.gate(t, &order, bytes, again); blocked != "" {
+	resend := order.ID != ""
+	if blocked := p.blockedBy(t, &order, bytes, resend); blocked != "" {
 		return blocked
 	}
 	issued, err := p.holder.Issue(p.now, min(t.goal.OrderExpiry, p.o.SendTime))
 	if err != nil {
 		return BlockedLease
 	}
-	if !again {
+	if !resend {
 		order.ID = p.nextID()
 	}
 	order.Fence, order.Expires = issued.Fence, issued.Expiry
-	t.order = &pending{order: order}
-	t.trustFrom = latest(t.trustFrom, p.now.Add(p.o.ReportLag))
-	p.count(again)
+	t.order = &pendingOrder{order: order}
+	t.reportsValidFrom = latest(t.reportsValidFrom, p.now.Add(p.o.ReportLag))
+	p.countSent(resend)
 	if order.Kind == ports.OrderDrain {
-		t.drainUntil = order.Expires.Add(t.goal.OrderExpiry).Add(p.o.ReportLag)
+		t.ownDrainUntil = order.Expires.Add(t.goal.OrderExpiry).Add(p.o.ReportLag)
 	}
-	if t.order.loads() {
-		p.storeFree = latest(p.storeFreeAt(), p.now).Add(p.readTime(bytes))
+	if t.order.isLoad() {
+		p.ownLoadsEnd = latest(p.storeFreeAt(), p.now).Add(p.readTime(bytes))
 		t.warm.done = false
 	}
 	p.effects = append(p.effects, Send{Target: t.goal.Target, Address: t.goal.Address, Order: order})
 	return BlockedOrder
 }
 
-func (p *Planner) count(again bool) {
+func (p *Planner) countSent(resend bool) {
 	p.counts.Sent++
-	if again {
+	if resend {
 		p.counts.Resent++
 	}
 }
 
-// gate says what speaks against an order now.
-func (p *Planner) gate(t *target, order *ports.Order, bytes int64, again bool) Blocked {
-	former := lease.Target{ChecksFence: t.goal.ChecksFence, OrderExpiry: t.goal.OrderExpiry}
-	ready, _ := p.succession.Ready(p.now, former)
+// blockedBy returns what blocks an order now; empty if nothing does.
+func (p *Planner) blockedBy(t *target, order *ports.Order, bytes int64, resend bool) Blocked {
+	leaseTarget := lease.Target{ChecksFence: t.goal.ChecksFence, OrderExpiry: t.goal.OrderExpiry}
+	ready, _ := p.succession.Ready(p.now, leaseTarget)
 	switch {
 	case !ready:
 		return BlockedEarlierLeader
 	case p.now.Before(t.retryAt):
 		return BlockedRetry
-	case !again && t.uncertain(p.now):
+	case !resend && t.mayStillArrive(p.now):
 		return BlockedOrder
 	case order.Kind == ports.OrderDrain && !t.goal.Leaving:
-		return p.gateDrain(t)
+		return p.drainBlockedBy(t)
 	case order.Kind == ports.OrderLoadVersion || order.Kind == ports.OrderLoadAdapter:
-		return p.gateLoad(t, bytes)
+		return p.loadBlockedBy(t, bytes)
 	case order.Kind == ports.OrderRole && !t.drained(&p.o):
-		return p.inProgress(t)
+		return p.requestsReason(t)
 	}
 	return ""
 }
 
-// gateDrain guards the capacity of the service and the bound on changes.
-func (p *Planner) gateDrain(t *target) Blocked {
-	if !p.formerEnded() {
+// drainBlockedBy protects the capacity of the service and enforces the bound on
+// changes.
+func (p *Planner) drainBlockedBy(t *target) Blocked {
+	if !p.earlierOrdersEnded() {
 		return BlockedEarlierLeader
 	}
 	others := 0
@@ -221,19 +226,20 @@
 			others++
 		}
 	}
-	if others >= p.wanted.MaxLoads {
+	if others >= p.desired.MaxLoads {
 		return BlockedLoads
 	}
-	if !p.spare(t) {
+	if !p.hasSpareCapacity(t) {
 		return BlockedCapacity
 	}
 	return ""
 }
 
-// spare reports whether the rest of the service carries the load without t. A
-// target that is out already takes nothing from it.
-func (p *Planner) spare(t *target) bool {
-	if t.out(p.now, &p.o) {
+// hasSpareCapacity reports whether the rest of the service can carry the load
+// without t. Draining a target that is already out of service removes no
+// capacity.
+func (p *Planner) hasSpareCapacity(t *target) bool {
+	if t.outOfService(p.now, &p.o) {
 		return true
 	}
 	total, out := 0, 0
@@ -242,20 +248,21 @@
 			continue
 		}
 		total += o.goal.Slots
-		if o.out(p.now, &p.o) {
+		if o.outOfService(p.now, &p.o) {
 			out += o.goal.Slots
 		}
 	}
 	return out == 0 || float64(out+t.goal.Slots) <= p.o.MaxOutShare*float64(total)
 }
 
-// gateLoad guards requests in progress, the bound on loads and the rate of the
-// weight store. An adapter loads beside requests unless a version has to follow.
-func (p *Planner) gateLoad(t *target, bytes int64) Blocked {
+// loadBlockedBy protects requests in progress and enforces the bound on loads
+// and the rate of the weight store. An adapter loads while requests run, unless
+// a version change must follow.
+func (p *Planner) loadBlockedBy(t *target, bytes int64) Blocked {
 	if t.goal.needsDrain(&t.report) && !t.drained(&p.o) {
-		return p.inProgress(t)
+		return p.requestsReason(t)
 	}
-	if !p.formerEnded() {
+	if !p.earlierOrdersEnded() {
 		return BlockedEarlierLeader
 	}
 	others := 0
@@ -264,7 +271,7 @@
 			others++
 		}
 	}
-	if others >= p.wanted.MaxLoads {
+	if others >= p.desired.MaxLoads {
 		return BlockedLoads
 	}
 	if bytes > 0 && p.now.Before(p.storeFreeAt()) {
@@ -273,7 +280,7 @@
 	return ""
 }
 
-// orderEnded notes how a sending ended.
+// orderEnded processes the end of a Send.
 func (p *Planner) orderEnded(e OrderEnded) {
 	t := p.find(e.Target)
 	if t == nil || t.order == nil || t.order.order.ID != e.ID || t.order.stage != stageSending {
@@ -282,17 +289,17 @@
 	}
 	switch e.Outcome {
 	case OrderAccepted:
-		t.order.stage = stageTaken
-		t.trustFrom = latest(t.trustFrom, p.now.Add(p.o.ReportLag))
+		t.order.stage = stageAccepted
+		t.reportsValidFrom = latest(t.reportsValidFrom, p.now.Add(p.o.ReportLag))
 		return
 	case OrderUnanswered:
 		p.unanswered(t)
 		return
 	case OrderOldFence:
-		// Another leader exists. Whatever this one believes, it stops until it
-		// holds a lease under a higher number.
+		// Another leader exists. This one stops, whatever it believes, until it
+		// holds a lease with a higher fencing number.
 		p.counts.Refused++
-		p.deposed = p.fence
+		p.supersededFence = p.fence
 		return
 	case OrderInvalid:
 		p.counts.Invalid++
@@ -301,22 +308,22 @@
 	default:
 		p.counts.NotSent++
 	}
-	t.failed(p.now, &p.o)
-	if t.uncertain(p.now) {
+	t.backOff(p.now, &p.o)
+	if t.mayStillArrive(p.now) {
 		t.order.stage = stageFailed
 		return
 	}
 	t.order = nil
 }
 
-// unanswered keeps the order for a resend, which an engine that has obeyed it
-// recognises by the id.
+// unanswered keeps the order to send it again. An engine that has executed it
+// recognises it by its ID.
 func (p *Planner) unanswered(t *target) {
 	p.counts.Unanswered++
 	t.order.stage = stageFailed
-	t.clearAt = latest(t.clearAt, t.order.order.Expires.Add(t.goal.OrderExpiry))
-	t.trustFrom = latest(t.trustFrom, t.clearAt.Add(p.o.ReportLag))
-	t.failed(p.now, &p.o)
+	t.mayArriveUntil = latest(t.mayArriveUntil, t.order.order.Expires.Add(t.goal.OrderExpiry))
+	t.reportsValidFrom = latest(t.reportsValidFrom, t.mayArriveUntil.Add(p.o.ReportLag))
+	t.backOff(p.now, &p.o)
 }
 
 func latest(a, b time.Time) time.Time {
--- a/placement/desired.go
+++ b/placement/desired.go
@@ -11,12 +11,12 @@
 
 // Weights is an object of the weight store.
 type Weights struct {
-	// ID of the version or adapter, Key in the weight store.
+	// ID identifies the version or adapter, Key the object in the weight store.
 	ID, Key string
 	Bytes   int64
 }
 
-// Goal is what a bundle wants of one engine.
+// Goal is the desired state of one engine.
 type Goal struct {
 	Target  string
 	Address string
@@ -27,30 +27,35 @@
 	Version  Weights
 	Adapters []Weights
 	Role     bundle.TargetRole
-	// Slots weigh the target in its service's capacity.
+	// Slots is the target's weight in its service's capacity.
 	Slots int
-	// ChecksFence says that it refuses orders with an old fencing number.
+	// ChecksFence is true if the target refuses orders with an old fencing
+	// number.
 	ChecksFence bool
-	// OrderExpiry is the longest time that an order to it can be under way.
+	// OrderExpiry is the longest time that an order to the target can be in
+	// flight.
 	OrderExpiry time.Duration
 }
 
-// Wanted is what a bundle wants of a region's engines.
+// Desired is the desired state of a region's engines.
 type Desired struct {
-	// Goals, one for each engine of the region, sorted by target.
+	// Goals has one entry per engine of the region, sorted by target.
 	Goals []Goal
-	// BytesPerSecond bounds what loads of the region read from the weight store.
+	// BytesPerSecond bounds the rate at which loads of the region read from the
+	// weight store.
 	BytesPerSecond int64
-	// MaxLoads bounds the targets under change at once; at least 1.
+	// MaxLoads bounds the number of targets in a change at the same time; at
+	// least 1.
 	MaxLoads int
-	// DrainTime is how long requests in progress are waited for before the
-	// target is reported as overdue.
+	// DrainTime is how long to wait for requests in progress before the target
+	// is reported as overdue.
 	DrainTime time.Duration
 	// LargestBytes is the size of the largest object that the bundle names.
 	LargestBytes int64
 }
 
-// WantedOf reads a checked bundle for one region. Plain services take no orders.
+// DesiredFor returns the desired state of a region from a validated bundle.
+// Plain services get no orders.
 func DesiredFor(b *bundle.Bundle, region string) Desired {
 	w := Desired{
 		BytesPerSecond: b.Rules.WeightStoreBytesPerSecond,
@@ -118,7 +123,7 @@
 	return n
 }
 
-// roleOf takes an engine or bundle that names no role as one of both.
+// roleOf returns r, or RoleBoth if it is empty.
 func roleOf(r bundle.TargetRole) bundle.TargetRole {
 	if r == "" {
 		return bundle.RoleBoth
@@ -126,7 +131,7 @@
 	return r
 }
 
-// loaded reports whether r has the version of the goal.
+// loaded reports whether the reported version is that of the goal.
 func (g *Goal) loaded(r *ports.LoadReport) bool {
 	return r.Model == g.Model && r.Version == g.Version.ID
 }
@@ -135,7 +140,7 @@
 	return roleOf(bundle.TargetRole(r.Role)) == g.Role
 }
 
-// needsDrain reports whether the way to the goal leads through a drain.
+// needsDrain reports whether reaching the goal requires a drain.
 func (g *Goal) needsDrain(r *ports.LoadReport) bool { return !g.loaded(r) || !g.inRole(r) }
 
 // missing returns the first adapter that is not loaded, or nil.
--- a/placement/events.go
+++ b/placement/events.go
@@ -6,41 +6,42 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// Event is something that happened: SetWanted, Observed, OrderEnded,
-// WarmUpEnded, LeaseHeld, LeaseLost or Tick.
+// Event is an input of Step: SetDesired, Observed, OrderEnded, WarmUpEnded,
+// LeaseHeld, LeaseLost or Tick.
 type Event interface{ event() }
 
-// SetWanted replaces what the bundle in force wants.
+// SetDesired replaces the desired state, which comes from the bundle in force.
 type SetDesired struct{ Desired Desired }
 
 // Observed is the end of a Poll.
 type Observed struct {
 	Target string
-	// Asked is that of the Poll.
+	// PolledAt is that of the Poll.
 	PolledAt time.Time
-	// Report is nil if the target was not reached.
+	// Report is nil if the target could not be reached.
 	Report *ports.LoadReport
 }
 
-// Outcome is how the sending of an order ended.
+// Outcome is how a Send ended.
 type Outcome uint8
 
 const (
-	// OrderTaken: the engine answered; it obeys or has obeyed.
+	// OrderAccepted: the engine answered; it executes or has executed the
+	// order.
 	OrderAccepted Outcome = iota
-	// OrderNotSent: the order can't have reached the engine.
+	// OrderNotSent: the order cannot have reached the engine.
 	OrderNotSent
 	// OrderUnanswered: the order may have reached the engine.
 	OrderUnanswered
-	// OrderInvalid: the engine refused the order itself.
+	// OrderInvalid: the engine refused the order as invalid.
 	OrderInvalid
 	// OrderOldFence: the engine has seen a higher fencing number.
 	OrderOldFence
-	// OrderExpired: the order's expiry passed before it was sent.
+	// OrderExpired: the order expired before it was sent.
 	OrderExpired
 )
 
-// OrderEnded is the end of a Send. It may come late or twice.
+// OrderEnded is the end of a Send. It may arrive late or twice.
 type OrderEnded struct {
 	Target  string
 	ID      string
@@ -51,12 +52,12 @@
 type WarmUpOutcome uint8
 
 const (
-	// WarmUpAnswered: the engine gave a whole answer.
+	// WarmUpAnswered: the engine returned a complete response.
 	WarmUpAnswered WarmUpOutcome = iota
-	// WarmUpRefused: the engine runs nothing while it is drained, so that its
-	// report has to do.
+	// WarmUpRefused: the engine runs no requests while it is drained, so its
+	// report must suffice.
 	WarmUpRefused
-	// WarmUpFailed: no answer, or a broken one.
+	// WarmUpFailed: no response, or an incomplete one.
 	WarmUpFailed
 )
 
@@ -67,21 +68,21 @@
 	Outcome WarmUpOutcome
 }
 
-// LeaseHeld says that this instance led the region under fencing number Fence at
-// a time after At: no newer leader existed at At. The host repeats it all the
-// time. When a Fence comes first, its own term must have been committed.
+// LeaseHeld reports that this instance led the region with fencing number Fence
+// at a time after At: no newer leader existed at At. The host repeats it
+// continuously. It must not report a Fence before that term has been committed.
 type LeaseHeld struct {
 	Fence uint64
-	// At is read from the host's clock before it asked for the leadership. A
-	// time read afterwards would stretch the lease by whatever the process was
-	// stopped for in between, beyond what a successor waits.
+	// At must be read from the host's clock before the host asks for the
+	// leadership. A time read afterwards would extend the lease by any pause of
+	// the process in between, beyond the time that a successor waits.
 	At time.Time
 }
 
-// LeaseLost says that this instance does not lead now, as far as it knows.
+// LeaseLost reports that this instance is not the leader, as far as it knows.
 type LeaseLost struct{}
 
-// Tick lets time pass. The host sends it several times in a second.
+// Tick lets time pass. The host sends it several times per second.
 type Tick struct{}
 
 func (SetDesired) event()  {}
@@ -92,31 +93,31 @@
 func (LeaseLost) event()   {}
 func (Tick) event()        {}
 
-// Effect is something to do: Send, WarmUp or Poll.
+// Effect is an action for the host: Send, WarmUp or Poll.
 type Effect interface{ effect() }
 
-// Send gives an order to an engine, once, unless Order.Expires has passed. Its
-// end is told as OrderEnded.
+// Send sends an order to an engine once, unless Order.Expires has passed. The
+// host reports its end as OrderEnded.
 type Send struct {
 	Target, Address string
 	Order           ports.Order
 }
 
-// WarmUp has an engine answer one short request; its end is told as
-// WarmUpEnded with the same Number. The host bounds it by Options.WarmUpTime.
+// WarmUp sends one short request to an engine. The host reports its end as
+// WarmUpEnded with the same Number, and bounds it by Options.WarmUpTime.
 type WarmUp struct {
 	Target, Address string
 	Service         string
 	Number          uint64
 }
 
-// Poll asks an engine for its report; its end is told as Observed. The host has
-// at most one under way for each target, unless that takes longer than
+// Poll requests a load report from an engine. The host reports its end as
+// Observed. It runs at most one Poll per target, unless one takes longer than
 // Options.StaleAfter.
 type Poll struct {
 	Target, Address string
-	// Asked is the time of the Step. The report counts as no younger: an answer
-	// can lie in the buffers of a process that was stopped for any time.
+	// PolledAt is the time of the Step. The report is assumed to be that old: a
+	// response can stay in the buffers of a paused process for any time.
 	PolledAt time.Time
 }
 
--- a/placement/external_drain_test.go
+++ b/placement/external_drain_test.go
@@ -7,25 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// knowsDrains is longer than a new leader takes each drain for one of an earlier
-// leader, where engines do not name the order.
-const knowsDrains = 20 * time.Second
+// drainAttributionDelay is longer than the time for which a new leader
+// attributes each drain to an earlier leader if engines do not name the order.
+const drainAttributionDelay = 20 * time.Second
 
-// Symptom: an engine that a person has drained gets work again within a second.
-// Events: engines serve as the bundle wants; one is drained by somebody else,
-// whose order the planner never gave; leaders change, if the engine names the
-// order. Then it is resumed by the same hand.
-// Cause: a planner that ends each drain which its bundle does not ask for.
-func TestForeignDrainIsNotEnded(t *testing.T) {
+// Guards against a planner that ends every drain its bundle does not ask for:
+// an engine drained by a person or the platform would get work again within a
+// second. Leaders change meanwhile if engines name the order of a drain. At the
+// end the engine is resumed by whoever drained it.
+func TestExternalDrainIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.faulty = false
 		w.namesDrain = rapid.Bool().Draw(t, "engines name the drain")
-		w.settle("at first")
-		w.run(knowsDrains)
+		w.waitConverged("at first")
+		w.run(drainAttributionDelay)
 		i := rapid.IntRange(0, len(w.ids)-1).Draw(t, "drained")
 		e := w.engines[w.ids[i]]
-		if w.wanted.Goals[i].Leaving {
+		if w.desired.Goals[i].Leaving {
 			return
 		}
 		e.report.Draining, e.drainedAt, e.drainedBy = true, w.now, "r-by-hand"
@@ -38,42 +37,40 @@
 				t.Fatal("the drain was ended")
 			}
 		}
-		w.run(30 * time.Second) // A new leader waits out the one before.
+		w.run(30 * time.Second) // A new leader waits out the earlier one.
 		for _, s := range w.hosts[w.leader].p.Status().Targets {
 			if elsewhere := s.Target == e.id; elsewhere != (s.Blocked == BlockedDrainedElsewhere) || elsewhere == s.Converged {
-				t.Fatalf("%+v, drained elsewhere: %v", s, elsewhere)
+				t.Fatalf("%+v, externally drained: %v", s, elsewhere)
 			}
 		}
 		e.report.Draining = false
-		w.settle("after it was resumed")
+		w.waitConverged("after it was resumed")
 	})
 }
 
-// Symptom: a target stays without work although the bundle wants it again.
-// Events: a target that somebody else has drained is marked as leaving, then as
-// active.
-// Cause: a drain that counts as somebody else's for good.
-func TestBundleTakesForeignDrainOver(t *testing.T) {
+// Guards against an external drain that is never ended: the target is marked as
+// leaving and then as active again, and must get work again.
+func TestBundleTakesOverExternalDrain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.faulty = false
-		w.settle("at first")
-		w.run(knowsDrains)
+		w.waitConverged("at first")
+		w.run(drainAttributionDelay)
 		e := w.engines[w.ids[0]]
-		if w.wanted.Goals[0].Leaving {
+		if w.desired.Goals[0].Leaving {
 			return
 		}
 		e.report.Draining, e.drainedAt = true, w.now
 		w.run(5 * time.Second)
 		w.setLeaving(e.id, true)
-		w.settle("leaving")
+		w.waitConverged("leaving")
 		w.setLeaving(e.id, false)
-		w.settle("active again")
+		w.waitConverged("active again")
 	})
 }
 
-// settle waits until all targets are as the bundle wants.
-func (w *world) settle(when string) {
+// waitConverged waits until all targets are in the desired state.
+func (w *simulation) waitConverged(when string) {
 	for i := 0; i < 48 && w.unconverged() != ""; i++ {
 		w.run(5 * time.Second)
 	}
@@ -82,11 +79,11 @@
 	}
 }
 
-// setLeaving puts the same bundle in force but for one target's state.
-func (w *world) setLeaving(id string, leaving bool) {
-	w.wanted.Goals = append([]Goal(nil), w.wanted.Goals...)
-	find(w.wanted.Goals, func(g *Goal) bool { return g.Target == id }).Leaving = leaving
+// setLeaving changes one target's state in the desired state of all hosts.
+func (w *simulation) setLeaving(id string, leaving bool) {
+	w.desired.Goals = append([]Goal(nil), w.desired.Goals...)
+	find(w.desired.Goals, func(g *Goal) bool { return g.Target == id }).Leaving = leaving
 	for _, h := range w.hosts {
-		w.step(h, SetDesired{Desired: w.wanted})
+		w.step(h, SetDesired{Desired: w.desired})
 	}
 }
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -11,32 +11,36 @@
 	"github.com/gullhaven/gullhaven/coord/lease"
 )
 
-// Options of a Planner; zero fields take the default.
+// Options configures a Planner; zero fields get their default.
 type Options struct {
-	// Region names the orders.
+	// Region is part of the order IDs.
 	Region string
-	// Lease must be the same at all instances; default 10 s with a drift of 0.005.
+	// Lease must be the same on all instances; default 10 s with a drift
+	// of 0.005.
 	Lease lease.Config
-	// MaxOutShare of a service's slots may be out at once; default 0.25.
+	// MaxOutShare is the share of a service's slots that may be out of service
+	// at the same time; default 0.25.
 	MaxOutShare float64
-	// ReportLag bounds how old a report is when an engine gives it; default 2 s.
+	// ReportLag bounds the age of a report when an engine returns it;
+	// default 2 s.
 	ReportLag time.Duration
-	// SpreadTime is how long instances may take to learn that a target takes
-	// nothing new; default 2 s.
+	// PropagationDelay bounds how long instances take to learn that a target
+	// takes no new requests; default 2 s.
 	PropagationDelay time.Duration
 	// PollInterval is the time between polls of a target; default 500 ms.
 	PollInterval time.Duration
-	// StaleAfter is when a target without a new report counts as unseen;
-	// default 3 s. LostAfter is when what was under way there is given up;
-	// default 30 s.
+	// StaleAfter is the time without a new report after which a target counts
+	// as unseen; default 3 s. LostAfter is the time after which its state is
+	// discarded; default 30 s.
 	StaleAfter, LostAfter time.Duration
-	// SendTime bounds how long an order may wait to be written, besides the
-	// target's order expiry; default 3 s, at most half a lease.
+	// SendTime bounds how long an order may wait to be written, in addition to
+	// the target's order expiry; default 3 s, at most half a lease.
 	SendTime time.Duration
 	// WarmUpTime bounds a warm-up; default 30 s.
 	WarmUpTime time.Duration
-	// RetryBase is the first wait after a failed order or warm-up, doubled for
-	// each further one up to RetryMax; defaults 1 s and 1 min.
+	// RetryBase is the delay after the first failed order or warm-up. It
+	// doubles with each further failure, up to RetryMax; defaults 1 s
+	// and 1 min.
 	RetryBase, RetryMax time.Duration
 }
 
@@ -66,36 +70,38 @@
 	}
 }
 
-// Planner decides on the orders of one region. It is not safe for several
-// goroutines.
+// Planner plans the orders of one region. It is not safe for concurrent use.
 type Planner struct {
-	o      Options
-	now    time.Time
-	wanted Desired
-	counts Counts
+	o       Options
+	now     time.Time
+	desired Desired
+	counts  Counts
 
 	holder *lease.Holder
 	fence  uint64
-	// held is false after LeaseLost; deposed is a fence that was overtaken.
-	held    bool
-	deposed uint64
-	// led says whether the last Step led. watching is since when targets are
-	// polled without a pause: before, nothing was seen of them, which does not
-	// make them lost.
-	led      bool
-	watching time.Time
-	// gained is when fence came first; succession waits out earlier leaders.
-	gained     time.Time
+	// held is false after LeaseLost; supersededFence is the fencing number
+	// under which an order was refused as old.
+	held            bool
+	supersededFence uint64
+	// isLeading is true if the last Step led. pollingSince is the start of the
+	// current uninterrupted period of polling; time before it does not count
+	// towards LostAfter.
+	isLeading    bool
+	pollingSince time.Time
+	// fenceSince is when fence was first reported; succession waits out earlier
+	// leaders.
+	fenceSince time.Time
 	succession *lease.Successor
 
 	targets []*target
-	// storeFree is when the weight store has given what this leader ordered.
-	storeFree time.Time
-	seq       uint64
-	effects   []Effect
+	// ownLoadsEnd is when the weight store will have served the loads ordered
+	// by this leader.
+	ownLoadsEnd time.Time
+	seq         uint64
+	effects     []Effect
 }
 
-// New makes a Planner that holds no lease and wants nothing.
+// New returns a Planner without a lease or desired state.
 func New(o Options) *Planner {
 	o = o.withDefaults()
 	return &Planner{o: o, holder: lease.NewHolder(o.Lease)}
@@ -104,8 +110,8 @@
 // Options returns the options with their defaults.
 func (p *Planner) Options() Options { return p.o }
 
-// Step takes an event in at time now, which must not go back, and returns what
-// to do. The slice is valid until the next Step.
+// Step processes an event at time now, which must not go back, and returns the
+// effects to carry out. The slice is valid until the next Step.
 func (p *Planner) Step(now time.Time, e Event) []Effect {
 	pause := now.Sub(p.now)
 	if pause > 0 {
@@ -114,7 +120,7 @@
 	p.effects = p.effects[:0]
 	switch e := e.(type) {
 	case SetDesired:
-		p.setWanted(e.Desired)
+		p.setDesired(e.Desired)
 	case LeaseHeld:
 		p.leaseHeld(e)
 	case LeaseLost:
@@ -126,33 +132,33 @@
 	case WarmUpEnded:
 		p.warmUpEnded(e)
 	}
-	led := p.led
-	p.led = p.leading(p.now)
-	if p.led && (!led || pause > p.o.StaleAfter) {
-		p.watching = p.now
+	wasLeading := p.isLeading
+	p.isLeading = p.leading(p.now)
+	if p.isLeading && (!wasLeading || pause > p.o.StaleAfter) {
+		p.pollingSince = p.now
 	}
-	if p.led {
+	if p.isLeading {
 		p.poll()
 		p.plan()
 	}
 	return p.effects
 }
 
-// leading reports whether orders may be given. The lease is checked against the
-// time of each Step: a process that was stopped and continued finds that its
-// lease has ended before it acts on what it believed.
+// leading reports whether orders may be sent. The lease is checked against the
+// time of each Step, so that a process that was paused notices the end of its
+// lease before it acts.
 func (p *Planner) leading(now time.Time) bool {
-	return p.held && p.fence > p.deposed && p.holder.Held(now)
+	return p.held && p.fence > p.supersededFence && p.holder.Held(now)
 }
 
-// leaseHeld takes a lease in. Under a new number nothing of the former lease is
-// kept: another leader may have acted since.
+// leaseHeld processes a lease. Under a new fencing number, all state of the
+// former lease is discarded, since another leader may have acted in between.
 func (p *Planner) leaseHeld(e LeaseHeld) {
 	if e.Fence < p.fence {
 		return
 	}
 	if e.Fence > p.fence {
-		p.fence, p.seq, p.gained = e.Fence, 0, p.now
+		p.fence, p.seq, p.fenceSince = e.Fence, 0, p.now
 		p.succession = lease.NewSuccessor(p.o.Lease, p.now, true)
 		for i, t := range p.targets {
 			p.targets[i] = &target{goal: t.goal}
@@ -162,51 +168,54 @@
 	p.holder.Renewed(e.Fence, e.At)
 }
 
-// former is how long after the start of a lease orders of earlier leaders can
-// still arrive at any target.
+// earlierOrderWindow returns how long after the start of a lease orders of
+// earlier leaders can still arrive at any target.
 //
-// A target that checks fencing numbers refuses old orders only once it has seen
-// the new number. Until then the old leader could drain one target while the new
-// one drains another, and both be within their share. So what takes capacity or
-// reads weights waits for all targets, not for its own alone.
-func (p *Planner) former() time.Duration {
+// A target that checks fencing numbers refuses old orders only after it has
+// seen the new number. Until then, the old leader could drain one target while
+// the new leader drains another, each within its own bound. Orders that remove
+// capacity or read weights therefore wait for all targets, not only for their
+// own.
+func (p *Planner) earlierOrderWindow() time.Duration {
 	var longest time.Duration
-	for _, g := range p.wanted.Goals {
+	for _, g := range p.desired.Goals {
 		longest = max(longest, g.OrderExpiry)
 	}
 	return p.succession.Wait(lease.Target{OrderExpiry: longest})
 }
 
-// formerEnded reports whether no order of an earlier leader is under way and
-// the reports show what the last of them did.
-func (p *Planner) formerEnded() bool { return !p.now.Before(p.formerShown()) }
+// earlierOrdersEnded reports whether no order of an earlier leader can still
+// arrive and reports show the effects of all of them.
+func (p *Planner) earlierOrdersEnded() bool { return !p.now.Before(p.earlierOrdersVisibleAt()) }
 
-// formerShown is from when reports show all that earlier leaders ordered.
-func (p *Planner) formerShown() time.Time {
-	return p.gained.Add(p.former()).Add(p.o.ReportLag)
+// earlierOrdersVisibleAt returns the time from which reports show the effects
+// of all earlier leaders' orders.
+func (p *Planner) earlierOrdersVisibleAt() time.Time {
+	return p.fenceSince.Add(p.earlierOrderWindow()).Add(p.o.ReportLag)
 }
 
-// storeFreeAt is when the weight store has given all that was ordered, by this
-// leader or by the last order that an earlier one may have given.
+// storeFreeAt returns when the weight store will have served all loads: those
+// ordered by this leader, and the last one that an earlier leader may have
+// ordered.
 func (p *Planner) storeFreeAt() time.Time {
-	former := p.gained.Add(p.former()).Add(p.readTime(p.wanted.LargestBytes))
-	return latest(p.storeFree, former)
+	earlierLoadsEnd := p.fenceSince.Add(p.earlierOrderWindow()).Add(p.readTime(p.desired.LargestBytes))
+	return latest(p.ownLoadsEnd, earlierLoadsEnd)
 }
 
-// readTime is how long the weight store takes for an object.
+// readTime returns how long the weight store takes to read an object.
 func (p *Planner) readTime(bytes int64) time.Duration {
-	rate := max(1, p.wanted.BytesPerSecond)
+	rate := max(1, p.desired.BytesPerSecond)
 	return time.Duration(float64(bytes) / float64(rate) * float64(time.Second))
 }
 
-// setWanted replaces the goals; what is known of a target stays.
-func (p *Planner) setWanted(w Desired) {
+// setDesired replaces the goals and keeps the state of known targets.
+func (p *Planner) setDesired(w Desired) {
 	w.MaxLoads = max(1, w.MaxLoads)
 	old := map[string]*target{}
 	for _, t := range p.targets {
 		old[t.goal.Target] = t
 	}
-	p.wanted, p.targets = w, nil
+	p.desired, p.targets = w, nil
 	for _, g := range w.Goals {
 		t := old[g.Target]
 		if t == nil || t.goal.Address != g.Address {
@@ -214,7 +223,7 @@
 		}
 		t.goal = g
 		if g.Leaving {
-			t.drainedElsewhere = false // The bundle wants the drain too, and ends it when it wants the target back.
+			t.drainedElsewhere = false // The bundle now wants the drain too, and will end it when the target becomes active.
 		}
 		p.targets = append(p.targets, t)
 	}
@@ -235,7 +244,7 @@
 	}
 	t.polling = false
 	if e.Report != nil {
-		t.take(e.PolledAt, *e.Report, p)
+		t.observe(e.PolledAt, *e.Report, p)
 	}
 }
 
@@ -249,17 +258,17 @@
 	}
 }
 
-// plan goes over the targets: first those that are out of service already, so
-// that what was begun is ended before more is begun.
+// plan advances all targets, first those already out of service, so that
+// started changes are finished before others start.
 func (p *Planner) plan() {
 	for _, t := range p.targets {
-		if t.out(p.now, &p.o) {
-			t.note(p.now, p.advance(t))
+		if t.outOfService(p.now, &p.o) {
+			t.setStatus(p.now, p.advance(t))
 		}
 	}
 	for _, t := range p.targets {
-		if !t.out(p.now, &p.o) {
-			t.note(p.now, p.advance(t))
+		if !t.outOfService(p.now, &p.o) {
+			t.setStatus(p.now, p.advance(t))
 		}
 	}
 }
@@ -269,8 +278,9 @@
 	return fmt.Sprintf("%s-%d-%d", p.o.Region, p.fence, p.seq)
 }
 
-// ownID reports whether an order was given by a leader of the region.
-func (p *Planner) ownID(id string) bool {
+// isRegionOrderID reports whether an order ID was issued by a leader of the
+// region.
+func (p *Planner) isRegionOrderID(id string) bool {
 	rest, ok := strings.CutPrefix(id, p.o.Region+"-")
 	if !ok {
 		return false
--- a/placement/status.go
+++ b/placement/status.go
@@ -6,52 +6,53 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// Phase is where a target stands.
+// Phase is the state of a target within a change.
 type Phase string
 
 // Phases of a target.
 const (
-	// PhaseUnseen: no fresh report.
+	// PhaseUnseen: no recent report.
 	PhaseUnseen Phase = "unseen"
 	// PhaseServing: takes work.
 	PhaseServing Phase = "serving"
-	// PhaseDraining: takes nothing new; requests in progress end.
+	// PhaseDraining: takes no new requests; requests in progress finish.
 	PhaseDraining Phase = "draining"
-	// PhaseLoading: drained; version, adapters or role change.
+	// PhaseLoading: drained; version, adapters or role are changing.
 	PhaseLoading Phase = "loading"
-	// PhaseWarming: has what the bundle wants and does not take work yet.
+	// PhaseWarming: in the desired state, but does not take work yet.
 	PhaseWarming Phase = "warming"
-	// PhaseLeft: leaving, with nothing in progress.
+	// PhaseLeft: leaving, with no requests in progress.
 	PhaseLeft Phase = "left"
 )
 
-// Blocked says why a target that is not as the bundle wants gets no order now.
+// Blocked is why a target that is not in the desired state gets no order now.
 type Blocked string
 
-// Reasons.
+// Reasons for Blocked.
 const (
 	BlockedUnseen Blocked = "unseen"
-	// BlockedOrder: an order is under way or its effect is not reported yet.
+	// BlockedOrder: an order is pending, or its effect is not reported yet.
 	BlockedOrder Blocked = "order_under_way"
 	// BlockedEarlierLeader: orders of an earlier leader may still arrive.
 	BlockedEarlierLeader Blocked = "earlier_leader"
 	// BlockedCapacity: the rest of the service could not carry the load.
 	BlockedCapacity Blocked = "capacity"
-	// BlockedLoads: as many targets as allowed are under change.
+	// BlockedLoads: the maximum number of targets is being changed.
 	BlockedLoads Blocked = "concurrent_loads"
-	// BlockedRate: the weight store is taken up by earlier loads.
+	// BlockedRate: the weight store is busy with earlier loads.
 	BlockedRate Blocked = "weight_store_rate"
-	// BlockedInProgress: requests in progress, or sent before all instances
-	// knew of the drain.
+	// BlockedInProgress: requests are in progress, or may have been sent before
+	// all instances learned of the drain.
 	BlockedInProgress Blocked = "in_progress"
-	// BlockedDrainOverdue: the same, for longer than the bundle's drain time.
+	// BlockedDrainOverdue: like BlockedInProgress, for longer than the bundle's
+	// drain time.
 	BlockedDrainOverdue Blocked = "drain_overdue"
-	// BlockedWarmUp: the warm-up is under way or failed.
+	// BlockedWarmUp: the warm-up is in progress or failed.
 	BlockedWarmUp Blocked = "warm_up"
-	// BlockedDrainedElsewhere: a person or the platform has drained the target;
-	// whoever did so has to resume it.
+	// BlockedDrainedElsewhere: a person or the platform drained the target and
+	// must resume it.
 	BlockedDrainedElsewhere Blocked = "drained_elsewhere"
-	// BlockedRetry: an order failed and is tried again later.
+	// BlockedRetry: an order failed and is retried later.
 	BlockedRetry Blocked = "retry_later"
 	// BlockedLease: the lease is too short for an order.
 	BlockedLease Blocked = "lease"
@@ -61,41 +62,43 @@
 type TargetStatus struct {
 	Target string
 	Phase  Phase
-	// Since is when the phase began, as far as this leader saw.
+	// Since is when the phase began, as far as this leader observed.
 	Since time.Time
-	// Blocked is empty if nothing is to be done.
+	// Blocked is empty if there is nothing to do.
 	Blocked Blocked
-	// Reached says that the target is as the bundle wants.
+	// Converged is true if the target is in the desired state.
 	Converged bool
 }
 
-// Counts since the making of the Planner.
+// Counts are totals since the Planner was created.
 type Counts struct {
-	// Sent counts sendings, Resent those of them of an order sent before.
+	// Sent counts sent orders, Resent those among them that had been sent
+	// before.
 	Sent, Resent uint64
-	// Refused orders carried an old fencing number, Invalid ones were refused
-	// for themselves, Expired ones were not sent in time, Unanswered ones may
-	// have arrived, NotSent ones did not.
+	// Refused orders had an old fencing number, Invalid orders were refused as
+	// such, Expired orders were not sent in time, Unanswered orders may have
+	// arrived, NotSent orders did not arrive.
 	Refused, Invalid, Expired, Unanswered, NotSent uint64
-	// Failed orders were taken but had no effect.
+	// Failed orders were accepted but had no effect.
 	Failed uint64
-	// WarmUpsFailed had no whole answer.
+	// WarmUpsFailed counts warm-ups without a complete response.
 	WarmUpsFailed uint64
-	// Stray ends belong to no order under way: late or doubled.
+	// Unmatched counts ends of no pending order or warm-up: late or duplicate
+	// ones.
 	Unmatched uint64
 }
 
 // Status is the state of a Planner.
 type Status struct {
-	// Leading says that a lease is held and was not overtaken.
+	// Leading is true if a lease is held and not superseded.
 	Leading bool
 	Fence   uint64
-	// Targets is empty while not leading; sorted by target.
+	// Targets is sorted by target; empty while not leading.
 	Targets []TargetStatus
 	Counts  Counts
 }
 
-// Status returns the state as of the last Step.
+// Status returns the state after the last Step.
 func (p *Planner) Status() Status {
 	s := Status{Leading: p.leading(p.now), Fence: p.fence, Counts: p.counts}
 	if !s.Leading {
@@ -103,22 +106,22 @@
 	}
 	for _, t := range p.targets {
 		s.Targets = append(s.Targets, TargetStatus{
-			Target: t.goal.Target, Phase: t.phase, Since: t.since, Blocked: t.blocked, Converged: t.reached(p.now, &p.o),
+			Target: t.goal.Target, Phase: t.phase, Since: t.since, Blocked: t.blocked, Converged: t.converged(p.now, &p.o),
 		})
 	}
 	return s
 }
 
-// note sets the status of a target.
-func (t *target) note(now time.Time, blocked Blocked) {
-	phase := t.phaseNow(blocked)
+// setStatus updates the target's phase and what blocks it.
+func (t *target) setStatus(now time.Time, blocked Blocked) {
+	phase := t.currentPhase(blocked)
 	if phase != t.phase {
 		t.phase, t.since = phase, now
 	}
 	t.blocked = blocked
 }
 
-func (t *target) phaseNow(blocked Blocked) Phase {
+func (t *target) currentPhase(blocked Blocked) Phase {
 	r := &t.report
 	switch {
 	case blocked == BlockedUnseen:
--- a/placement/target.go
+++ b/placement/target.go
@@ -8,39 +8,39 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// stage is how far an order is.
+// stage is the progress of an order.
 type stage uint8
 
 const (
-	// stageSending: its end is not told yet.
+	// stageSending: its end is not reported yet.
 	stageSending stage = iota
-	// stageTaken: the engine answered; the report does not show the effect yet.
-	stageTaken
+	// stageAccepted: the engine accepted it; reports don't show its effect yet.
+	stageAccepted
 	// stageFailed: not sent, or not answered.
 	stageFailed
 )
 
-// pending is the last order to a target, until its effect is reported.
-type pending struct {
+// pendingOrder is the last order to a target, until its effect is reported.
+type pendingOrder struct {
 	order ports.Order
 	stage stage
 }
 
-// loads reports whether the order reads from the weight store.
-func (o *pending) loads() bool {
+// isLoad reports whether the order reads from the weight store.
+func (o *pendingOrder) isLoad() bool {
 	return o.order.Kind == ports.OrderLoadVersion || o.order.Kind == ports.OrderLoadAdapter
 }
 
-// shows reports whether a report tells of the order's effect. A report from
-// before the order never does: an order is only given for what is not so.
-func (o *pending) shows(r *ports.LoadReport) bool {
+// visibleIn reports whether r shows the order's effect. A report from before
+// the order never does, as an order is sent only if its effect is missing.
+func (o *pendingOrder) visibleIn(r *ports.LoadReport) bool {
 	switch o.order.Kind {
 	case ports.OrderDrain:
 		return r.Draining
 	case ports.OrderResume:
 		return !r.Draining
 	case ports.OrderRole:
-		return roleShown(r, o.order.Role)
+		return hasRole(r, o.order.Role)
 	case ports.OrderLoadAdapter:
 		return !r.Loading && slices.Contains(r.Adapters, o.order.Adapter)
 	default:
@@ -48,36 +48,39 @@
 	}
 }
 
-// same reports whether the order is what another one would be but for its id.
-func (o *pending) same(n *ports.Order) bool {
+// equalExceptID reports whether the order equals n except for ID, fence and
+// expiry.
+func (o *pendingOrder) equalExceptID(n *ports.Order) bool {
 	a, b := o.order, *n
 	a.ID, a.Fence, a.Expires = "", 0, time.Time{}
 	b.ID, b.Fence, b.Expires = "", 0, time.Time{}
 	return a == b
 }
 
-// target is what is known of one engine under the present lease.
+// target is the state of one engine under the current lease.
 type target struct {
 	goal   Goal
 	report ports.LoadReport
-	// seenAt is when the last report with a new time was asked for; zero for
-	// never.
+	// seenAt is when the last report with a new time was requested; zero if
+	// there is none.
 	seenAt  time.Time
 	polling bool
 	pollAt  time.Time
 
-	order *pending
-	// clearAt is until when an order that was not answered may still arrive.
-	clearAt time.Time
-	// trustFrom is the time from which reports show what the orders did.
-	trustFrom time.Time
-	// drainSeen is when a report of the drain came first, or when the last
+	order *pendingOrder
+	// mayArriveUntil is the time until which an unanswered order may still
+	// arrive.
+	mayArriveUntil time.Time
+	// reportsValidFrom is the time from which reports show the effects of the
+	// orders.
+	reportsValidFrom time.Time
+	// drainSeenAt is when the drain was first reported, or when the last
 	// warm-up failed since; zero if not drained.
-	drainSeen time.Time
-	// drainUntil is until when a report may tell of a drain that this leader
-	// ordered and has not seen yet; zero for none.
-	drainUntil time.Time
-	// drainedElsewhere: a person or the platform has drained the target.
+	drainSeenAt time.Time
+	// ownDrainUntil is the time until which a report may show a drain that this
+	// leader ordered and has not seen yet; zero if there is none.
+	ownDrainUntil time.Time
+	// drainedElsewhere is true if a person or the platform drained the target.
 	drainedElsewhere bool
 	warm             warmUp
 	failures         int
@@ -96,56 +99,56 @@
 	done    bool
 }
 
-// take notes a report that was asked for at a time. One with the same time as
-// the last is an old one told again and proves nothing of the present.
-func (t *target) take(asked time.Time, r ports.LoadReport, p *Planner) {
-	if !t.seenAt.IsZero() && (r.At.Equal(t.report.At) || !asked.After(t.seenAt)) {
+// observe processes a report that was requested at polledAt. A report with the
+// same time as the last is a repetition and says nothing about the present.
+func (t *target) observe(polledAt time.Time, r ports.LoadReport, p *Planner) {
+	if !t.seenAt.IsZero() && (r.At.Equal(t.report.At) || !polledAt.After(t.seenAt)) {
 		return
 	}
-	t.drainedElsewhere = t.foreignDrain(&r, p)
-	t.report, t.seenAt = r, asked
+	t.drainedElsewhere = t.externalDrain(&r, p)
+	t.report, t.seenAt = r, polledAt
 	if !r.Draining {
-		t.drainSeen, t.warm.done = time.Time{}, false
-	} else if t.drainSeen.IsZero() {
-		t.drainSeen = asked
+		t.drainSeenAt, t.warm.done = time.Time{}, false
+	} else if t.drainSeenAt.IsZero() {
+		t.drainSeenAt = polledAt
 	}
 }
 
-// foreignDrain reports whether a new report tells of a drain that no leader of
-// the region ordered. An engine that names the order tells it by that. Of another
-// one it is known when it served, as of a time at which the drains that leaders
-// ordered would have shown.
-func (t *target) foreignDrain(r *ports.LoadReport, p *Planner) bool {
+// externalDrain reports whether a new report shows a drain that no leader of
+// the region ordered. If the engine names the order, its ID decides. Otherwise,
+// the drain is external if the target was serving at a time by which all drains
+// ordered by leaders would have been reported.
+func (t *target) externalDrain(r *ports.LoadReport, p *Planner) bool {
 	switch {
 	case !r.Draining || t.goal.Leaving:
 		return false
 	case r.DrainedBy != "":
-		return !p.ownID(r.DrainedBy)
+		return !p.isRegionOrderID(r.DrainedBy)
 	case t.report.Draining || t.seenAt.IsZero():
 		return t.drainedElsewhere
 	}
-	return !t.seenAt.Before(p.formerShown()) && !t.seenAt.Before(t.drainUntil)
+	return !t.seenAt.Before(p.earlierOrdersVisibleAt()) && !t.seenAt.Before(t.ownDrainUntil)
 }
 
 func (t *target) fresh(now time.Time, o *Options) bool {
 	return !t.seenAt.IsZero() && now.Sub(t.seenAt) <= o.StaleAfter
 }
 
-// out reports whether the target carries no load, as far as is known.
-func (t *target) out(now time.Time, o *Options) bool {
+// outOfService reports whether the target carries no load, as far as is known.
+func (t *target) outOfService(now time.Time, o *Options) bool {
 	if !t.fresh(now, o) || t.report.Draining || t.report.Loading || t.report.Version == "" {
 		return true
 	}
 	return t.order != nil && t.order.order.Kind == ports.OrderDrain
 }
 
-// changing reports whether the target is under a change that ends in a load, or
-// may be under one that an earlier leader began.
+// changing reports whether the target is in a change that ends in a load, or
+// may be in one that an earlier leader started.
 func (t *target) changing(p *Planner) bool {
 	if t.seenAt.IsZero() {
-		return p.now.Sub(p.watching) < p.o.LostAfter
+		return p.now.Sub(p.pollingSince) < p.o.LostAfter
 	}
-	if t.report.Loading || t.order != nil && (t.order.loads() || t.order.order.Kind == ports.OrderDrain && !t.goal.Leaving) {
+	if t.report.Loading || t.order != nil && (t.order.isLoad() || t.order.order.Kind == ports.OrderDrain && !t.goal.Leaving) {
 		return true
 	}
 	return t.report.Draining && !t.goal.Leaving && t.goal.needsDrain(&t.report)
@@ -154,28 +157,29 @@
 // loading reports whether the target may be reading from the weight store.
 func (t *target) loading(p *Planner) bool {
 	if t.seenAt.IsZero() {
-		return p.now.Sub(p.watching) < p.o.LostAfter
+		return p.now.Sub(p.pollingSince) < p.o.LostAfter
 	}
-	return t.report.Loading || t.order != nil && t.order.loads()
+	return t.report.Loading || t.order != nil && t.order.isLoad()
 }
 
-// drained reports whether nothing is in progress and nothing more can come:
-// instances that did not know of the drain yet may have sent requests for
-// SpreadTime after it was first seen. Only a report that was made later counts.
+// drained reports whether no request is in progress and none can arrive:
+// instances that have not learned of the drain may send requests for
+// PropagationDelay after it was first seen. Only a report made after that
+// counts.
 func (t *target) drained(o *Options) bool {
 	return t.report.Draining && inProgress(&t.report) == 0 && !t.warm.running &&
-		!t.seenAt.Before(t.drainSeen.Add(o.PropagationDelay+o.ReportLag)) && !t.seenAt.Before(t.trustFrom)
+		!t.seenAt.Before(t.drainSeenAt.Add(o.PropagationDelay+o.ReportLag)) && !t.seenAt.Before(t.reportsValidFrom)
 }
 
-// uncertain reports whether an order that was not answered may still arrive, or
-// has arrived since the last report. Dropping it then would count a target that
-// it has drained as one that serves.
-func (t *target) uncertain(now time.Time) bool {
-	return !t.clearAt.IsZero() && (now.Before(t.clearAt) || t.seenAt.Before(t.trustFrom))
+// mayStillArrive reports whether an unanswered order may still arrive, or has
+// arrived since the last report. If it were dropped then, a target that it
+// drained would count as serving.
+func (t *target) mayStillArrive(now time.Time) bool {
+	return !t.mayArriveUntil.IsZero() && (now.Before(t.mayArriveUntil) || t.seenAt.Before(t.reportsValidFrom))
 }
 
-// reached reports whether the target is as the bundle wants.
-func (t *target) reached(now time.Time, o *Options) bool {
+// converged reports whether the target is in the desired state.
+func (t *target) converged(now time.Time, o *Options) bool {
 	if !t.fresh(now, o) {
 		return false
 	}
@@ -186,9 +190,9 @@
 	return !r.Draining && !r.Loading && !t.goal.needsDrain(r) && t.goal.missing(r) == nil
 }
 
-// next returns the order that the report calls for; its kind is empty if there
-// is none.
-func (t *target) next() (ports.Order, int64) {
+// nextOrder returns the next order needed according to the last report, and the
+// bytes that it loads; its kind is empty if none is needed.
+func (t *target) nextOrder() (ports.Order, int64) {
 	g, r := &t.goal, &t.report
 	if g.Leaving {
 		if r.Draining {
@@ -218,8 +222,8 @@
 	return ports.Order{}, 0
 }
 
-// failed puts the next try off.
-func (t *target) failed(now time.Time, o *Options) {
+// backOff delays the next attempt exponentially, up to RetryMax.
+func (t *target) backOff(now time.Time, o *Options) {
 	wait := o.RetryMax
 	if t.failures < 16 {
 		wait = min(wait, o.RetryBase<<t.failures)
@@ -228,9 +232,9 @@
 	t.retryAt = now.Add(wait)
 }
 
-func (t *target) succeeded() { t.failures, t.retryAt = 0, time.Time{} }
+func (t *target) resetBackoff() { t.failures, t.retryAt = 0, time.Time{} }
 
-// roleShown compares roles, where an engine may name none for both.
-func roleShown(r *ports.LoadReport, role string) bool {
+// hasRole compares roles; an engine may report none for both.
+func hasRole(r *ports.LoadReport, role string) bool {
 	return roleOf(bundle.TargetRole(r.Role)) == roleOf(bundle.TargetRole(role))
 }
