--- a/route/load.go
+++ b/route/load.go
@@ -20,7 +20,7 @@
 }
 
 // load estimates one target's queue. Because reports lag, it adds the attempts
-// sent since the time of the last report, by this instance and as estimated by
+// sent since the time of the last report, by this instance and, as estimated, by
 // its peers, and subtracts what the target must have prefilled since.
 //
 // Without this correction, every decision between two reports goes to the
