--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -11,13 +11,13 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// Guards against orders based on an outdated state or an earlier leader's: a
-// service loses more targets at once than the rest can replace, a load cuts off
-// requests, orders of two leaders mix, the weight store is overloaded, or a
-// change never ends. Bundles arrive during changes, engines crash and come back
-// empty, orders are delayed, responses are lost, late or duplicated, reports
-// are lost or old, leaders are replaced without noticing, and processes are
-// paused.
+// Guards against orders that follow an outdated state or an earlier leader's: a
+// service loses too many targets at once, a load cuts off requests, orders of
+// two leaders mix, the weight store is overloaded, or a change never ends.
+//
+// Bundles arrive during changes, engines crash and come back empty, orders are
+// delayed, responses are lost, late or duplicated, reports are lost or old,
+// leaders are replaced without noticing, and processes are paused.
 func TestOrdersAreSafeAndConverge(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/route/idle_test.go
+++ b/route/idle_test.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// Guards against idle targets that refuse small requests as
-// deadline_unmeetable, and keep refusing because no request reaches them. After
-// a quiet time, targets report no running request and memory full of cached
-// prefixes. If that memory counted as held by requests, the mean number of
-// requests would approach 0 and the estimated memory per request would grow
-// without bound.
+// Guards against idle targets that refuse small requests as deadline_unmeetable
+// and so never get a request again. After a quiet time they report no running
+// request and memory full of cached prefixes; if that counted as held by
+// requests, the mean number of requests would approach 0 and the estimated
+// memory per request would grow without bound.
 func TestIdleTargetsWithFullCachesTakeWork(t *testing.T) {
 	r := New(Config{Region: "jatim"}, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(1000, 0)
