--- a/api/server.go
+++ b/api/server.go
@@ -155,7 +155,7 @@
 	}
 	var g *goa.ServiceError
 	if errors.As(err, &g) && !g.Fault {
-		e := verdict.New(verdict.NotRun, pipeline.CodeHeader, g.Message)
+		e := verdict.New(verdict.NotRun, pipeline.CodeWrongHeader, g.Message)
 		return &refusalBody{Refusal: pipeline.RefusalOf(e), status: http.StatusBadRequest}
 	}
 	e := verdict.New(verdict.MayHaveRun, pipeline.CodeInternal, "internal error")
--- a/e2e/caller_test.go
+++ b/e2e/caller_test.go
@@ -76,7 +76,7 @@
 
 // book sends a booking under a key.
 func (c *cluster) book(i *instance, workspace, key string, h headers) (*reply, error) {
-	all := headers{pipeline.HeaderIdempotencyK: key}
+	all := headers{pipeline.HeaderIdempotencyKey: key}
 	for name, value := range h {
 		all[name] = value
 	}
--- a/e2e/key_test.go
+++ b/e2e/key_test.go
@@ -74,7 +74,7 @@
 	}
 	r, err := c.request(i, "POST", "/v1/completions", "jatim", briefingBody("p", 4), nil)
 	must(c.t, err)
-	if r.refusal.Code != pipeline.CodeNotInForce {
+	if r.refusal.Code != pipeline.CodeNoBundle {
 		c.t.Errorf("%s answered %d %s", i.dir, r.status, r.body)
 	}
 	for _, member := range c.instances {
--- a/e2e/killer_test.go
+++ b/e2e/killer_test.go
@@ -33,7 +33,7 @@
 	var last *reply
 	const resends = 12
 	for n := range resends {
-		r, err := c.request(region[n%len(region)], http.MethodPost, "/v1/completions", "jatim", briefingBody(killer, 20), headers{pipeline.HeaderIdempotencyK: fmt.Sprint("new-id-", n), pipeline.HeaderResend: "false"})
+		r, err := c.request(region[n%len(region)], http.MethodPost, "/v1/completions", "jatim", briefingBody(killer, 20), headers{pipeline.HeaderIdempotencyKey: fmt.Sprint("new-id-", n), pipeline.HeaderResend: "false"})
 		must(t, err)
 		if r.refusal.Code == "" && r.status == http.StatusOK && len(r.body) > 0 && !isErrorStream(r.body) {
 			t.Errorf("sending %d was answered: %s", n, r.body)
@@ -45,7 +45,7 @@
 	if n := site.runsOf(killer); n < 1 || n > 2 {
 		t.Errorf("it took %d engine lives", n)
 	}
-	last.refused(t, "at last", pipeline.CodeSuspect, verdict.NotRun)
+	last.refused(t, "at last", pipeline.CodeSuspected, verdict.NotRun)
 	for n, count := range answered {
 		if count == 0 {
 			t.Errorf("innocent caller %d got no answer", n)
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -221,7 +221,7 @@
 		return // the booking never runs then, which the test finds out
 	}
 	req.Header.Set("Authorization", "Bearer "+keyOf("jatim"))
-	req.Header.Set(pipeline.HeaderIdempotencyK, key)
+	req.Header.Set(pipeline.HeaderIdempotencyKey, key)
 	if resp, err := c.client.Do(req); err == nil {
 		_ = resp.Body.Close()
 	}
--- a/e2e/loop_test.go
+++ b/e2e/loop_test.go
@@ -75,18 +75,18 @@
 	to := c.in("bali")[0]
 	r, err := c.request(to, http.MethodPost, "/v1/completions", "jatim", briefingBody("p", 4), headers{pipeline.HeaderHop: "jatim-0@jatim"})
 	must(t, err)
-	r.refused(t, "a caller's hop", pipeline.CodeHop, verdict.NotRun)
+	r.refused(t, "a caller's hop", pipeline.CodeHopNotAllowed, verdict.NotRun)
 	for _, forged := range []struct {
 		what, hops string
 		code       verdict.Code
 	}{
-		{"no hop", "", pipeline.CodeHop},
-		{"malformed", "jatim-0", pipeline.CodeHop},
-		{"another sender", "jatim-1@jatim", pipeline.CodeHop},
+		{"no hop", "", pipeline.CodeHopNotAllowed},
+		{"malformed", "jatim-0", pipeline.CodeHopNotAllowed},
+		{"another sender", "jatim-1@jatim", pipeline.CodeHopNotAllowed},
 		{"was here", "bali-0@bali, jatim-0@jatim", pipeline.CodeLoop},
 		{"was in the region", "bali-1@bali, jatim-0@jatim", pipeline.CodeLoop},
 		{"crossed before", "jabar-0@jabar, jatim-0@jatim", pipeline.CodeLoop},
-		{"too long", "jabar-0@jabar, jabar-1@jabar, jatim-1@jatim, jatim-0@jatim", pipeline.CodeHop},
+		{"too long", "jabar-0@jabar, jabar-1@jabar, jatim-1@jatim, jatim-0@jatim", pipeline.CodeHopNotAllowed},
 	} {
 		r, err := c.passOn("jatim-0", to, forged.hops)
 		must(t, err)
@@ -284,7 +284,7 @@
 	for _, i := range c.in("jatim") {
 		r, err := c.request(i, http.MethodPost, "/v1/completions", "jatim", briefingBody(prompt, 5000), nil)
 		must(t, err)
-		r.refused(t, i.id(), pipeline.CodeSuspect, verdict.NotRun)
+		r.refused(t, i.id(), pipeline.CodeSuspected, verdict.NotRun)
 	}
 }
 
--- a/e2e/residency_test.go
+++ b/e2e/residency_test.go
@@ -35,7 +35,7 @@
 		}
 		c.refusesBeforeTheBody(i)
 		c.sendsTo(i, "/v1/completions", briefingBody(dossier, 4), nil)
-		c.sendsTo(i, "/services/desk/bookings", dossier, headers{pipeline.HeaderIdempotencyK: key})
+		c.sendsTo(i, "/services/desk/bookings", dossier, headers{pipeline.HeaderIdempotencyKey: key})
 	}
 	for region, s := range c.sites {
 		if n := s.runsOf(dossier) + s.desk.Runs(key); n != 0 {
@@ -92,8 +92,8 @@
 		if r.status != http.StatusMisdirectedRequest || r.header.Get(pipeline.HeaderRegions) != boundRegion {
 			c.t.Errorf("%s answered %d %v %s", i.id(), r.status, r.header, r.body)
 		}
-		if _, keyed := h[pipeline.HeaderIdempotencyK]; !keyed {
-			r.refused(c.t, i.id(), pipeline.CodeResidency, verdict.NotRun)
+		if _, keyed := h[pipeline.HeaderIdempotencyKey]; !keyed {
+			r.refused(c.t, i.id(), pipeline.CodeWrongRegion, verdict.NotRun)
 		}
 		to, err := url.Parse(r.header.Get("Location"))
 		must(c.t, err)
@@ -115,7 +115,7 @@
 	if err != nil || text != standin.Answer([]byte(dossier), 4) {
 		c.t.Errorf("at home: %q, %v", text, err)
 	}
-	r, err := c.request(i, http.MethodPost, "/services/desk/bookings", boundWorkspace, dossier, headers{pipeline.HeaderIdempotencyK: key})
+	r, err := c.request(i, http.MethodPost, "/services/desk/bookings", boundWorkspace, dossier, headers{pipeline.HeaderIdempotencyKey: key})
 	must(c.t, err)
 	if r.status != http.StatusOK || c.sites[boundRegion].desk.Runs(key) != 1 {
 		c.t.Errorf("at home: %d %s", r.status, r.body)
--- a/metrics/served/observer.go
+++ b/metrics/served/observer.go
@@ -50,11 +50,11 @@
 		FirstByte: out.FirstByte,
 		Refused:   out.Code != "" && out.Verdict == verdict.NotRun,
 		Failed:    out.Code != "" && out.Verdict != verdict.NotRun,
-		SentAway:  out.Region != "",
+		SentAway:  out.SpillRegion != "",
 		Passed:    out.Peer != "",
 	}
 	if out.Target != "" {
-		r.TargetSeconds = out.AtTarget.Seconds() * p.Share
+		r.TargetSeconds = out.TargetTime.Seconds() * p.Share
 		r.Cost = r.TargetSeconds * p.PerSecond
 	}
 	return r
@@ -65,13 +65,13 @@
 // except that the limits of workspaces are shown as a cause of their own.
 func CauseOf(out pipeline.Outcome) (cause burn.Cause, counts bool) {
 	switch {
-	case out.Kept:
+	case out.MetObjective:
 		return burn.Kept, true
-	case out.Code == pipeline.CodeLimit:
+	case out.Code == pipeline.CodeOverLimit:
 		return burn.Limit, true
-	case !out.Counted():
+	case !out.CountsForObjective():
 		return burn.Kept, false
-	case out.Region != "" || out.Code == pipeline.CodeRegionUnreached:
+	case out.SpillRegion != "" || out.Code == pipeline.CodeRegionUnreached:
 		return burn.SentAway, true
 	case out.Code == "":
 		return burn.Late, true
--- a/metrics/served/served_test.go
+++ b/metrics/served/served_test.go
@@ -24,16 +24,16 @@
 		cause  burn.Cause
 		counts bool
 	}{
-		{"kept", pipeline.Outcome{Kept: true}, burn.Kept, true},
-		{"kept elsewhere", pipeline.Outcome{Kept: true, Region: "bali"}, burn.Kept, true},
+		{"kept", pipeline.Outcome{MetObjective: true}, burn.Kept, true},
+		{"kept elsewhere", pipeline.Outcome{MetObjective: true, SpillRegion: "bali"}, burn.Kept, true},
 		{"late", pipeline.Outcome{Verdict: verdict.Ran}, burn.Late, true},
-		{"late elsewhere", pipeline.Outcome{Verdict: verdict.Ran, Region: "bali"}, burn.SentAway, true},
+		{"late elsewhere", pipeline.Outcome{Verdict: verdict.Ran, SpillRegion: "bali"}, burn.SentAway, true},
 		{"no room", pipeline.Outcome{Code: pipeline.CodeOverloaded}, burn.Refused, true},
 		{"out of time, not sent", pipeline.Outcome{Code: pipeline.CodeDeadline}, burn.Refused, true},
 		{"out of time, sent", pipeline.Outcome{Code: pipeline.CodeDeadline, Verdict: verdict.MayHaveRun}, burn.Late, true},
 		{"target died", pipeline.Outcome{Code: ports.CodeCut, Verdict: verdict.MayHaveRun}, burn.TargetLost, true},
 		{"region unreached", pipeline.Outcome{Code: pipeline.CodeRegionUnreached}, burn.SentAway, true},
-		{"limit", pipeline.Outcome{Code: pipeline.CodeLimit}, burn.Limit, true},
+		{"limit", pipeline.Outcome{Code: pipeline.CodeOverLimit}, burn.Limit, true},
 		{"wrong body", pipeline.Outcome{Code: pipeline.CodeBodyMalformed}, burn.Kept, false},
 		{"caller left", pipeline.Outcome{Code: pipeline.CodeCallerGone, Verdict: verdict.MayHaveRun}, burn.Kept, false},
 	} {
@@ -58,13 +58,13 @@
 		var all []request
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second)
-			out := pipeline.Outcome{Service: "s", Target: "r1", Took: 3 * time.Second, AtTarget: time.Second, Kept: true}
+			out := pipeline.Outcome{Service: "s", Target: "r1", Took: 3 * time.Second, TargetTime: time.Second, MetObjective: true}
 			out.FirstByte = time.Duration(rapid.IntRange(1, 100_000).Draw(t, "first")) * unit
 			switch rapid.IntRange(0, 3).Draw(t, "end") {
 			case 0:
 				out = pipeline.Outcome{Service: "s", Code: pipeline.CodeOverloaded}
 			case 1:
-				out.Region = "bali"
+				out.SpillRegion = "bali"
 			}
 			o.Observe(out)
 			all = append(all, request{now, out})
@@ -77,7 +77,7 @@
 			}
 			want.Requests++
 			want.Refused += count(r.out.Code != "")
-			want.SentAway += float64(count(r.out.Region != ""))
+			want.SentAway += float64(count(r.out.SpillRegion != ""))
 			if r.out.Target != "" {
 				want.TargetSeconds += 0.25
 				times = append(times, r.out.FirstByte)
@@ -115,7 +115,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	o := &Observer{Table: NewTable(now), Burn: burn.NewHistory("i", "r", 1), Now: func() time.Time { return now }}
 	o.Price = func(route.TargetID) Price { return Price{Share: 0.1, PerSecond: 1} }
-	out := pipeline.Outcome{Service: "s", Workspace: "w", Target: "t", FirstByte: 300 * time.Millisecond, Took: 3 * time.Second, AtTarget: time.Second, Kept: true}
+	out := pipeline.Outcome{Service: "s", Workspace: "w", Target: "t", FirstByte: 300 * time.Millisecond, Took: 3 * time.Second, TargetTime: time.Second, MetObjective: true}
 	for b.Loop() {
 		o.Observe(out)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -198,7 +198,7 @@
 		Claims:    n.claims,
 		Limits:    n.limits,
 		Suspects:  n.suspects,
-		Lone:      n.suspects,
+		LoneRuns:  n.suspects,
 		Observer:  n.history.observer(n.served),
 		Directory: n.directory,
 		Metrics:   n.metrics,
--- a/node/operator.go
+++ b/node/operator.go
@@ -76,7 +76,7 @@
 func (o *operator) Burn(context.Context) (*operators.BurnReport, error) {
 	v := o.node.bundleView()
 	if v == nil {
-		return nil, verdict.New(verdict.NotRun, pipeline.CodeNotInForce, "no bundle is in force yet")
+		return nil, verdict.New(verdict.NotRun, pipeline.CodeNoBundle, "no bundle is in force yet")
 	}
 	now := time.Now()
 	return api.BurnReportOf(api.BurnSource{
--- a/pipeline/admission.go
+++ b/pipeline/admission.go
@@ -26,7 +26,7 @@
 		return &verdict.Error{Code: CodeOverloaded, Message: "too many requests under way here", RetryAfter: overloadedRetry}
 	}
 	if x.View == nil {
-		return &verdict.Error{Code: CodeNotInForce, Message: "no bundle is in force yet", RetryAfter: overloadedRetry}
+		return &verdict.Error{Code: CodeNoBundle, Message: "no bundle is in force yet", RetryAfter: overloadedRetry}
 	}
 	return next(x)
 }
--- a/pipeline/journal.go
+++ b/pipeline/answerbuffer.go
@@ -188,10 +188,10 @@
 func (s *journals) keep(j *journal) {
 	s.ended = append(s.ended, j)
 	s.bytes += int64(len(j.body))
-	for s.bytes > s.bounds.JournalBytes {
+	for s.bytes > s.bounds.MaxAnswerBytes {
 		s.drop(s.ended[0])
 	}
-	time.AfterFunc(s.bounds.JournalTime, func() {
+	time.AfterFunc(s.bounds.AnswerTTL, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.drop(j)
--- a/pipeline/body.go
+++ b/pipeline/body.go
@@ -49,13 +49,13 @@
 }
 
 func (f *ReadBody) read(x *Exchange) error {
-	limit := f.bounds.BodyBytes
+	limit := f.bounds.MaxBodyBytes
 	if x.R.ContentLength > limit {
 		x.W.Header().Set("Connection", "close")
 		return f.tooLarge()
 	}
 	c := http.NewResponseController(x.W)
-	if c.SetReadDeadline(x.Arrival.Add(f.bounds.BodyTime)) == nil {
+	if c.SetReadDeadline(x.Arrival.Add(f.bounds.BodyTimeout)) == nil {
 		defer func() { _ = c.SetReadDeadline(noDeadline) }()
 	}
 	body, err := readBounded(x.R.Body, x.R.ContentLength, limit)
@@ -95,7 +95,7 @@
 }
 
 func (f *ReadBody) tooLarge() *verdict.Error {
-	return refuse(CodeBodyTooLarge, fmt.Sprintf("the body is larger than %d bytes", f.bounds.BodyBytes))
+	return refuse(CodeBodyTooLarge, fmt.Sprintf("the body is larger than %d bytes", f.bounds.MaxBodyBytes))
 }
 
 func (f *ReadBody) readError(err error) *verdict.Error {
@@ -103,7 +103,7 @@
 	case errors.Is(err, errTooLarge):
 		return f.tooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refuse(CodeBodyTruncated, fmt.Sprintf("the body did not come within %s", f.bounds.BodyTime))
+		return refuse(CodeBodyTruncated, fmt.Sprintf("the body did not come within %s", f.bounds.BodyTimeout))
 	}
 	return &verdict.Error{Code: CodeBodyTruncated, Message: "the body ended early", Err: err}
 }
@@ -111,10 +111,10 @@
 // ReadOnceBody reads the body of a plain request that runs at most once, so
 // that its resends can be told from other requests under the same key. Other
 // plain bodies are streamed.
-type ReadOnceBody struct{ body ReadBody }
+type ReadPlainBody struct{ body ReadBody }
 
 // Serve fills x.Body where the request runs at most once.
-func (f *ReadOnceBody) Serve(x *Exchange, next Handler) error {
+func (f *ReadPlainBody) Serve(x *Exchange, next Handler) error {
 	if x.Once {
 		if err := f.body.read(x); err != nil {
 			return err
--- a/pipeline/claiming.go
+++ b/pipeline/claiming.go
@@ -87,7 +87,7 @@
 
 func (f *Claiming) join(x *Exchange, j *journal, print claim.Digest) error {
 	if j.print != print {
-		x.Floor = verdict.NotRun
+		x.PriorVerdict = verdict.NotRun
 		return refuse(claim.CodeConflict, "the idempotency key was used with another body")
 	}
 	x.replayed = true
@@ -111,11 +111,11 @@
 		case claim.Join:
 			return f.joinOwner(x, step, print)
 		case claim.Replay:
-			x.Floor = verdict.NotRun
+			x.PriorVerdict = verdict.NotRun
 			return recorded(step.Done)
 		case claim.Refuse:
 			// The gate's word covers the earlier sendings of the key as well.
-			x.Floor = verdict.NotRun
+			x.PriorVerdict = verdict.NotRun
 			f.recorder.push(c.home, step.Command)
 			return step.Err
 		default:
@@ -129,7 +129,7 @@
 		Key:      x.keyOf(),
 		Body:     print,
 		Instance: f.deps.Instance,
-		Sending:  x.Terms.Sending,
+		Sending:  x.Terms.Mark,
 		Lifetime: time.Duration(x.View.Bundle.Rules.ClaimLifetimeSeconds) * time.Second,
 	}
 	_, _ = rand.Read(r.Attempt[:])
@@ -170,7 +170,7 @@
 			return f.join(x, j, print)
 		}
 		if done, ok := f.recent.find(x.keyOf(), step.Attempt); ok {
-			x.Floor = verdict.NotRun
+			x.PriorVerdict = verdict.NotRun
 			return recorded(done)
 		}
 	}
@@ -178,7 +178,7 @@
 		return err
 	}
 	e := *step.Err
-	e.Code, e.RetryAfter = CodeRunning, joinRetry
+	e.Code, e.RetryAfter = CodeAlreadyRunning, joinRetry
 	e.Message = "the request is running at instance " + step.Owner.ID
 	return &e
 }
@@ -198,7 +198,7 @@
 // can join.
 func (f *Claiming) start(x *Exchange, c *claimed, print claim.Digest, next Handler) error {
 	// The grant proves that no earlier sending holds the key.
-	x.Floor = verdict.NotRun
+	x.PriorVerdict = verdict.NotRun
 	j := f.journals.open(x.keyOf(), print)
 	y := *x
 	y.W, y.claim = j, c
--- a/pipeline/codes.go
+++ b/pipeline/codes.go
@@ -11,61 +11,61 @@
 
 // Codes of refusals and failures on the request path.
 const (
-	CodeOverloaded                   = verdict.Code(route.ReasonOverload)
-	CodeHop             verdict.Code = "hop_not_allowed"
-	CodeLoop            verdict.Code = "loop"
-	CodeKey             verdict.Code = "wrong_key"
-	CodeHeader          verdict.Code = "wrong_header"
-	CodePriority        verdict.Code = "priority_not_allowed"
-	CodeResidency       verdict.Code = "wrong_region"
-	CodeServiceHeader   verdict.Code = "service_header_required"
-	CodeLimit           verdict.Code = "workspace_limit"
-	CodeBodyTooLarge    verdict.Code = "body_too_large"
-	CodeBodyTruncated   verdict.Code = "body_truncated"
-	CodeBodyMalformed   verdict.Code = "body_malformed"
-	CodeContentType     verdict.Code = "wrong_content_type"
-	CodeUnknownModel    verdict.Code = "unknown_model"
-	CodeUnknownService               = verdict.Code(route.ReasonUnknownService)
-	CodeSuspect         verdict.Code = "request_suspected"
-	CodeKeyRequired     verdict.Code = "idempotency_key_required"
-	CodeDeadline        verdict.Code = "deadline_exceeded"
-	CodeCallerGone      verdict.Code = "caller_gone"
-	CodeRunning         verdict.Code = "already_running"
-	CodeAlreadyRan      verdict.Code = "already_ran"
-	CodeNoTarget                     = verdict.Code(route.ReasonNoTarget)
-	CodeNotInForce      verdict.Code = "no_bundle"
-	CodeRegionUnreached verdict.Code = "region_unreached"
-	CodeInternal        verdict.Code = "internal"
-	CodeUnknownPath     verdict.Code = "unknown_path"
-	CodeUnknownMethod   verdict.Code = "unknown_method"
+	CodeOverloaded                          = verdict.Code(route.ReasonOverload)
+	CodeHopNotAllowed          verdict.Code = "hop_not_allowed"
+	CodeLoop                   verdict.Code = "loop"
+	CodeUnknownKey             verdict.Code = "wrong_key"
+	CodeWrongHeader            verdict.Code = "wrong_header"
+	CodePriorityNotAllowed     verdict.Code = "priority_not_allowed"
+	CodeWrongRegion            verdict.Code = "wrong_region"
+	CodeServiceHeader          verdict.Code = "service_header_required"
+	CodeOverLimit              verdict.Code = "workspace_limit"
+	CodeBodyTooLarge           verdict.Code = "body_too_large"
+	CodeBodyTruncated          verdict.Code = "body_truncated"
+	CodeBodyMalformed          verdict.Code = "body_malformed"
+	CodeContentType            verdict.Code = "wrong_content_type"
+	CodeUnknownModel           verdict.Code = "unknown_model"
+	CodeUnknownService                      = verdict.Code(route.ReasonUnknownService)
+	CodeSuspected              verdict.Code = "request_suspected"
+	CodeIdempotencyKeyRequired verdict.Code = "idempotency_key_required"
+	CodeDeadline               verdict.Code = "deadline_exceeded"
+	CodeCallerGone             verdict.Code = "caller_gone"
+	CodeAlreadyRunning         verdict.Code = "already_running"
+	CodeAlreadyRan             verdict.Code = "already_ran"
+	CodeNoTarget                            = verdict.Code(route.ReasonNoTarget)
+	CodeNoBundle               verdict.Code = "no_bundle"
+	CodeRegionUnreached        verdict.Code = "region_unreached"
+	CodeInternal               verdict.Code = "internal"
+	CodeUnknownPath            verdict.Code = "unknown_path"
+	CodeUnknownMethod          verdict.Code = "unknown_method"
 )
 
 // statuses maps codes to HTTP statuses; a code that is missing is a 502.
 var statuses = map[verdict.Code]int{
-	CodeHop:             http.StatusBadRequest,
-	CodeLoop:            http.StatusLoopDetected,
-	CodeKey:             http.StatusUnauthorized,
-	CodeHeader:          http.StatusBadRequest,
-	CodePriority:        http.StatusForbidden,
-	CodeResidency:       http.StatusMisdirectedRequest,
-	CodeServiceHeader:   http.StatusPreconditionRequired,
-	CodeLimit:           http.StatusTooManyRequests,
-	CodeBodyTooLarge:    http.StatusRequestEntityTooLarge,
-	CodeBodyTruncated:   http.StatusBadRequest,
-	CodeBodyMalformed:   http.StatusBadRequest,
-	CodeContentType:     http.StatusUnsupportedMediaType,
-	CodeUnknownModel:    http.StatusNotFound,
-	CodeSuspect:         http.StatusForbidden,
-	CodeKeyRequired:     http.StatusBadRequest,
-	CodeDeadline:        http.StatusGatewayTimeout,
-	CodeCallerGone:      statusCallerGone,
-	CodeRunning:         http.StatusConflict,
-	CodeAlreadyRan:      http.StatusConflict,
-	CodeNotInForce:      http.StatusServiceUnavailable,
-	CodeRegionUnreached: http.StatusBadGateway,
-	CodeInternal:        http.StatusInternalServerError,
-	CodeUnknownPath:     http.StatusNotFound,
-	CodeUnknownMethod:   http.StatusMethodNotAllowed,
+	CodeHopNotAllowed:          http.StatusBadRequest,
+	CodeLoop:                   http.StatusLoopDetected,
+	CodeUnknownKey:             http.StatusUnauthorized,
+	CodeWrongHeader:            http.StatusBadRequest,
+	CodePriorityNotAllowed:     http.StatusForbidden,
+	CodeWrongRegion:            http.StatusMisdirectedRequest,
+	CodeServiceHeader:          http.StatusPreconditionRequired,
+	CodeOverLimit:              http.StatusTooManyRequests,
+	CodeBodyTooLarge:           http.StatusRequestEntityTooLarge,
+	CodeBodyTruncated:          http.StatusBadRequest,
+	CodeBodyMalformed:          http.StatusBadRequest,
+	CodeContentType:            http.StatusUnsupportedMediaType,
+	CodeUnknownModel:           http.StatusNotFound,
+	CodeSuspected:              http.StatusForbidden,
+	CodeIdempotencyKeyRequired: http.StatusBadRequest,
+	CodeDeadline:               http.StatusGatewayTimeout,
+	CodeCallerGone:             statusCallerGone,
+	CodeAlreadyRunning:         http.StatusConflict,
+	CodeAlreadyRan:             http.StatusConflict,
+	CodeNoBundle:               http.StatusServiceUnavailable,
+	CodeRegionUnreached:        http.StatusBadGateway,
+	CodeInternal:               http.StatusInternalServerError,
+	CodeUnknownPath:            http.StatusNotFound,
+	CodeUnknownMethod:          http.StatusMethodNotAllowed,
 
 	claim.CodeUnavailable: http.StatusServiceUnavailable,
 	claim.CodeConflict:    http.StatusUnprocessableEntity,
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -63,7 +63,7 @@
 
 	// Floor is the verdict that earlier sendings of the key may have reached,
 	// as far as is known here.
-	Floor verdict.Verdict
+	PriorVerdict verdict.Verdict
 	// Verdict is joined over this instance's own attempts.
 	Verdict verdict.Verdict
 
@@ -89,7 +89,7 @@
 
 // final is an error as the caller is told it.
 func (x *Exchange) final(e *verdict.Error) *verdict.Error {
-	return e.Raise(x.Verdict.Join(x.Floor))
+	return e.Raise(x.Verdict.Join(x.PriorVerdict))
 }
 
 // letGo drops what only another sending would need. It is called when the answer
--- a/pipeline/finish.go
+++ b/pipeline/finish.go
@@ -21,25 +21,25 @@
 	FirstByte, Took time.Duration
 	// AtTarget is the time from sending to end, summed over all sendings of this
 	// instance, hedges and moves included; 0 if nothing was sent.
-	AtTarget time.Duration
+	TargetTime time.Duration
 	// Chunks passed on.
 	Chunks  int
 	Verdict verdict.Verdict
 	// Code is empty for a whole answer.
 	Code verdict.Code
 	// Target is empty if nothing was sent; Region is where it was spilled to.
-	Target route.TargetID
-	Region string
+	Target      route.TargetID
+	SpillRegion string
 	// Peer is the instance that passed the request on; empty for a caller's own.
 	Peer string
 	// Kept says that the answer was whole, in time, and within the objective of
 	// its service.
-	Kept bool
+	MetObjective bool
 }
 
 // Counted reports whether the request says something of the service: one that
 // failed by its caller's own doing does not.
-func (o Outcome) Counted() bool {
+func (o Outcome) CountsForObjective() bool {
 	if o.Code == "" {
 		return true
 	}
@@ -121,15 +121,15 @@
 func (f *Finish) observe(x *Exchange, e *verdict.Error) {
 	now := f.deps.Now()
 	o := Outcome{
-		ID:       x.ID,
-		Arrival:  x.Arrival,
-		Took:     now.Sub(x.Arrival),
-		Chunks:   x.chunks,
-		AtTarget: x.atTarget,
-		Verdict:  verdict.Ran,
-		Target:   x.target,
-		Region:   x.region,
-		Peer:     x.Peer,
+		ID:          x.ID,
+		Arrival:     x.Arrival,
+		Took:        now.Sub(x.Arrival),
+		Chunks:      x.chunks,
+		TargetTime:  x.atTarget,
+		Verdict:     verdict.Ran,
+		Target:      x.target,
+		SpillRegion: x.region,
+		Peer:        x.Peer,
 	}
 	if !x.firstByte.IsZero() {
 		o.FirstByte = x.firstByte.Sub(x.Arrival)
@@ -147,7 +147,7 @@
 	if x.Service != nil {
 		o.Service = x.Service.ID
 	}
-	o.Kept = e == nil && x.inTime(now) && x.keptObjective(o)
+	o.MetObjective = e == nil && x.inTime(now) && x.keptObjective(o)
 	if f.deps.Observer != nil {
 		f.deps.Observer.Observe(o)
 	}
--- a/pipeline/headers.go
+++ b/pipeline/headers.go
@@ -2,15 +2,15 @@
 
 // Headers that callers send, see docs/API.md.
 const (
-	HeaderAuthorization = "Authorization"
-	HeaderDeadline      = "Gullhaven-Deadline-Ms"
-	HeaderFirstToken    = "Gullhaven-First-Token-Ms"
-	HeaderPriority      = "Gullhaven-Priority"
-	HeaderResidency     = "Gullhaven-Residency"
-	HeaderService       = "Gullhaven-Service"
-	HeaderIdempotencyK  = "Idempotency-Key"
-	HeaderIdempotent    = "Gullhaven-Idempotent"
-	HeaderResend        = "Gullhaven-Resend"
+	HeaderAuthorization  = "Authorization"
+	HeaderDeadline       = "Gullhaven-Deadline-Ms"
+	HeaderFirstToken     = "Gullhaven-First-Token-Ms"
+	HeaderPriority       = "Gullhaven-Priority"
+	HeaderResidency      = "Gullhaven-Residency"
+	HeaderService        = "Gullhaven-Service"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderIdempotent     = "Gullhaven-Idempotent"
+	HeaderResend         = "Gullhaven-Resend"
 )
 
 // HeaderHop goes between instances only.
--- a/pipeline/hop_test.go
+++ b/pipeline/hop_test.go
@@ -78,10 +78,10 @@
 		name, peer, hops string
 		code             verdict.Code
 	}{
-		{"from a caller", "", "malang-2@jatim", CodeHop},
-		{"none from a peer", "malang-2", "", CodeHop},
-		{"malformed", "malang-2", "malang-2", CodeHop},
-		{"of another sender", "malang-2", "malang-3@jatim", CodeHop},
+		{"from a caller", "", "malang-2@jatim", CodeHopNotAllowed},
+		{"none from a peer", "malang-2", "", CodeHopNotAllowed},
+		{"malformed", "malang-2", "malang-2", CodeHopNotAllowed},
+		{"of another sender", "malang-2", "malang-3@jatim", CodeHopNotAllowed},
 		{"was here", "denpasar-1", "malang-1@jatim, denpasar-1@bali", CodeLoop},
 		{"crosses back", "denpasar-1", "malang-2@jatim, denpasar-1@bali", CodeLoop},
 		{"second step", "malang-3", "malang-2@jatim, malang-3@jatim", CodeLoop},
@@ -200,7 +200,7 @@
 	if resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	if o := <-told.outcomes; o.Region != "" || o.Target == "" || o.Code != "" {
+	if o := <-told.outcomes; o.SpillRegion != "" || o.Target == "" || o.Code != "" {
 		t.Fatalf("%+v", o)
 	}
 }
--- a/pipeline/hopcheck.go
+++ b/pipeline/hopcheck.go
@@ -15,16 +15,16 @@
 	values, given := x.R.Header[HeaderHop]
 	if x.Peer == "" {
 		if given {
-			return refuse(CodeHop, HeaderHop+" goes between instances only")
+			return refuse(CodeHopNotAllowed, HeaderHop+" goes between instances only")
 		}
 		return next(x)
 	}
 	path, err := hop.Parse(strings.Join(values, ","))
 	if err != nil {
-		return refuse(CodeHop, err.Error())
+		return refuse(CodeHopNotAllowed, err.Error())
 	}
 	if path[len(path)-1].Instance != x.Peer {
-		return refuse(CodeHop, hop.ErrSender.Error())
+		return refuse(CodeHopNotAllowed, hop.ErrSender.Error())
 	}
 	if err := path.Check(f.at); err != nil {
 		return refuse(CodeLoop, err.Error())
--- a/pipeline/identify.go
+++ b/pipeline/identify.go
@@ -11,11 +11,11 @@
 func (*Identify) Serve(x *Exchange, next Handler) error {
 	given := x.R.Header.Get(HeaderAuthorization)
 	if len(given) <= len(bearer) || !strings.EqualFold(given[:len(bearer)], bearer) {
-		return refuse(CodeKey, "a workspace key is required: "+HeaderAuthorization+": Bearer KEY")
+		return refuse(CodeUnknownKey, "a workspace key is required: "+HeaderAuthorization+": Bearer KEY")
 	}
 	x.Workspace = x.View.Workspace(given[len(bearer):])
 	if x.Workspace == nil {
-		return refuse(CodeKey, "the workspace key is not known")
+		return refuse(CodeUnknownKey, "the workspace key is not known")
 	}
 	return next(x)
 }
--- a/pipeline/input_test.go
+++ b/pipeline/input_test.go
@@ -22,7 +22,7 @@
 // Events: in a table.
 // Cause: a parser that guesses, or defaults for what was not understood.
 func TestBadInputIsRefusedAtOnce(t *testing.T) {
-	r := newRig(t, withDeps(func(d *Deps) { d.Bounds.BodyBytes = 2048 }))
+	r := newRig(t, withDeps(func(d *Deps) { d.Bounds.MaxBodyBytes = 2048 }))
 	good := chat("p", false, 2)
 	for _, c := range []struct {
 		name   string
@@ -49,15 +49,15 @@
 		{"too large", call{body: chat(strings.Repeat("x", 4096), false, 2)}, 413, CodeBodyTooLarge},
 		{"wrong type", call{body: good, header: map[string]string{"Content-Type": "text/csv"}}, 415, CodeContentType},
 		{"type of curl", call{body: "{", header: map[string]string{"Content-Type": formType}}, 400, CodeBodyMalformed},
-		{"wrong key", call{body: good, key: "nobody's"}, 401, CodeKey},
-		{"deadline no number", call{body: good, header: map[string]string{HeaderDeadline: "soon"}}, 400, CodeHeader},
-		{"deadline zero", call{body: good, header: map[string]string{HeaderDeadline: "0"}}, 400, CodeHeader},
-		{"deadline too far", call{body: good, header: map[string]string{HeaderDeadline: "99999999999999999"}}, 400, CodeHeader},
-		{"priority above the workspace's", call{body: good, header: map[string]string{HeaderPriority: "9"}}, 403, CodePriority},
-		{"priority no number", call{body: good, header: map[string]string{HeaderPriority: "high"}}, 400, CodeHeader},
-		{"unknown region", call{body: good, header: map[string]string{HeaderResidency: "atlantis"}}, 400, CodeHeader},
-		{"mark not understood", call{body: good, header: map[string]string{HeaderIdempotent: "no"}}, 400, CodeHeader},
-		{"marked, no key", call{body: good, header: map[string]string{HeaderIdempotent: "false"}}, 400, CodeKeyRequired},
+		{"wrong key", call{body: good, key: "nobody's"}, 401, CodeUnknownKey},
+		{"deadline no number", call{body: good, header: map[string]string{HeaderDeadline: "soon"}}, 400, CodeWrongHeader},
+		{"deadline zero", call{body: good, header: map[string]string{HeaderDeadline: "0"}}, 400, CodeWrongHeader},
+		{"deadline too far", call{body: good, header: map[string]string{HeaderDeadline: "99999999999999999"}}, 400, CodeWrongHeader},
+		{"priority above the workspace's", call{body: good, header: map[string]string{HeaderPriority: "9"}}, 403, CodePriorityNotAllowed},
+		{"priority no number", call{body: good, header: map[string]string{HeaderPriority: "high"}}, 400, CodeWrongHeader},
+		{"unknown region", call{body: good, header: map[string]string{HeaderResidency: "atlantis"}}, 400, CodeWrongHeader},
+		{"mark not understood", call{body: good, header: map[string]string{HeaderIdempotent: "no"}}, 400, CodeWrongHeader},
+		{"marked, no key", call{body: good, header: map[string]string{HeaderIdempotent: "false"}}, 400, CodeIdempotencyKeyRequired},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			resp := r.do(c.call)
@@ -107,7 +107,7 @@
 // Symptom: memory grows with a body that announces no length.
 // Cause: the bound checked by the announced length alone.
 func TestUnannouncedBodyIsBounded(t *testing.T) {
-	r := newRig(t, withDeps(func(d *Deps) { d.Bounds.BodyBytes = 2048 }))
+	r := newRig(t, withDeps(func(d *Deps) { d.Bounds.MaxBodyBytes = 2048 }))
 	body := io.MultiReader(strings.NewReader(chat(strings.Repeat("x", 4096), false, 2)))
 	if got := readRefusal(t, r.serveBody("", testKey, nil, body)); got.Code != CodeBodyTooLarge {
 		t.Fatalf("%+v", got)
@@ -149,7 +149,7 @@
 		}))
 		r.engines[0].SetFaults(standin.Fault{Kind: standin.FaultLate, DelayMillis: 20})
 		got := readStream(t, r.do(call{body: chat("p", true, 6), header: map[string]string{
-			HeaderIdempotent: "false", HeaderIdempotencyK: "k"}}).Body)
+			HeaderIdempotent: "false", HeaderIdempotencyKey: "k"}}).Body)
 		if !got.ended || r.engines[1].Counts().Runs != 0 {
 			t.Fatalf("%+v, %d runs of the hedge", got, r.engines[1].Counts().Runs)
 		}
@@ -270,14 +270,14 @@
 // or are never cleared.
 func TestSuspectsRunAloneAndAreRecognisedInAnotherForm(t *testing.T) {
 	known, lone := newSuspects(), &fixedLone{target: "runner-1"}
-	r := newRig(t, withEngines(2, standin.EngineConfig{}), withDeps(func(d *Deps) { d.Suspects, d.Lone = known, lone }),
+	r := newRig(t, withEngines(2, standin.EngineConfig{}), withDeps(func(d *Deps) { d.Suspects, d.LoneRuns = known, lone }),
 		withBundle(func(b *bundle.Bundle) { b.Rules.MaxAttempts = 1 }))
 	r.p.Routing().SetReserved([]route.TargetID{"runner-1"})
 	for _, e := range r.engines {
 		e.SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "killer"}, standin.Fault{Kind: standin.FaultCrash, Match: "innocent", Count: 1})
 	}
 	ask := func(prompt string, i int) *http.Response {
-		return r.do(call{body: chat(prompt, i%2 == 0, 2+i), header: map[string]string{HeaderIdempotencyK: prompt + string(rune('a'+i)), HeaderResend: "false"}})
+		return r.do(call{body: chat(prompt, i%2 == 0, 2+i), header: map[string]string{HeaderIdempotencyKey: prompt + string(rune('a'+i)), HeaderResend: "false"}})
 	}
 	readRefusal(t, ask("killer", 0))
 	readRefusal(t, ask("innocent", 0))
@@ -292,7 +292,7 @@
 	if got := readStream(t, ask("innocent", 4).Body); !got.ended || known.alone != 2 {
 		t.Fatalf("not cleared by its whole answer: %+v, %d alone", got, known.alone)
 	}
-	if got := readRefusal(t, ask("killer", 2)); got.Code != CodeSuspect || got.Verdict != verdict.NotRun {
+	if got := readRefusal(t, ask("killer", 2)); got.Code != CodeSuspected || got.Verdict != verdict.NotRun {
 		t.Fatalf("%+v", got)
 	}
 	if n := r.engines[1].Counts().Runs + r.engines[0].Counts().Runs; n != 5 {
@@ -306,7 +306,7 @@
 // runs beside others.
 func TestRetryOfASuspectRunsAlone(t *testing.T) {
 	known, lone := newSuspects(), &fixedLone{target: "runner-1"}
-	r := newRig(t, withEngines(3, standin.EngineConfig{}), withDeps(func(d *Deps) { d.Suspects, d.Lone = known, lone }),
+	r := newRig(t, withEngines(3, standin.EngineConfig{}), withDeps(func(d *Deps) { d.Suspects, d.LoneRuns = known, lone }),
 		withBundle(func(b *bundle.Bundle) { b.Rules.MaxAttempts = 3 }))
 	r.p.Routing().SetReserved([]route.TargetID{"runner-1"})
 	for _, e := range r.engines {
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -45,5 +45,5 @@
 	if a.OK {
 		return nil
 	}
-	return &verdict.Error{Code: CodeLimit, Message: "the workspace's limit is used up", RetryAfter: a.RetryAfter}
+	return &verdict.Error{Code: CodeOverLimit, Message: "the workspace's limit is used up", RetryAfter: a.RetryAfter}
 }
--- a/pipeline/lone.go
+++ b/pipeline/lonerun.go
@@ -14,11 +14,11 @@
 // that target down as well, it is known for the cause, and no other request was
 // lost with it.
 func (f *Attempts) runAlone(x *Exchange, q *route.Request, s send) error {
-	refused := &verdict.Error{Code: CodeSuspect, Message: "the request was running when a target broke down; no target is free to run it alone", RetryAfter: loneRetry}
-	if f.deps.Lone == nil {
+	refused := &verdict.Error{Code: CodeSuspected, Message: "the request was running when a target broke down; no target is free to run it alone", RetryAfter: loneRetry}
+	if f.deps.LoneRuns == nil {
 		return refused
 	}
-	lone, err := f.deps.Lone.Begin(x.Ctx, x.Service.ID, x.Digest)
+	lone, err := f.deps.LoneRuns.Begin(x.Ctx, x.Service.ID, x.Digest)
 	if err != nil {
 		refused.Err = err
 		return refused
@@ -27,6 +27,6 @@
 	a := f.newAttempt(q)
 	a.alone = true
 	a.decision = route.Decision{Action: route.Send, Target: route.TargetID(lone.Target)}
-	f.routing.SentTo(a.route, q, a.decision)
+	f.routing.RecordSent(a.route, q, a.decision)
 	return f.attempt(x, a, s)
 }
--- a/pipeline/move_test.go
+++ b/pipeline/move_test.go
@@ -172,7 +172,7 @@
 			c.set(r)
 			header := map[string]string{}
 			if c.once {
-				header = map[string]string{HeaderIdempotent: "false", HeaderIdempotencyK: "k", HeaderResend: "false"}
+				header = map[string]string{HeaderIdempotent: "false", HeaderIdempotencyKey: "k", HeaderResend: "false"}
 			}
 			got := readStream(t, r.do(call{body: chat(c.name, true, tokens), header: header}).Body)
 			if !got.ended || got.text != answerTo(c.name, tokens) {
@@ -263,11 +263,11 @@
 			d.Now = func() time.Time { return time.Now().Add(time.Duration(clock.Load())) }
 			d.Limits, d.Observer = waits{&clock}, told
 		}))
-		header := map[string]string{HeaderIdempotent: strconv.FormatBool(!once), HeaderIdempotencyK: "k", HeaderResend: "false"}
+		header := map[string]string{HeaderIdempotent: strconv.FormatBool(!once), HeaderIdempotencyKey: "k", HeaderResend: "false"}
 		readStream(t, r.do(call{body: chat("p", true, 4), header: header}).Body)
 		out := <-told
-		if out.Code != "" || out.AtTarget <= 0 || out.AtTarget > out.Took-waitHere {
-			t.Fatalf("once %v: %v at the target of %v, %q", once, out.AtTarget, out.Took, out.Code)
+		if out.Code != "" || out.TargetTime <= 0 || out.TargetTime > out.Took-waitHere {
+			t.Fatalf("once %v: %v at the target of %v, %q", once, out.TargetTime, out.Took, out.Code)
 		}
 		if n := r.deps.Metrics.Chunks.Count(); n != int64(out.Chunks) || n == 0 || (!once && n != 4) {
 			t.Fatalf("once %v: %d chunks counted of %d", once, n, out.Chunks)
--- a/pipeline/once_test.go
+++ b/pipeline/once_test.go
@@ -21,7 +21,7 @@
 const deskPath = "/services/booking-desk/confirm"
 
 func confirm(key string, resend string) call {
-	c := call{path: deskPath, body: "seat 3", header: map[string]string{HeaderIdempotencyK: key}}
+	c := call{path: deskPath, body: "seat 3", header: map[string]string{HeaderIdempotencyKey: key}}
 	if resend != "" {
 		c.header[HeaderResend] = resend
 	}
@@ -76,7 +76,7 @@
 	}
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, r.url+deskPath, strings.NewReader("seat 3"))
 	req.Header.Set("Authorization", "Bearer "+testKey)
-	req.Header.Set(HeaderIdempotencyK, "k2")
+	req.Header.Set(HeaderIdempotencyKey, "k2")
 	if _, err := http.DefaultClient.Do(req); err == nil {
 		t.Fatal("the caller did not leave")
 	}
@@ -190,7 +190,7 @@
 
 func (r *rig) checkRuns(c call, want int) {
 	r.t.Helper()
-	if n := r.plain.Runs(c.header[HeaderIdempotencyK]); n != want {
+	if n := r.plain.Runs(c.header[HeaderIdempotencyKey]); n != want {
 		r.t.Fatalf("ran %d times", n)
 	}
 }
--- a/pipeline/parse.go
+++ b/pipeline/parse.go
@@ -32,7 +32,7 @@
 		return refuse(CodeUnknownModel, "no model of this name: "+quoted(req.Model))
 	}
 	if x.Terms.Service != "" && x.Terms.Service != s.ID {
-		return refuse(CodeHeader, HeaderService+" names another service than the body's model")
+		return refuse(CodeWrongHeader, HeaderService+" names another service than the body's model")
 	}
 	x.Adapter = adapter
 	if err := x.setService(s); err != nil {
--- a/pipeline/path_test.go
+++ b/pipeline/path_test.go
@@ -40,7 +40,7 @@
 		}
 	})
 	t.Run("claimed", func(t *testing.T) {
-		c := call{path: "/services/booking-desk/confirm", body: "seat 3", header: map[string]string{HeaderIdempotencyK: "k1"}}
+		c := call{path: "/services/booking-desk/confirm", body: "seat 3", header: map[string]string{HeaderIdempotencyKey: "k1"}}
 		first, err := io.ReadAll(r.do(c).Body)
 		if err != nil {
 			t.Fatal(err)
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -39,7 +39,7 @@
 	Suspects ports.Suspects
 	Limits   ports.Limits
 	// Lone may be nil: requests that must run alone are refused then.
-	Lone ports.LoneRuns
+	LoneRuns ports.LoneRuns
 	// Directory may be nil; it tells callers in a wrong region where to go.
 	Directory ports.Directory
 	// Observer may be nil; it is told of each request's end.
@@ -54,29 +54,29 @@
 // Bounds of what an instance takes on. Zero values mean the defaults.
 type Bounds struct {
 	// InFlight requests at once; default 8192.
-	InFlight int
+	MaxInFlight int
 	// Held requests that wait for a decision; default 256.
-	Held int
+	MaxHeld int
 	// BodyBytes of one request; default 4 MiB.
-	BodyBytes int64
+	MaxBodyBytes int64
 	// BodyTime is how long a body may take to come; default 10 s.
-	BodyTime time.Duration
+	BodyTimeout time.Duration
 	// MaxDeadline that a caller may ask for; default 1 h.
 	MaxDeadline time.Duration
 	// JournalBytes of answers kept for resends; default 64 MiB.
-	JournalBytes int64
+	MaxAnswerBytes int64
 	// JournalTime is how long they are kept after their end; default 60 s.
-	JournalTime time.Duration
+	AnswerTTL time.Duration
 }
 
 func (b Bounds) withDefaults() Bounds {
-	orDefault(&b.InFlight, 8192)
-	orDefault(&b.Held, 256)
-	orDefault(&b.BodyBytes, 4<<20)
-	orDefault(&b.BodyTime, 10*time.Second)
+	orDefault(&b.MaxInFlight, 8192)
+	orDefault(&b.MaxHeld, 256)
+	orDefault(&b.MaxBodyBytes, 4<<20)
+	orDefault(&b.BodyTimeout, 10*time.Second)
 	orDefault(&b.MaxDeadline, time.Hour)
-	orDefault(&b.JournalBytes, 64<<20)
-	orDefault(&b.JournalTime, time.Minute)
+	orDefault(&b.MaxAnswerBytes, 64<<20)
+	orDefault(&b.AnswerTTL, time.Minute)
 	return b
 }
 
@@ -113,10 +113,10 @@
 	}
 	p := &Pipeline{
 		deps:    d,
-		routing: newRouting(d.Decider, d.Now, d.Bounds.Held),
+		routing: newRouting(d.Decider, d.Now, d.Bounds.MaxHeld),
 		budgets: newBudgets(d.Now),
 		ids:     newIDs(d.Instance),
-		flight:  &inFlight{max: int64(d.Bounds.InFlight)},
+		flight:  &inFlight{max: int64(d.Bounds.MaxInFlight)},
 	}
 	forward := &Forward{deps: &p.deps, at: hop.Station{Instance: d.Instance.ID, Region: d.Region}}
 	p.claims = newClaiming(&p.deps, p.flight, forward)
@@ -131,12 +131,12 @@
 	head := []Filter{
 		&RequestID{ids: p.ids},
 		&Finish{deps: d},
-		&Floor{},
+		&PriorVerdict{},
 		&Admission{flight: p.flight},
 		&HopCheck{at: forward.at},
 		&Identify{},
 		&ReadTerms{bounds: d.Bounds},
-		&NameService{},
+		&FindService{},
 		&Residency{directory: d.Directory},
 		&WorkspaceLimit{limits: d.Limits, now: d.Now},
 	}
@@ -158,7 +158,7 @@
 		p.claims,
 	}
 	plain := []Filter{
-		&ReadOnceBody{body: ReadBody{bounds: d.Bounds, metrics: d.Metrics}},
+		&ReadPlainBody{body: ReadBody{bounds: d.Bounds, metrics: d.Metrics}},
 		&SuspectCheck{suspects: d.Suspects, now: d.Now},
 		p.claims,
 	}
--- a/pipeline/floor.go
+++ b/pipeline/priorverdict.go
@@ -11,14 +11,14 @@
 // this sending, but the one before may have. "Not run" would then be a wrong
 // word about the request. So it is said only if the caller marked the sending
 // as the first one, sent no key, or the claim's owner knows better.
-type Floor struct{}
+type PriorVerdict struct{}
 
 // Serve sets x.Floor from headers alone.
-func (*Floor) Serve(x *Exchange, next Handler) error {
+func (*PriorVerdict) Serve(x *Exchange, next Handler) error {
 	h := x.R.Header
 	mark := sendingMark(h.Get(HeaderResend))
-	if mark == claim.Resend || (h.Get(HeaderIdempotencyK) != "" && mark != claim.First) {
-		x.Floor = verdict.MayHaveRun
+	if mark == claim.Resend || (h.Get(HeaderIdempotencyKey) != "" && mark != claim.First) {
+		x.PriorVerdict = verdict.MayHaveRun
 	}
 	return next(x)
 }
--- a/pipeline/residency.go
+++ b/pipeline/residency.go
@@ -17,10 +17,10 @@
 // A model request names its service in the body. Where some model service may
 // not be touched in this region, the body can't be read to find out whether it
 // is that one, so the header is required there.
-type NameService struct{}
+type FindService struct{}
 
 // Serve sets x.Service where it is known before the body.
-func (*NameService) Serve(x *Exchange, next Handler) error {
+func (*FindService) Serve(x *Exchange, next Handler) error {
 	if x.Kind == KindPlain {
 		return namePlain(x, next)
 	}
@@ -77,7 +77,7 @@
 	}
 	regions, ok := intersect(lists)
 	if !ok {
-		return refuse(CodeHeader, "no region is allowed by the workspace, the service and "+HeaderResidency+" together")
+		return refuse(CodeWrongHeader, "no region is allowed by the workspace, the service and "+HeaderResidency+" together")
 	}
 	x.Regions = regions
 	if mayTouch(regions, x.View.Region) {
@@ -111,7 +111,7 @@
 	h.Set(HeaderRegions, strings.Join(x.Regions, ","))
 	message := "this region may not touch the request; send it to an instance of " + strings.Join(x.Regions, ", ")
 	if directory == nil {
-		return refuse(CodeResidency, message)
+		return refuse(CodeWrongRegion, message)
 	}
 	answer := directory.Lookup(ports.DirectoryQuery{Region: x.Regions[0], Caller: x.Workspace.ID})
 	for _, e := range answer.Entries {
@@ -120,5 +120,5 @@
 			break
 		}
 	}
-	return refuse(CodeResidency, message)
+	return refuse(CodeWrongRegion, message)
 }
--- a/pipeline/routing.go
+++ b/pipeline/routing.go
@@ -46,7 +46,7 @@
 }
 
 // SentTo records a sending that was decided elsewhere.
-func (r *Routing) SentTo(a route.AttemptID, q *route.Request, d route.Decision) {
+func (r *Routing) RecordSent(a route.AttemptID, q *route.Request, d route.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.d.Sent(r.now(), a, q, d)
--- a/pipeline/suspectcheck.go
+++ b/pipeline/suspectcheck.go
@@ -21,5 +21,5 @@
 }
 
 func refuseSuspect() error {
-	return refuse(CodeSuspect, "this request was running at targets that broke down")
+	return refuse(CodeSuspected, "this request was running at targets that broke down")
 }
--- a/pipeline/terms.go
+++ b/pipeline/terms.go
@@ -34,7 +34,7 @@
 	IdempotencyKey string
 	// NonIdempotent is the caller's mark.
 	NonIdempotent bool
-	Sending       claim.Sending
+	Mark          claim.Sending
 }
 
 // ReadTerms reads the headers. Anything malformed is refused: a deadline that
@@ -52,7 +52,7 @@
 }
 
 func wrongHeader(name, format string, args ...any) *verdict.Error {
-	return refuse(CodeHeader, name+" "+fmt.Sprintf(format, args...))
+	return refuse(CodeWrongHeader, name+" "+fmt.Sprintf(format, args...))
 }
 
 func (f *ReadTerms) times(x *Exchange) error {
@@ -89,7 +89,7 @@
 		return wrongHeader(HeaderPriority, "is not a whole number from 0 to %d", maxPriority)
 	}
 	if n > highest {
-		return refuse(CodePriority, fmt.Sprintf("the workspace may ask for priority %d at most", highest))
+		return refuse(CodePriorityNotAllowed, fmt.Sprintf("the workspace may ask for priority %d at most", highest))
 	}
 	x.Terms.Priority = n
 	return nil
@@ -121,13 +121,13 @@
 	}
 	switch text := h.Get(HeaderResend); text {
 	case "", "true", "false":
-		x.Terms.Sending = sendingMark(text)
+		x.Terms.Mark = sendingMark(text)
 	default:
 		return wrongHeader(HeaderResend, "is neither true nor false")
 	}
-	key := h.Get(HeaderIdempotencyK)
+	key := h.Get(HeaderIdempotencyKey)
 	if len(key) > maxIdempotencyKey || strings.ContainsFunc(key, func(r rune) bool { return r < ' ' || r > '~' }) {
-		return wrongHeader(HeaderIdempotencyK, "is not 1 to %d printable ASCII characters", maxIdempotencyKey)
+		return wrongHeader(HeaderIdempotencyKey, "is not 1 to %d printable ASCII characters", maxIdempotencyKey)
 	}
 	x.Terms.IdempotencyKey = key
 	return nil
@@ -150,7 +150,7 @@
 		x.FirstTokenBy = x.Arrival.Add(x.Terms.FirstToken)
 	}
 	if x.Once && x.Terms.IdempotencyKey == "" {
-		return refuse(CodeKeyRequired, "a request that runs at most once needs an "+HeaderIdempotencyK)
+		return refuse(CodeIdempotencyKeyRequired, "a request that runs at most once needs an "+HeaderIdempotencyKey)
 	}
 	return nil
 }
