--- a/pipeline/admission.go
+++ b/pipeline/admission.go
@@ -7,26 +7,26 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// overloadedRetry is when to come back to a full instance.
-const overloadedRetry = time.Second
+// overloadRetryAfter is the retry delay given by a full instance.
+const overloadRetryAfter = time.Second
 
 type inFlight struct {
 	n   atomic.Int64
 	max int64
 }
 
-// Admission bounds the requests under way, and with them the memory of the
-// instance. It refuses all while no bundle is in force.
+// Admission bounds the requests in flight, and with them the instance's memory.
+// It refuses all requests while no bundle is in force.
 type Admission struct{ flight *inFlight }
 
-// Serve counts the request while it is under way.
+// Serve counts the request as in flight until it ends.
 func (f *Admission) Serve(x *Exchange, next Handler) error {
 	defer f.flight.n.Add(-1)
 	if f.flight.n.Add(1) > f.flight.max {
-		return &verdict.Error{Code: CodeOverloaded, Message: "too many requests under way here", RetryAfter: overloadedRetry}
+		return &verdict.Error{Code: CodeOverloaded, Message: "too many requests under way here", RetryAfter: overloadRetryAfter}
 	}
 	if x.View == nil {
-		return &verdict.Error{Code: CodeNoBundle, Message: "no bundle is in force yet", RetryAfter: overloadedRetry}
+		return &verdict.Error{Code: CodeNoBundle, Message: "no bundle is in force yet", RetryAfter: overloadRetryAfter}
 	}
 	return next(x)
 }
--- a/pipeline/answerbuffer.go
+++ b/pipeline/answerbuffer.go
@@ -11,22 +11,23 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// maxJournal bounds one kept answer, above the bound of a whole answer.
-const maxJournal = 20 << 20
+// maxAnswerBufferBytes bounds one buffered answer. It is above the bound of a
+// whole answer.
+const maxAnswerBufferBytes = 20 << 20
 
-var errJournalFull = errors.New("the answer is larger than what is kept")
+var errAnswerBufferFull = errors.New("the answer is larger than what is kept")
 
-// sentTo is where the request of a journal ran, and for how long.
-type sentTo struct {
+// ranAt says at which target a request ran, and how long.
+type ranAt struct {
 	target route.TargetID
 	took   time.Duration
 }
 
-// journal takes in the answer of one attempt, as its http.ResponseWriter, for
-// any number of callers that follow it.
-type journal struct {
-	key   claim.Key
-	print claim.Digest
+// answerBuffer is the http.ResponseWriter of a claimed request. It buffers the
+// answer for any number of callers that follow it.
+type answerBuffer struct {
+	key           claim.Key
+	requestDigest claim.Digest
 
 	mu     sync.Mutex
 	header http.Header
@@ -34,15 +35,15 @@
 	body   []byte
 	done   bool
 	err    error
-	sent   sentTo
+	ranAt  ranAt
 	wake   chan struct{}
 }
 
-// Header is for the writing side only.
-func (j *journal) Header() http.Header { return j.header }
+// Header returns the header of the answer. Only the writer may use it.
+func (j *answerBuffer) Header() http.Header { return j.header }
 
 // WriteHeader starts the answer; the header must not change afterwards.
-func (j *journal) WriteHeader(status int) {
+func (j *answerBuffer) WriteHeader(status int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.status == 0 {
@@ -51,12 +52,13 @@
 	}
 }
 
-// Write adds to the answer.
-func (j *journal) Write(p []byte) (int, error) {
+// Write appends to the answer. It fails if the answer is larger than the buffer
+// may be.
+func (j *answerBuffer) Write(p []byte) (int, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if len(j.body)+len(p) > maxJournal {
-		return 0, errJournalFull
+	if len(j.body)+len(p) > maxAnswerBufferBytes {
+		return 0, errAnswerBufferFull
 	}
 	j.body = append(j.body, p...)
 	j.wakeAll()
@@ -64,21 +66,22 @@
 }
 
 // Flush does nothing: followers see each write.
-func (j *journal) Flush() {}
+func (j *answerBuffer) Flush() {}
 
-func (j *journal) wakeAll() {
+func (j *answerBuffer) wakeAll() {
 	close(j.wake)
 	j.wake = make(chan struct{})
 }
 
-func (j *journal) outcome() (status uint16, digest claim.Digest) {
+func (j *answerBuffer) outcome() (status uint16, digest claim.Digest) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return uint16(j.status), claim.DigestOf(j.body)
 }
 
-// part is what a follower sees at one time.
-type part struct {
+// bufferState is what a follower reads at one time: the body from its offset on,
+// and a channel that is closed at the next change.
+type bufferState struct {
 	status int
 	body   []byte
 	done   bool
@@ -86,15 +89,15 @@
 	wake   chan struct{}
 }
 
-func (j *journal) from(offset int) part {
+func (j *answerBuffer) from(offset int) bufferState {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return part{status: j.status, body: j.body[offset:], done: j.done, err: j.err, wake: j.wake}
+	return bufferState{status: j.status, body: j.body[offset:], done: j.done, err: j.err, wake: j.wake}
 }
 
-// follow passes the answer on to a caller up to its end. A caller that leaves
-// ends its own following only.
-func (j *journal) follow(x *Exchange) error {
+// follow relays the answer to a caller, up to its end. A caller that leaves
+// doesn't end the answer for others.
+func (j *answerBuffer) follow(x *Exchange) error {
 	r := newRelay(x, nil)
 	for offset := 0; ; {
 		p := j.from(offset)
@@ -104,15 +107,15 @@
 		if len(p.body) > 0 {
 			offset += len(p.body)
 			x.chunks++
-			if err := j.passPart(r, p.body); err != nil {
+			if err := j.relayPart(r, p.body); err != nil {
 				return err
 			}
 			continue
 		}
 		if p.done {
-			x.target = j.sent.target
+			x.target = j.ranAt.target
 			if !x.replayed {
-				x.atTarget = j.sent.took
+				x.targetTime = j.ranAt.took
 			}
 			return p.err
 		}
@@ -124,7 +127,7 @@
 	}
 }
 
-func (j *journal) head(r *relay, status int) {
+func (j *answerBuffer) head(r *relay, status int) {
 	own := r.x.W.Header()
 	for name, values := range j.header {
 		if own.Get(name) == "" {
@@ -134,44 +137,44 @@
 	r.head(status)
 }
 
-func (j *journal) passPart(r *relay, body []byte) error {
+func (j *answerBuffer) relayPart(r *relay, body []byte) error {
 	if err := r.write(body); err != nil {
 		return err
 	}
-	return r.gone(r.flush())
+	return r.callerGone(r.flush())
 }
 
-// journals keeps the answers of claimed requests while they run and for a while
-// after, within a bound of bytes.
-type journals struct {
+// answerBuffers holds the answers of claimed requests while they run and for
+// Bounds.AnswerTTL after, up to Bounds.MaxAnswerBytes of ended ones.
+type answerBuffers struct {
 	bounds Bounds
 	mu     sync.Mutex
-	byKey  map[claim.Key]*journal
-	ended  []*journal
+	byKey  map[claim.Key]*answerBuffer
+	ended  []*answerBuffer
 	bytes  int64
 }
 
-func newJournals(b Bounds) *journals {
-	return &journals{bounds: b, byKey: map[claim.Key]*journal{}}
+func newAnswerBuffers(b Bounds) *answerBuffers {
+	return &answerBuffers{bounds: b, byKey: map[claim.Key]*answerBuffer{}}
 }
 
-func (s *journals) find(k claim.Key) *journal {
+func (s *answerBuffers) find(k claim.Key) *answerBuffer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byKey[k]
 }
 
-func (s *journals) open(k claim.Key, print claim.Digest) *journal {
-	j := &journal{key: k, print: print, header: http.Header{}, wake: make(chan struct{})}
+func (s *answerBuffers) open(k claim.Key, digest claim.Digest) *answerBuffer {
+	j := &answerBuffer{key: k, requestDigest: digest, header: http.Header{}, wake: make(chan struct{})}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.byKey[k] = j
 	return j
 }
 
-// end closes a journal. Only a whole answer is kept: after a failure the claim's
-// owner is asked anew, whose word may have changed.
-func (s *journals) end(j *journal, err error, sent sentTo) {
+// end completes a buffer. Only a whole answer is kept: after a failure a resend
+// asks the claim's owner again, as its answer may have changed.
+func (s *answerBuffers) end(j *answerBuffer, err error, ran ranAt) {
 	s.mu.Lock()
 	if err != nil {
 		delete(s.byKey, j.key)
@@ -181,24 +184,24 @@
 	s.mu.Unlock()
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.done, j.err, j.sent = true, err, sent
+	j.done, j.err, j.ranAt = true, err, ran
 	j.wakeAll()
 }
 
-func (s *journals) keep(j *journal) {
+func (s *answerBuffers) keep(j *answerBuffer) {
 	s.ended = append(s.ended, j)
 	s.bytes += int64(len(j.body))
 	for s.bytes > s.bounds.MaxAnswerBytes {
-		s.drop(s.ended[0])
+		s.evict(s.ended[0])
 	}
 	time.AfterFunc(s.bounds.AnswerTTL, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.drop(j)
+		s.evict(j)
 	})
 }
 
-func (s *journals) drop(j *journal) {
+func (s *answerBuffers) evict(j *answerBuffer) {
 	for i := range s.ended {
 		if s.ended[i] != j {
 			continue
--- a/pipeline/attempts.go
+++ b/pipeline/attempts.go
@@ -13,11 +13,11 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// retryLater is when to come back where a target refused and gave no time.
-const retryLater = time.Second
+// defaultRetryAfter is the retry delay of refusals that have none of their own.
+const defaultRetryAfter = time.Second
 
-// Attempts sends a request until an answer was passed on, or no further attempt
-// may or can be made.
+// Attempts sends a request until an answer was relayed, or no further attempt is
+// allowed or possible.
 type Attempts struct {
 	deps    *Deps
 	view    func() *View
@@ -25,67 +25,68 @@
 	budgets *budgets
 	ids     *ids
 	forward *Forward
-	// moves bounds the streams that are being moved.
+	// moves is the semaphore of streams that are being moved.
 	moves chan struct{}
 }
 
-// attempt is one sending.
+// attempt is one attempt of a request at a target.
 type attempt struct {
 	route route.AttemptID
-	// id names this sending; sent is the name under which engines know it, which
-	// a moved stream keeps.
-	id, sent ports.AttemptID
-	decision route.Decision
-	target   *bundle.Target
-	alone    bool
-	query    *route.Request
-	tokens   int
-	// begun is when it was sent.
-	begun time.Time
+	// id names this attempt. engineID is its name at engines; a moved stream
+	// keeps that of the attempt it came from.
+	id, engineID ports.AttemptID
+	decision     route.Decision
+	target       *bundle.Target
+	alone        bool
+	query        *route.Request
+	tokens       int
+	// startedAt is when it was sent.
+	startedAt time.Time
 }
 
-// newAttempt names a sending of a request.
+// newAttempt returns an attempt of a request with ids of its own.
 func (f *Attempts) newAttempt(q *route.Request) *attempt {
 	a := &attempt{query: q}
 	a.route, a.id = f.ids.attempt()
-	a.sent = a.id
+	a.engineID = a.id
 	return a
 }
 
-// send makes one attempt and passes its answer on. It ends the attempt.
-type send func(x *Exchange, a *attempt) error
+// sendFunc makes one attempt and relays its answer. It ends the attempt.
+type sendFunc func(x *Exchange, a *attempt) error
 
-// Model is the end of the path of model requests.
+// Model sends model requests; it is the last handler of their path.
 func (f *Attempts) Model(x *Exchange) error { return f.run(x, f.sendModel) }
 
-// Plain is the end of the path of plain requests.
+// Plain sends plain requests; it is the last handler of their path.
 func (f *Attempts) Plain(x *Exchange) error { return f.run(x, f.sendPlain) }
 
-func (f *Attempts) run(x *Exchange, s send) error {
+func (f *Attempts) run(x *Exchange, s sendFunc) error {
 	ctx, cancel := context.WithDeadline(x.Ctx, x.Deadline)
 	defer cancel()
 	x.Ctx = ctx
 	q := x.routeRequest()
 	q.Forwarded = q.Forwarded || f.deps.Forwarder == nil
 	q.Tried = f.routing.Reserved()
-	f.budgets.request(x.Service.ID)
+	f.budgets.countFirstAttempt(x.Service.ID)
 	for {
 		switch f.suspicion(x) {
 		case ports.SuspectAlone:
-			return f.explain(x, f.runAlone(x, q, s))
+			return f.withCause(x, f.runAlone(x, q, s))
 		case ports.SuspectRefused:
-			return f.explain(x, refuseSuspect())
+			return f.withCause(x, refuseSuspect())
 		}
-		again, err := f.step(x, q, s)
-		if !again {
-			return f.explain(x, err)
+		retry, err := f.step(x, q, s)
+		if !retry {
+			return f.withCause(x, err)
 		}
 	}
 }
 
-// suspicion asks anew before each attempt: the one before may have taken its
-// target down, or a copy elsewhere may have. Asked at arrival only, a retry
-// would run beside others and take down their target as well.
+// suspicion returns whether the request is a suspect. It must be called before
+// each attempt: the one before, or a copy elsewhere, may have crashed its target.
+// If it were checked on arrival only, a retry would run beside other requests
+// and crash their target as well.
 func (f *Attempts) suspicion(x *Exchange) ports.Suspicion {
 	if f.deps.Suspects == nil {
 		return ports.SuspectNone
@@ -93,8 +94,8 @@
 	return f.deps.Suspects.Check(f.deps.Now(), x.Digest)
 }
 
-// step follows one decision; again says that another one is to be made.
-func (f *Attempts) step(x *Exchange, q *route.Request, s send) (again bool, err error) {
+// step carries out one routing decision; retry says that another one is needed.
+func (f *Attempts) step(x *Exchange, q *route.Request, s sendFunc) (retry bool, err error) {
 	if x.Ctx.Err() != nil {
 		return false, x.Ctx.Err()
 	}
@@ -108,22 +109,22 @@
 		q.Forwarded = true
 	case route.Hold:
 		if !f.routing.Hold(x.Ctx, a.decision.DecideAgain) {
-			return false, &verdict.Error{Code: CodeOverloaded, Message: "too many requests wait here", RetryAfter: retryLater}
+			return false, &verdict.Error{Code: CodeOverloaded, Message: "too many requests wait here", RetryAfter: defaultRetryAfter}
 		}
 		return true, nil
 	default:
-		return false, refusalBy(a.decision)
+		return false, refusalFor(a.decision)
 	}
-	again = err != nil && f.again(x, q, asError(err))
-	if again {
-		// A request that comes home after a failed spill was not sent away.
-		x.region = ""
+	retry = err != nil && f.mayRetry(x, q, asError(err))
+	if retry {
+		// A failed spill that is retried in this region doesn't count as spilled.
+		x.spillRegion = ""
 	}
-	return again, err
+	return retry, err
 }
 
-// attempt follows a Send decision.
-func (f *Attempts) attempt(x *Exchange, a *attempt, s send) error {
+// attempt carries out a Send decision.
+func (f *Attempts) attempt(x *Exchange, a *attempt, s sendFunc) error {
 	q := a.query
 	q.Tried = append(q.Tried, a.decision.Target)
 	if err := f.mayStart(x, a); err != nil {
@@ -132,16 +133,16 @@
 	}
 	f.start(x, a)
 	err := s(x, a)
-	x.raise(verdictOf(err))
+	x.joinVerdict(verdictOf(err))
 	if x.claim != nil && x.Verdict.Safe() {
-		x.claim.unsent()
+		x.claim.cancelSend()
 	}
 	return err
 }
 
-// mayStart checks a decision against the bundle in force now, which may have
-// changed since the request came: a target that is leaving by then, or was
-// given another region, gets nothing new, whatever routing still believes.
+// mayStart checks a decision against the bundle in force now, which may be newer
+// than the request: a target that has become leaving, or was moved to another
+// region, gets no new work, even if routing doesn't know that yet.
 func (f *Attempts) mayStart(x *Exchange, a *attempt) error {
 	view := f.view()
 	t := view.Target(a.decision.Target)
@@ -151,8 +152,8 @@
 	if t == nil || t.State == bundle.TargetLeaving || t.Region != view.Region {
 		return refuse(CodeNoTarget, "the target takes no new work")
 	}
-	if x.claim != nil && !x.claim.sending() {
-		return &verdict.Error{Code: CodeNoTarget, Message: "the claim came too late for sending", RetryAfter: retryLater}
+	if x.claim != nil && !x.claim.beginSend() {
+		return &verdict.Error{Code: CodeNoTarget, Message: "the claim came too late for sending", RetryAfter: defaultRetryAfter}
 	}
 	a.target = t
 	return nil
@@ -160,7 +161,7 @@
 
 func (f *Attempts) start(x *Exchange, a *attempt) {
 	f.deps.Metrics.Attempts.Inc(1)
-	a.begun = f.deps.Now()
+	a.startedAt = f.deps.Now()
 	if f.deps.Suspects != nil {
 		f.deps.Suspects.Started(f.deps.Now(), a.id, a.target.ID, x.Digest, a.alone)
 	}
@@ -171,19 +172,20 @@
 	outcome := outcomeOf(x, err)
 	f.routing.Ended(route.End{Attempt: a.route, Outcome: outcome, OutputTokens: a.tokens, CachedTokens: -1})
 	f.budgets.ended(x.Service.ID, outcome)
-	f.left(x, a, suspectEnd(x, err))
+	f.leftTarget(x, a, suspectEnd(x, err))
 }
 
-// left records that a sending is no longer at its target.
-func (f *Attempts) left(x *Exchange, a *attempt, e ports.AttemptEnd) {
+// leftTarget records that an attempt no longer runs at its target.
+func (f *Attempts) leftTarget(x *Exchange, a *attempt, e ports.AttemptEnd) {
 	now := f.deps.Now()
-	x.atTarget += now.Sub(a.begun)
+	x.targetTime += now.Sub(a.startedAt)
 	if f.deps.Suspects != nil {
 		f.deps.Suspects.Ended(now, a.id, e)
 	}
 }
 
-// suspectEnd tells a target that broke off by itself from every other failure.
+// suspectEnd classifies an attempt's end. The target crashed if it broke the
+// answer off before the request's deadline and its caller's leaving.
 func suspectEnd(x *Exchange, err error) ports.AttemptEnd {
 	switch {
 	case err == nil:
@@ -221,9 +223,10 @@
 	return route.Failed
 }
 
-// again reports whether the request may be sent once more.
-func (f *Attempts) again(x *Exchange, q *route.Request, e *verdict.Error) bool {
-	x.raise(e.Verdict)
+// mayRetry reports whether the request may be sent again. It pays for the retry
+// from the service's budget.
+func (f *Attempts) mayRetry(x *Exchange, q *route.Request, e *verdict.Error) bool {
+	x.joinVerdict(e.Verdict)
 	if x.headWritten || x.Ctx.Err() != nil || x.bodyUsed() {
 		return false
 	}
@@ -241,7 +244,7 @@
 	return true
 }
 
-// retryable reports whether another target could do better.
+// retryable reports whether another target could succeed after this failure.
 func retryable(c verdict.Code) bool {
 	switch c {
 	case ports.CodeInvalid, CodeCallerGone, CodeDeadline, CodeInternal:
@@ -250,8 +253,9 @@
 	return true
 }
 
-// explain names the cause of an end that came by the context.
-func (f *Attempts) explain(x *Exchange, err error) error {
+// withCause returns the final error of a request. If the deadline or the caller's
+// leaving ended it, the error says so.
+func (f *Attempts) withCause(x *Exchange, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -270,19 +274,19 @@
 	return verdict.New(v, CodeCallerGone, "the caller left")
 }
 
-// withRetryAfter says when to come back with what was refused unrun for want of
-// a target or of a region, neither of which lasts.
+// withRetryAfter adds a retry delay to refusals for lack of a target or of a
+// region, which are temporary.
 func withRetryAfter(e *verdict.Error) *verdict.Error {
-	passing := StatusOf(e.Code) == http.StatusServiceUnavailable || (e.Code == CodeRegionUnreached && e.Verdict.Safe())
-	if e.RetryAfter == 0 && passing {
+	temporary := StatusOf(e.Code) == http.StatusServiceUnavailable || (e.Code == CodeRegionUnreached && e.Verdict.Safe())
+	if e.RetryAfter == 0 && temporary {
 		c := *e
-		c.RetryAfter = retryLater
+		c.RetryAfter = defaultRetryAfter
 		return &c
 	}
 	return e
 }
 
-var refusals = map[route.Reason]string{
+var refusalMessages = map[route.Reason]string{
 	route.ReasonUnknownService: "no target of an allowed region serves this",
 	route.ReasonNoTarget:       "no target can take work now",
 	route.ReasonDeadline:       "no target is predicted to finish in time",
@@ -290,11 +294,11 @@
 	route.ReasonResidency:      "the allowed regions hold no target that serves this",
 }
 
-// refusalBy is the refusal that a decision gives.
-func refusalBy(d route.Decision) *verdict.Error {
+// refusalFor returns the refusal for a decision that sends the request nowhere.
+func refusalFor(d route.Decision) *verdict.Error {
 	code := verdict.Code(d.Reason)
 	if d.Reason == route.ReasonNone {
 		code = CodeOverloaded
 	}
-	return &verdict.Error{Code: code, Message: refusals[d.Reason], RetryAfter: d.RetryAfter}
+	return &verdict.Error{Code: code, Message: refusalMessages[d.Reason], RetryAfter: d.RetryAfter}
 }
--- a/pipeline/bench_test.go
+++ b/pipeline/bench_test.go
@@ -24,15 +24,15 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// The benchmarks run instance and engine as processes of their own, on
-// loopback, and measure the same client straight to the engine in the same run.
-// The instance has benchCores cores.
+// The benchmarks run instance and engine in processes of their own, on loopback.
+// In the same run they measure the same client directly at the engine. The
+// instance has benchCores cores.
 const (
 	benchRole  = "GULLHAVEN_BENCH_ROLE"
 	benchCores = 4
-	// longStream keeps streams open: its tokens come each minute.
-	longStream = "engine-slow"
-	// benchProfile names a file that the instance writes its CPU profile to.
+	// slowEngineRole keeps streams open: it sends one token a minute.
+	slowEngineRole = "engine-slow"
+	// benchProfile is the file that the instance writes its CPU profile to.
 	benchProfile = "GULLHAVEN_BENCH_CPUPROFILE"
 )
 
@@ -54,7 +54,7 @@
 	switch role {
 	case "engine":
 		h = standin.NewEngine(standin.EngineConfig{Slots: 1 << 16})
-	case longStream:
+	case slowEngineRole:
 		h = standin.NewEngine(standin.EngineConfig{Slots: 1 << 16, PerToken: time.Minute})
 	default:
 		runtime.GOMAXPROCS(benchCores)
@@ -70,7 +70,8 @@
 	_ = standin.Serve(ctx, l, mux)
 }
 
-// profile starts a CPU profile, if one is asked for, and returns its end.
+// profile starts a CPU profile if benchProfile is set, and returns the function
+// that stops it.
 func profile() func() {
 	name := os.Getenv(benchProfile)
 	if name == "" {
@@ -86,7 +87,8 @@
 	return func() { pprof.StopCPUProfile(); f.Close() }
 }
 
-// benchInstance is an instance whose only target is the engine at an address.
+// benchInstance returns the handler of an instance whose only target is the
+// engine at an address.
 func benchInstance(engine string) http.Handler {
 	t := &testing.B{}
 	r := newRig(t, withEngines(0, standin.EngineConfig{}))
@@ -98,7 +100,7 @@
 	return r.handler()
 }
 
-// usage is what a process has used.
+// usage is the resource usage of a process.
 type usage struct {
 	CPU time.Duration
 	// Bytes of heap and stacks in use, after a collection.
@@ -195,11 +197,11 @@
 	return resp
 }
 
-// prompt of about a thousand tokens.
+// benchPrompt has about a thousand tokens.
 var benchPrompt = strings.Repeat("wind at the ridge ", 220)
 
-// BenchmarkAddedFirstToken: one request at a time, straight and through the
-// instance in turn.
+// BenchmarkAddedFirstToken sends one request at a time, directly to the engine
+// and through the instance in turn.
 func BenchmarkAddedFirstToken(b *testing.B) {
 	engine, instance := startBoth(b, "engine")
 	body := chat(benchPrompt, true, 4)
@@ -221,10 +223,10 @@
 	}
 }
 
-// BenchmarkThroughput: 64 callers at once, answers of one token.
+// BenchmarkThroughput has 64 concurrent callers and answers of one token.
 func BenchmarkThroughput(b *testing.B) { measureLoad(b, chat(benchPrompt, true, 1), 1) }
 
-// BenchmarkTokens: 64 callers at once, answers of 200 tokens.
+// BenchmarkTokens has 64 concurrent callers and answers of 200 tokens.
 func BenchmarkTokens(b *testing.B) { measureLoad(b, chat("p", true, 200), 200) }
 
 func measureLoad(b *testing.B, body string, tokens int) {
@@ -268,7 +270,7 @@
 	wait.Wait()
 }
 
-// BenchmarkAddedPerToken: one stream, straight and through.
+// BenchmarkAddedPerToken reads one stream, directly and through the instance.
 func BenchmarkAddedPerToken(b *testing.B) {
 	engine, instance := startBoth(b, "engine")
 	const tokens = 20000
@@ -285,28 +287,29 @@
 	b.ReportMetric(float64(through-straight)/n, "added-ns/token")
 }
 
-// BenchmarkOpenStreams: memory of the instance for each stream that is open and
-// idle after its first token.
+// BenchmarkOpenStreams measures the instance's memory for each stream that is
+// open and idle after its first token.
 func BenchmarkOpenStreams(b *testing.B) { measureOpen(b, chat("p", true, 100)) }
 
-// BenchmarkOpenLongPrompts: the same with prompts of about four thousand tokens.
+// BenchmarkOpenLongPrompts does the same with prompts of about four thousand
+// tokens.
 func BenchmarkOpenLongPrompts(b *testing.B) {
 	measureOpen(b, chat(strings.Repeat(benchPrompt, 4), true, 100))
 }
 
 func measureOpen(b *testing.B, body string) {
 	const streams = 2000
-	_, instance := startBoth(b, longStream)
+	_, instance := startBoth(b, slowEngineRole)
 	for b.Loop() {
 		before := readUsage(b, instance)
-		var open64 []*http.Response
+		var responses []*http.Response
 		for range streams {
 			resp := open(b, instance, body)
 			_, _ = resp.Body.Read(make([]byte, 1))
-			open64 = append(open64, resp)
+			responses = append(responses, resp)
 		}
 		after := readUsage(b, instance)
-		for _, r := range open64 {
+		for _, r := range responses {
 			r.Body.Close()
 		}
 		b.ReportMetric(float64(after.Bytes-before.Bytes)/streams, "bytes/stream")
--- a/pipeline/body.go
+++ b/pipeline/body.go
@@ -12,10 +12,10 @@
 	"github.com/gullhaven/gullhaven/metrics"
 )
 
-// firstRead is the room made for a body of unknown length.
-const firstRead = 4 << 10
+// initialReadBytes is the first buffer size for a body of unknown length.
+const initialReadBytes = 4 << 10
 
-// ReadBody reads the whole body within a bound of size and time.
+// ReadBody reads the whole body, within the bounds of size and time.
 type ReadBody struct {
 	bounds  Bounds
 	metrics *metrics.Set
@@ -32,10 +32,10 @@
 	return next(x)
 }
 
-// formType is what curl says of every body it is not told the type of.
+// formType is the content type that curl sends by default.
 const formType = "application/x-www-form-urlencoded"
 
-// checkContentType takes JSON, nothing said, and what curl says by default.
+// checkContentType accepts JSON, a missing content type, and curl's default.
 func checkContentType(r *http.Request) error {
 	given := r.Header.Get("Content-Type")
 	if given == "" || given == "application/json" {
@@ -71,7 +71,7 @@
 var errTooLarge = errors.New("body too large")
 
 func readBounded(r io.Reader, length, limit int64) ([]byte, error) {
-	room := int64(firstRead)
+	room := int64(initialReadBytes)
 	if length >= 0 {
 		room = length + 1
 	}
@@ -108,12 +108,12 @@
 	return &verdict.Error{Code: CodeBodyTruncated, Message: "the body ended early", Err: err}
 }
 
-// ReadOnceBody reads the body of a plain request that runs at most once, so
-// that its resends can be told from other requests under the same key. Other
-// plain bodies are streamed.
+// ReadPlainBody reads the body of a plain request that runs at most once, so
+// that a resend can be told from another request with the same key. Bodies of
+// other plain requests are streamed.
 type ReadPlainBody struct{ body ReadBody }
 
-// Serve fills x.Body where the request runs at most once.
+// Serve fills x.Digest, and x.Body where the request runs at most once.
 func (f *ReadPlainBody) Serve(x *Exchange, next Handler) error {
 	if x.Once {
 		if err := f.body.read(x); err != nil {
--- a/pipeline/budget.go
+++ b/pipeline/budget.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// retriesPerSecond may be made without successes, for each service.
-	retriesPerSecond = 1
+	// minRetriesPerSecond is allowed to each service even without successes.
+	minRetriesPerSecond = 1
 	// budgetWindow is the time constant of a budget.
 	budgetWindow = 10 * time.Second
-	// hedgeShare bounds hedges to requests.
+	// hedgeShare bounds hedges to this fraction of requests.
 	hedgeShare = 0.05
 )
 
-// budgets bounds retries and hedges of each service at this instance. It is the
-// only layer that retries: neither clients nor transports below do.
+// budgets bounds the retries and hedges of each service at this instance. No
+// client or transport below retries by itself.
 type budgets struct {
 	now       func() time.Time
 	mu        sync.Mutex
@@ -36,10 +36,11 @@
 }
 
 func budgetConfig(ratio float64) retry.BudgetConfig {
-	return retry.BudgetConfig{Ratio: ratio, MinPerSecond: retriesPerSecond, Window: budgetWindow}
+	return retry.BudgetConfig{Ratio: ratio, MinPerSecond: minRetriesPerSecond, Window: budgetWindow}
 }
 
-// setRatio takes the bundle's share of retries; a new share starts budgets anew.
+// setRatio sets the bundle's ratio of retries to requests. A new ratio resets all
+// budgets.
 func (b *budgets) setRatio(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,8 +50,8 @@
 	}
 }
 
-// of must be called with the lock held.
-func (b *budgets) of(service string) *serviceBudget {
+// forService returns the budget of a service. b.mu must be held.
+func (b *budgets) forService(service string) *serviceBudget {
 	s, ok := b.byService[service]
 	if !ok {
 		budget := retry.NewBudget(b.now(), budgetConfig(b.ratio))
@@ -60,37 +61,39 @@
 	return s
 }
 
-// request counts a first sending.
-func (b *budgets) request(service string) {
+// countFirstAttempt counts the first attempt of a request.
+func (b *budgets) countFirstAttempt(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).gate.Request()
+	b.forService(service).gate.Request()
 }
 
-// ended counts how an attempt ended; one that this side gave up says nothing.
+// ended counts the success or failure of an attempt. A cancelled one counts as
+// neither.
 func (b *budgets) ended(service string, o route.Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch o {
 	case route.Succeeded:
-		b.of(service).budget.Succeeded(b.now())
+		b.forService(service).budget.Succeeded(b.now())
 	case route.Failed, route.Unreached, route.Rejected:
-		b.of(service).budget.Failed(b.now())
+		b.forService(service).budget.Failed(b.now())
 	}
 }
 
-// retry pays for a retry, if there is enough.
+// retry pays for a retry. It reports false if the budget is used up.
 func (b *budgets) retry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).budget.TrySpend(b.now())
+	return b.forService(service).budget.TrySpend(b.now())
 }
 
-// hedge pays for a hedge that is predicted to finish at finish.
+// hedge pays for a hedge that is predicted to end at finish. It reports false if
+// the hedge isn't allowed.
 func (b *budgets) hedge(x *Exchange, finish time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(x.Service.ID).gate.Allow(b.now(), retry.Attempt{
+	return b.forService(x.Service.ID).gate.Allow(b.now(), retry.Attempt{
 		Idempotent: !x.Once,
 		FirstToken: x.headWritten,
 		Deadline:   x.Deadline,
--- a/pipeline/chain.go
+++ b/pipeline/chain.go
@@ -1,16 +1,16 @@
 package pipeline
 
-// Handler takes a request to its end. Its error is a *verdict.Error that was
-// not told to the caller yet.
+// Handler processes a request to its end. It returns an error that was not sent
+// to the caller yet, as a rule a *verdict.Error.
 type Handler func(x *Exchange) error
 
-// Filter is one step on the path of a request. It refuses by an error, or calls
-// next.
+// Filter is one step on the path of a request. It refuses the request by
+// returning an error, or calls next.
 type Filter interface {
 	Serve(x *Exchange, next Handler) error
 }
 
-// chain joins filters, first to last, before a handler.
+// chain puts filters, first to last, before a handler.
 func chain(end Handler, filters ...Filter) Handler {
 	for i := len(filters) - 1; i >= 0; i-- {
 		f, next := filters[i], end
--- a/pipeline/claiming.go
+++ b/pipeline/claiming.go
@@ -12,18 +12,18 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// joinRetry is when to ask again for a request that runs at another instance.
-const joinRetry = time.Second
+// joinRetryAfter is the retry delay for a request that runs at another instance.
+const joinRetryAfter = time.Second
 
-// Claiming lets work that may run at most once through only under a claim,
-// which is durable before anything is sent (package coord/claim). A resend gets
-// the kept answer of this instance, joins the running attempt, or is told the
-// recorded outcome. It is never sent a second time.
+// Claiming lets a request that may run at most once through only under a claim,
+// which is durable before anything is sent to a target (package coord/claim). A
+// resend gets the answer buffered at this instance, joins the running attempt,
+// or gets the recorded outcome. It is never sent to a target a second time.
 type Claiming struct {
 	deps     *Deps
 	flight   *inFlight
 	forward  *Forward
-	journals *journals
+	buffers  *answerBuffers
 	recorder *recorder
 	recent   *recentEnds
 }
@@ -33,60 +33,63 @@
 		deps:     d,
 		flight:   flight,
 		forward:  forward,
-		journals: newJournals(d.Bounds),
+		buffers:  newAnswerBuffers(d.Bounds),
 		recorder: newRecorder(d.Claims, d.Metrics),
 		recent:   newRecentEnds(),
 	}
 }
 
-// Run records the ends of claims until ctx ends.
+// Run records how claimed requests ended, until ctx ends.
 func (f *Claiming) Run(ctx context.Context) { f.recorder.run(ctx) }
 
-// claimed is a granted claim of an exchange.
+// claimed is the claim of a request.
 type claimed struct {
-	gate *claim.Gate
-	home string
-	// sent says that a target may have seen the request.
+	gate   *claim.Gate
+	region string
+	// sent says that a target may have received the request.
 	sent bool
 }
 
-// sending asks the gate right before a send.
-func (c *claimed) sending() bool {
+// beginSend must be called right before each attempt. It reports whether the
+// claim still allows to send.
+func (c *claimed) beginSend() bool {
 	c.sent = c.gate.Sending()
 	return c.sent
 }
 
-// unsent takes a send back that certainly reached no target.
-func (c *claimed) unsent() {
+// cancelSend undoes beginSend. It may be called only where the attempt certainly
+// ran at no target.
+func (c *claimed) cancelSend() {
 	c.gate.Unsent()
 	c.sent = false
 }
 
-// Serve claims the key of work that runs at most once.
+// Serve claims the key of a request that runs at most once.
 func (f *Claiming) Serve(x *Exchange, next Handler) error {
 	if !x.Once {
 		return next(x)
 	}
 	if f.deps.Claims == nil {
-		return &verdict.Error{Code: claim.CodeUnavailable, Message: "no claims are kept here", RetryAfter: joinRetry}
+		return &verdict.Error{Code: claim.CodeUnavailable, Message: "no claims are kept here", RetryAfter: joinRetryAfter}
 	}
-	print := fingerprint(x)
-	if j := f.journals.find(x.keyOf()); j != nil {
-		return f.join(x, j, print)
+	digest := requestDigest(x)
+	if j := f.buffers.find(x.claimKey()); j != nil {
+		return f.join(x, j, digest)
 	}
-	return f.claim(x, print, next)
+	return f.claim(x, digest, next)
 }
 
-// fingerprint covers what a resend must have in common with the first sending.
-func fingerprint(x *Exchange) claim.Digest {
+// requestDigest covers what a resend must have in common with the first request
+// of its key.
+func requestDigest(x *Exchange) claim.Digest {
 	if x.Request == nil {
 		return claim.DigestOf(x.Digest[:])
 	}
 	return claim.DigestOf(append([]byte{byte(x.Kind)}, x.Body...))
 }
 
-func (f *Claiming) join(x *Exchange, j *journal, print claim.Digest) error {
-	if j.print != print {
+func (f *Claiming) join(x *Exchange, j *answerBuffer, digest claim.Digest) error {
+	if j.requestDigest != digest {
 		x.PriorVerdict = verdict.NotRun
 		return refuse(claim.CodeConflict, "the idempotency key was used with another body")
 	}
@@ -95,28 +98,29 @@
 	return j.follow(x)
 }
 
-// claim drives a Gate until it lets the request through or refuses it.
-func (f *Claiming) claim(x *Exchange, print claim.Digest, next Handler) error {
+// claim follows the steps of a claim.Gate until it lets the request through or
+// refuses it.
+func (f *Claiming) claim(x *Exchange, digest claim.Digest, next Handler) error {
 	ctx, cancel := context.WithDeadline(x.Ctx, x.Deadline)
 	defer cancel()
-	c := &claimed{home: x.View.ClaimsHome(x.Workspace)}
-	gate, step := claim.Open(x.Arrival, f.request(x, print))
+	c := &claimed{region: x.View.ClaimsHome(x.Workspace)}
+	gate, step := claim.Open(x.Arrival, f.request(x, digest))
 	c.gate = gate
 	for {
 		switch step.Action {
 		case claim.Ask:
-			step = f.ask(ctx, c, step)
+			step = f.propose(ctx, c, step)
 		case claim.Send:
-			return f.start(x, c, print, next)
+			return f.start(x, c, digest, next)
 		case claim.Join:
-			return f.joinOwner(x, step, print)
+			return f.joinRunning(x, step, digest)
 		case claim.Replay:
 			x.PriorVerdict = verdict.NotRun
-			return recorded(step.Done)
+			return recordedOutcome(step.Done)
 		case claim.Refuse:
-			// The gate's word covers the earlier sendings of the key as well.
+			// The gate's verdict covers the earlier requests of the key as well.
 			x.PriorVerdict = verdict.NotRun
-			f.recorder.push(c.home, step.Command)
+			f.recorder.push(c.region, step.Command)
 			return step.Err
 		default:
 			return verdict.New(verdict.MayHaveRun, CodeInternal, "the claim came to no end")
@@ -124,10 +128,10 @@
 	}
 }
 
-func (f *Claiming) request(x *Exchange, print claim.Digest) claim.Request {
+func (f *Claiming) request(x *Exchange, digest claim.Digest) claim.Request {
 	r := claim.Request{
-		Key:      x.keyOf(),
-		Body:     print,
+		Key:      x.claimKey(),
+		Body:     digest,
 		Instance: f.deps.Instance,
 		Sending:  x.Terms.Mark,
 		Lifetime: time.Duration(x.View.Bundle.Rules.ClaimLifetimeSeconds) * time.Second,
@@ -136,8 +140,8 @@
 	return r
 }
 
-// ask proposes the claim at its time.
-func (f *Claiming) ask(ctx context.Context, c *claimed, step claim.Step) claim.Step {
+// propose proposes the claim when it is due, and returns the gate's next step.
+func (f *Claiming) propose(ctx context.Context, c *claimed, step claim.Step) claim.Step {
 	if wait := step.At.Sub(f.deps.Now()); wait > 0 {
 		t := time.NewTimer(wait)
 		defer t.Stop()
@@ -147,9 +151,9 @@
 			return c.gate.GiveUp(f.deps.Now(), CodeDeadline, "the request ended before its claim")
 		}
 	}
-	asking, cancel := context.WithTimeout(ctx, claim.ClaimWait)
+	proposeCtx, cancel := context.WithTimeout(ctx, claim.ClaimWait)
 	defer cancel()
-	res, err := f.deps.Claims.Propose(asking, c.home, *step.Command)
+	res, err := f.deps.Claims.Propose(proposeCtx, c.region, *step.Command)
 	now := f.deps.Now()
 	switch {
 	case err == nil:
@@ -162,30 +166,30 @@
 	return c.gate.Failed(now, claim.ReplyLost)
 }
 
-// joinOwner joins the running attempt, at this instance or at its owner in the
-// region. If that fails the caller is told that it runs; it is not run here.
-func (f *Claiming) joinOwner(x *Exchange, step claim.Step, print claim.Digest) error {
+// joinRunning joins the running attempt, at this instance or at the instance of
+// the region that owns it. If that fails, it refuses the request as running.
+func (f *Claiming) joinRunning(x *Exchange, step claim.Step, digest claim.Digest) error {
 	if step.Owner == f.deps.Instance {
-		if j := f.journals.find(x.keyOf()); j != nil {
-			return f.join(x, j, print)
+		if j := f.buffers.find(x.claimKey()); j != nil {
+			return f.join(x, j, digest)
 		}
-		if done, ok := f.recent.find(x.keyOf(), step.Attempt); ok {
+		if done, ok := f.recent.find(x.claimKey(), step.Attempt); ok {
 			x.PriorVerdict = verdict.NotRun
-			return recorded(done)
+			return recordedOutcome(done)
 		}
 	}
 	if joined, err := f.forward.join(x, step.Owner.ID); joined {
 		return err
 	}
 	e := *step.Err
-	e.Code, e.RetryAfter = CodeAlreadyRunning, joinRetry
+	e.Code, e.RetryAfter = CodeAlreadyRunning, joinRetryAfter
 	e.Message = "the request is running at instance " + step.Owner.ID
 	return &e
 }
 
-// recorded is the answer to a resend whose request has ended, and whose answer
-// is not kept here.
-func recorded(done claim.Result) error {
+// recordedOutcome returns the refusal of a resend whose request has ended and
+// whose answer is not buffered here.
+func recordedOutcome(done claim.Result) error {
 	if done.Verdict != verdict.Ran {
 		return verdict.New(done.Verdict, claim.CodeMayHaveRun, "an earlier sending may have run")
 	}
@@ -193,17 +197,17 @@
 		fmt.Sprintf("the request ran; its answer had status %d and digest %x", done.Status, done.Answer[:]))
 }
 
-// start runs the request apart from its caller, who follows the journal. A
-// caller that leaves thus cancels nothing that can't be sent again, and a resend
-// can join.
-func (f *Claiming) start(x *Exchange, c *claimed, print claim.Digest, next Handler) error {
-	// The grant proves that no earlier sending holds the key.
+// start runs the request in a goroutine of its own, with an answer buffer that
+// the caller follows. So a caller that leaves does not cancel work that can't be
+// sent again, and a resend can join.
+func (f *Claiming) start(x *Exchange, c *claimed, digest claim.Digest, next Handler) error {
+	// The grant proves that no earlier request holds the key.
 	x.PriorVerdict = verdict.NotRun
-	j := f.journals.open(x.keyOf(), print)
+	j := f.buffers.open(x.claimKey(), digest)
 	y := *x
 	y.W, y.claim = j, c
 	y.Ctx = context.WithoutCancel(x.Ctx)
-	x.Body = nil // y sends it
+	x.Body = nil // y holds it
 	f.flight.n.Add(1)
 	go func() {
 		defer f.flight.n.Add(-1)
@@ -212,7 +216,7 @@
 	return j.follow(x)
 }
 
-func (f *Claiming) run(y *Exchange, j *journal, next Handler) {
+func (f *Claiming) run(y *Exchange, j *answerBuffer, next Handler) {
 	err := next(y)
 	now := f.deps.Now()
 	var step claim.Step
@@ -229,9 +233,9 @@
 		step = y.claim.gate.Finished(now, y.Verdict, status, digest)
 	}
 	if err != nil {
-		// Before followers hear of the end, as they may come again at once.
+		// Before followers learn of the end, as their resends may come at once.
 		f.recent.add(step.Command)
 	}
-	f.recorder.push(y.claim.home, step.Command)
-	f.journals.end(j, err, sentTo{target: y.target, took: y.atTarget})
+	f.recorder.push(y.claim.region, step.Command)
+	f.buffers.end(j, err, ranAt{target: y.target, took: y.targetTime})
 }
--- a/pipeline/codes.go
+++ b/pipeline/codes.go
@@ -40,7 +40,7 @@
 	CodeUnknownMethod          verdict.Code = "unknown_method"
 )
 
-// statuses maps codes to HTTP statuses; a code that is missing is a 502.
+// statuses maps codes to HTTP statuses; other codes are answered with 502.
 var statuses = map[verdict.Code]int{
 	CodeHopNotAllowed:          http.StatusBadRequest,
 	CodeLoop:                   http.StatusLoopDetected,
@@ -84,10 +84,10 @@
 	verdict.Code(route.ReasonResidency):      http.StatusMisdirectedRequest,
 }
 
-// statusCallerGone is never seen by its caller; it stands in counters.
+// statusCallerGone is for counters only, as the caller has left.
 const statusCallerGone = 499
 
-// StatusOf returns the HTTP status that goes with a code.
+// StatusOf returns the HTTP status of a code.
 func StatusOf(c verdict.Code) int {
 	if s, ok := statuses[c]; ok {
 		return s
@@ -95,7 +95,7 @@
 	return http.StatusBadGateway
 }
 
-// refuse makes a refusal of a request that was not run.
+// refuse returns the refusal of a request that was not run.
 func refuse(c verdict.Code, message string) *verdict.Error {
 	return verdict.New(verdict.NotRun, c, message)
 }
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -14,97 +14,98 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// Kind tells what a request asks for.
+// Kind is the kind of a request.
 type Kind uint8
 
-// Kinds of requests.
+// Kinds of requests: chat completions, text completions, plain services.
 const (
 	KindChat Kind = iota
 	KindText
 	KindPlain
 )
 
-// Exchange is one request on its way through the filters, with what they found.
+// Exchange is one request and what the filters found out about it.
 type Exchange struct {
-	// Ctx ends with the caller, and with the deadline once that is known.
+	// Ctx ends when the caller leaves, and from Attempts on also at the deadline.
 	Ctx context.Context
 	W   http.ResponseWriter
 	R   *http.Request
-	// ID is told to the caller; Number is unique within the process.
+	// ID is returned to the caller; Number is unique within the process.
 	ID      string
 	Number  uint64
 	Kind    Kind
 	Arrival time.Time
 	// View is the bundle in force at arrival.
 	View *View
-	// Peer is the instance that passed the request on; empty for a caller.
+	// Peer is the instance that forwarded the request; empty for a caller's own.
 	Peer string
-	// Hops are the instances passed before this one.
+	// Hops are the instances that forwarded the request, first to last.
 	Hops hop.Path
 
 	Workspace *bundle.Workspace
 	Service   *bundle.Service
 	Adapter   string
 	Terms     Terms
-	// Deadline and FirstTokenBy are absolute; FirstTokenBy may be zero.
+	// Deadline and FirstTokenBy are points in time; FirstTokenBy may be zero.
 	Deadline, FirstTokenBy time.Time
-	// Regions that may serve it; empty means any.
+	// Regions that may serve the request; empty means any.
 	Regions []string
 
-	// Body is the whole body, where it is read whole.
+	// Body is the request body; nil where it is streamed.
 	Body []byte
 	// Request is nil for plain services.
 	Request *openai.Request
 	Prefix  []uint64
-	// Digest recognises the same work under other ids.
+	// Digest is the same for the same work under another request id.
 	Digest ports.Digest
-	// Once marks work that may run at most once.
+	// Once marks a request that may run at most once.
 	Once bool
 
-	// Floor is the verdict that earlier sendings of the key may have reached,
-	// as far as is known here.
+	// PriorVerdict is the verdict that earlier requests with the same
+	// idempotency key may have reached, as far as is known here.
 	PriorVerdict verdict.Verdict
 	// Verdict is joined over this instance's own attempts.
 	Verdict verdict.Verdict
 
-	// claim guards the sending of work that runs at most once.
+	// claim is held by a request that runs at most once.
 	claim *claimed
 
-	// stream is the caller's body where it is passed on as it comes.
-	stream *countedBody
+	// bodyStream is the caller's body where it is streamed to the target.
+	bodyStream *trackedBody
 
-	// Passed on to the caller so far.
+	// What was relayed to the caller so far, and from where.
 	headWritten bool
 	firstByte   time.Time
-	// atTarget is the time of this instance's own sendings, summed.
-	atTarget time.Duration
-	chunks   int
-	region   string
-	target   route.TargetID
-	replayed bool
+	// targetTime is the time of this instance's own attempts, summed.
+	targetTime  time.Duration
+	chunks      int
+	spillRegion string
+	target      route.TargetID
+	replayed    bool
 }
 
-// raise joins the verdict of an attempt.
-func (x *Exchange) raise(v verdict.Verdict) { x.Verdict = x.Verdict.Join(v) }
+// joinVerdict joins the verdict of an attempt with those before.
+func (x *Exchange) joinVerdict(v verdict.Verdict) { x.Verdict = x.Verdict.Join(v) }
 
-// final is an error as the caller is told it.
-func (x *Exchange) final(e *verdict.Error) *verdict.Error {
+// finalError returns the error as the caller receives it, with the verdict of
+// all attempts and of earlier requests with its key.
+func (x *Exchange) finalError(e *verdict.Error) *verdict.Error {
 	return e.Raise(x.Verdict.Join(x.PriorVerdict))
 }
 
-// letGo drops what only another sending would need. It is called when the answer
-// to the caller has begun, for a stream may be open for long after that.
-func (x *Exchange) letGo() {
+// releaseBody drops what only another attempt would need. It is called when the
+// answer to the caller has begun, as a stream may stay open for long after that.
+func (x *Exchange) releaseBody() {
 	x.Body = nil
 	if x.Request != nil {
 		x.Request.Prompt = nil
 	}
 }
 
-// streamed reports whether the answer goes out as events.
+// streamed reports whether the answer is sent as server-sent events.
 func (x *Exchange) streamed() bool { return x.Request != nil && x.Request.Stream }
 
-// routeRequest is the request as routing takes it.
+// routeRequest returns the request as routing takes it.
 func (x *Exchange) routeRequest() *route.Request {
 	r := &route.Request{
 		ID:           x.Number,
@@ -122,7 +123,7 @@
 		Forwarded:    x.Hops.Crossed(x.View.Region),
 	}
 	if x.Once {
-		// Its claim was granted to this instance and lets nobody else send.
+		// The claim was granted to this instance; no other may send the request.
 		r.Regions = []string{x.View.Region}
 	}
 	if x.Request != nil {
@@ -132,7 +133,7 @@
 	return r
 }
 
-// keyOf is the claim's key of the exchange.
-func (x *Exchange) keyOf() claim.Key {
+// claimKey returns the key under which the request is claimed.
+func (x *Exchange) claimKey() claim.Key {
 	return claim.KeyOf(x.Workspace.ID, x.Service.ID+"\x00"+x.Terms.IdempotencyKey)
 }
--- a/pipeline/finish.go
+++ b/pipeline/finish.go
@@ -9,36 +9,37 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// Outcome is what an Observer is told of a request.
+// Outcome describes a request that has ended.
 type Outcome struct {
 	ID        string
 	Workspace string
-	// Service is empty if it was not found out.
+	// Service is empty if the request ended before it was known.
 	Service string
 	Arrival time.Time
 	// FirstByte is the time from arrival to the first byte of the answer; 0 if
-	// there was none. Took is the time to the end.
+	// there was none. Took is the time from arrival to the end.
 	FirstByte, Took time.Duration
-	// AtTarget is the time from sending to end, summed over all sendings of this
-	// instance, hedges and moves included; 0 if nothing was sent.
+	// TargetTime is the time from start to end, summed over all attempts of this
+	// instance, hedges and moves included; 0 if there was none.
 	TargetTime time.Duration
-	// Chunks passed on.
+	// Chunks is the number of chunks relayed to the caller.
 	Chunks  int
 	Verdict verdict.Verdict
 	// Code is empty for a whole answer.
 	Code verdict.Code
-	// Target is empty if nothing was sent; Region is where it was spilled to.
+	// Target is empty if nothing was sent to one. SpillRegion is the region that
+	// the request was spilled to, if any.
 	Target      route.TargetID
 	SpillRegion string
-	// Peer is the instance that passed the request on; empty for a caller's own.
+	// Peer is the instance that forwarded the request; empty for a caller's own.
 	Peer string
-	// Kept says that the answer was whole, in time, and within the objective of
-	// its service.
+	// MetObjective says that the answer was whole, in time, and within the
+	// objective of its service.
 	MetObjective bool
 }
 
-// Counted reports whether the request says something of the service: one that
-// failed by its caller's own doing does not.
+// CountsForObjective reports whether the request counts for or against its
+// service's objective. One that failed by its caller's own fault does not.
 func (o Outcome) CountsForObjective() bool {
 	if o.Code == "" {
 		return true
@@ -47,31 +48,32 @@
 	return status < http.StatusBadRequest || status >= http.StatusInternalServerError
 }
 
-// Observer is told of each request's end. It must not block.
+// Observer receives the outcome of each request. Observe must not block.
 type Observer interface {
 	Observe(o Outcome)
 }
 
-// Finish tells the caller a refusal, and counts each request's end.
+// Finish sends refusals and failures to the caller, and counts and reports each
+// request's end.
 type Finish struct{ deps *Deps }
 
-// Serve runs the request and ends it.
+// Serve runs the request and finishes it. It always returns nil.
 func (f *Finish) Serve(x *Exchange, next Handler) error {
 	f.deps.Metrics.Requests.Inc(1)
 	err := next(x)
 	if err == nil {
-		f.whole(x)
+		f.succeeded(x)
 		return nil
 	}
-	e := x.final(asError(err))
+	e := x.finalError(asError(err))
 	f.count(e)
 	f.observe(x, e)
-	f.tell(x, e)
+	f.respond(x, e)
 	return nil
 }
 
-// asError takes any error as one with a verdict. One without is a fault of
-// ours, and says nothing of what ran.
+// asError returns err as a *verdict.Error. An error without a verdict is an
+// internal fault, after which the request may have run.
 func asError(err error) *verdict.Error {
 	var e *verdict.Error
 	if errors.As(err, &e) {
@@ -80,7 +82,7 @@
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Code: CodeInternal, Message: "internal error", Err: err}
 }
 
-func (f *Finish) tell(x *Exchange, e *verdict.Error) {
+func (f *Finish) respond(x *Exchange, e *verdict.Error) {
 	if !x.headWritten {
 		WriteRefusal(x.W, e)
 		return
@@ -91,12 +93,12 @@
 		_ = http.NewResponseController(x.W).Flush()
 		return
 	}
-	// An answer of known form that broke off can only be told from a whole one
-	// by a broken connection.
+	// Only a broken connection tells the caller that an answer whose head was
+	// sent is not whole.
 	panic(http.ErrAbortHandler)
 }
 
-func (f *Finish) whole(x *Exchange) {
+func (f *Finish) succeeded(x *Exchange) {
 	f.deps.Metrics.Answered.Inc(1)
 	if x.replayed {
 		f.deps.Metrics.Replayed.Inc(1)
@@ -125,10 +127,10 @@
 		Arrival:     x.Arrival,
 		Took:        now.Sub(x.Arrival),
 		Chunks:      x.chunks,
-		TargetTime:  x.atTarget,
+		TargetTime:  x.targetTime,
 		Verdict:     verdict.Ran,
 		Target:      x.target,
-		SpillRegion: x.region,
+		SpillRegion: x.spillRegion,
 		Peer:        x.Peer,
 	}
 	if !x.firstByte.IsZero() {
@@ -147,20 +149,21 @@
 	if x.Service != nil {
 		o.Service = x.Service.ID
 	}
-	o.MetObjective = e == nil && x.inTime(now) && x.keptObjective(o)
+	o.MetObjective = e == nil && x.inTime(now) && x.metObjective(o)
 	if f.deps.Observer != nil {
 		f.deps.Observer.Observe(o)
 	}
 }
 
-// inTime reports whether an answer that ended now kept what its request asked.
+// inTime reports whether an answer that ended at now met the deadline and the
+// first-token time of its request.
 func (x *Exchange) inTime(now time.Time) bool {
 	return !now.After(x.Deadline) && (x.FirstTokenBy.IsZero() || !x.firstByte.After(x.FirstTokenBy))
 }
 
-// keptObjective compares an answer with its service's objective: the first byte
-// by itself, the time between chunks by its mean.
-func (x *Exchange) keptObjective(o Outcome) bool {
+// metObjective reports whether an answer met its service's objective for the
+// time to the first byte and for the mean time between chunks.
+func (x *Exchange) metObjective(o Outcome) bool {
 	objective := x.Service.Objective
 	if first := objective.FirstTokenMillis; first > 0 && o.FirstByte > millis(first) {
 		return false
--- a/pipeline/forward.go
+++ b/pipeline/forward.go
@@ -15,44 +15,44 @@
 	"github.com/gullhaven/gullhaven/ports/answer"
 )
 
-// maxRefusalBytes bounds another instance's refusal.
+// maxRefusalBytes bounds the body of another instance's refusal.
 const maxRefusalBytes = 64 << 10
 
-// Forward passes a request on to another region and relays the answer.
+// Forward forwards a request to another instance and relays the answer.
 type Forward struct {
 	deps *Deps
-	at   hop.Station
+	self hop.Station
 }
 
-// send passes the request on. The other instance checks the hops by itself;
-// they are checked here as well, so that a wrong decision does not even leave.
+// send forwards the request to another region. The other instance checks the
+// hops; they are checked here as well, so that a wrong decision sends nothing.
 func (f *Forward) send(x *Exchange, region string) error {
-	if x.Once || x.Hops.Crossed(f.at.Region) || !mayTouch(x.Regions, region) || region == f.at.Region {
+	if x.Once || x.Hops.Crossed(f.self.Region) || !regionAllowed(x.Regions, region) || region == f.self.Region {
 		return refuse(CodeLoop, "the request may not go to another region")
 	}
 	f.deps.Metrics.Spilled.Inc(1)
-	x.region = region
+	x.spillRegion = region
 	got, err := f.deps.Forwarder.Forward(x.Ctx, f.request(x, region, ""))
 	if err != nil {
 		e := *asError(err)
 		e.Code = CodeRegionUnreached
-		x.raise(e.Verdict)
+		x.joinVerdict(e.Verdict)
 		return &e
 	}
 	defer got.Body.Close()
-	err = f.pass(x, got)
-	x.raise(verdictOf(err))
+	err = f.relayAnswer(x, got)
+	x.joinVerdict(verdictOf(err))
 	return err
 }
 
-// join passes a resend on to the instance of this region that runs the request,
-// and relays the running attempt's answer. It reports false if that can't be
-// had; the claim that the other instance finds keeps it from running again.
+// join forwards a resend to the instance of this region that runs the request,
+// and relays the running attempt's answer. It reports false if there is no such
+// answer; the other instance finds the claim and does not run the request again.
 func (f *Forward) join(x *Exchange, owner string) (joined bool, err error) {
-	if f.deps.Forwarder == nil || x.Hops.Stepped(f.at.Region) || owner == f.at.Instance {
+	if f.deps.Forwarder == nil || x.Hops.Stepped(f.self.Region) || owner == f.self.Instance {
 		return false, nil
 	}
-	got, err := f.deps.Forwarder.Forward(x.Ctx, f.request(x, f.at.Region, owner))
+	got, err := f.deps.Forwarder.Forward(x.Ctx, f.request(x, f.self.Region, owner))
 	if err != nil {
 		return false, nil
 	}
@@ -62,7 +62,7 @@
 	}
 	x.replayed = true
 	x.W.Header().Set(HeaderReplayed, "true")
-	return true, f.pass(x, got)
+	return true, f.relayAnswer(x, got)
 }
 
 func (f *Forward) request(x *Exchange, region, instance string) ports.ForwardRequest {
@@ -81,7 +81,7 @@
 
 func (f *Forward) header(x *Exchange) http.Header {
 	h := endtoend.Copy(x.R.Header)
-	h.Set(HeaderHop, x.Hops.Add(f.at).String())
+	h.Set(HeaderHop, x.Hops.Add(f.self).String())
 	h.Set(HeaderRequestID, x.ID)
 	left := max(1, x.Deadline.Sub(f.deps.Now()).Milliseconds())
 	h.Set(HeaderDeadline, strconv.FormatInt(left, 10))
@@ -95,17 +95,17 @@
 	return h
 }
 
-// pass relays the other instance's answer. A refusal becomes an error again, so
-// that its verdict joins ours.
-func (f *Forward) pass(x *Exchange, got *ports.PlainAnswer) error {
+// relayAnswer relays the other instance's answer. It returns a refusal as an
+// error, so that its verdict is joined with this instance's.
+func (f *Forward) relayAnswer(x *Exchange, got *ports.PlainAnswer) error {
 	refused := got.Status >= http.StatusBadRequest && got.Header.Get(HeaderVerdict) != verdict.Ran.String()
 	if refused {
 		return refusalFrom(got)
 	}
 	if strings.HasPrefix(got.Header.Get("Content-Type"), ports.ContentTypeEvents) && x.streamed() {
-		return passEvents(x, got)
+		return relayEvents(x, got)
 	}
-	return passPlain(x, got)
+	return relayPlain(x, got)
 }
 
 func refusalFrom(got *ports.PlainAnswer) error {
@@ -119,9 +119,10 @@
 	return e
 }
 
-// passEvents relays a streamed answer, whose end mark must come.
-func passEvents(x *Exchange, got *ports.PlainAnswer) error {
-	closed := func() {} // whoever gave the answer closes its body
+// relayEvents relays a streamed answer. It returns an error if the stream ends
+// without its end mark.
+func relayEvents(x *Exchange, got *ports.PlainAnswer) error {
+	closed := func() {} // the caller of relayEvents closes the body
 	s := answer.NewStream("", 0, io.NopCloser(got.Body), closed)
 	defer s.Close()
 	first, err := s.Next()
@@ -133,5 +134,5 @@
 	}
 	r := newRelay(x, &attempt{})
 	r.stream = s
-	return r.pass(first)
+	return r.relayStream(first)
 }
--- a/pipeline/headercopy.go
+++ b/pipeline/headercopy.go
@@ -7,32 +7,32 @@
 	"github.com/gullhaven/gullhaven/pipeline/endtoend"
 )
 
-// ownPrefix starts the names of headers that are ours.
-const ownPrefix = "Gullhaven-"
+// gatewayPrefix starts the names of the gateway's own headers.
+const gatewayPrefix = "Gullhaven-"
 
-// toTarget copies what a plain target may see: neither the workspace's key nor
-// our own headers.
-func toTarget(h http.Header, requestID string) http.Header {
+// headerForTarget returns the headers that a plain target may see: neither the
+// workspace's key nor the gateway's own, apart from the request id.
+func headerForTarget(h http.Header, requestID string) http.Header {
 	out := endtoend.Copy(h)
-	dropOwn(out)
+	dropGatewayHeaders(out)
 	out.Del(HeaderAuthorization)
 	out.Set(HeaderRequestID, requestID)
 	return out
 }
 
-func dropOwn(h http.Header) {
+func dropGatewayHeaders(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(name, ownPrefix) {
+		if strings.HasPrefix(name, gatewayPrefix) {
 			delete(h, name)
 		}
 	}
 }
 
-// toCaller copies what a target answered. Our own headers are ours to set: a
-// target must not be able to tell a verdict of its own.
-func toCaller(dst, src http.Header) {
+// copyToCaller copies a target's response headers, without those that only the
+// gateway may set: a target must not be able to state a verdict.
+func copyToCaller(dst, src http.Header) {
 	copied := endtoend.Copy(src)
-	dropOwn(copied)
+	dropGatewayHeaders(copied)
 	for name, values := range copied {
 		dst[name] = values
 	}
--- a/pipeline/headers.go
+++ b/pipeline/headers.go
@@ -13,10 +13,10 @@
 	HeaderResend         = "Gullhaven-Resend"
 )
 
-// HeaderHop goes between instances only.
+// HeaderHop is sent between instances only.
 const HeaderHop = "Gullhaven-Hop"
 
-// Headers that an instance answers with.
+// Headers of an instance's responses.
 const (
 	HeaderRequestID  = "Gullhaven-Request-Id"
 	HeaderVerdict    = "Gullhaven-Verdict"
--- a/pipeline/hedge.go
+++ b/pipeline/hedge.go
@@ -9,19 +9,20 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// hedging races two attempts of idempotent work for the first chunk.
+// hedging runs two attempts of an idempotent request and takes the first chunk
+// that comes.
 type hedging struct {
 	f       *Attempts
 	x       *Exchange
-	results chan opened
+	results chan openResult
 	cancels map[*attempt]context.CancelFunc
 }
 
-// openHedged sends, and sends once more to another target if no first chunk has
-// come when the decision said so. The first chunk wins. The other attempt is
-// cancelled, and its answer, if it still comes, is dropped and counted.
-func (f *Attempts) openHedged(x *Exchange, a *attempt) opened {
-	h := &hedging{f: f, x: x, results: make(chan opened, 2), cancels: map[*attempt]context.CancelFunc{}}
+// openHedged sends a request, and sends it to a second target if no first chunk
+// has come by the decision's hedge time. The first chunk wins. The other attempt
+// is cancelled, and its answer, if it still comes, is dropped and counted.
+func (f *Attempts) openHedged(x *Exchange, a *attempt) openResult {
+	h := &hedging{f: f, x: x, results: make(chan openResult, 2), cancels: map[*attempt]context.CancelFunc{}}
 	h.launch(a)
 	t := time.NewTimer(a.decision.HedgeAt.Sub(f.deps.Now()))
 	defer t.Stop()
@@ -29,15 +30,15 @@
 	case o := <-h.results:
 		return o
 	case <-t.C:
-		h.second(a)
+		h.launchHedge(a)
 	}
-	won := h.race()
-	h.drop(won.attempt)
-	return won
+	winner := h.race()
+	h.cancelLoser(winner.attempt)
+	return winner
 }
 
-// launch opens an attempt in a goroutine of its own, which ends with its
-// context at the latest.
+// launch opens an attempt in a goroutine, which ends when its context does at
+// the latest.
 func (h *hedging) launch(a *attempt) {
 	ctx, cancel := context.WithCancel(h.x.Ctx)
 	h.cancels[a] = cancel
@@ -45,8 +46,8 @@
 	go func() { h.results <- h.f.open(ctx, m, a) }()
 }
 
-// second starts the hedge, if budget and routing allow it.
-func (h *hedging) second(a *attempt) {
+// launchHedge starts the second attempt, if budget and routing allow it.
+func (h *hedging) launchHedge(a *attempt) {
 	f := h.f
 	b := f.newAttempt(a.query)
 	b.decision = f.routing.Decide(b.route, a.query)
@@ -60,14 +61,14 @@
 	a.query.Tried = append(a.query.Tried, b.decision.Target)
 	f.deps.Metrics.Hedges.Inc(1)
 	f.start(h.x, b)
-	// Whichever attempt is given up later may have run.
-	h.x.raise(verdict.MayHaveRun)
+	// The attempt that is cancelled later may have run.
+	h.x.joinVerdict(verdict.MayHaveRun)
 	h.launch(b)
 }
 
-// race returns the first success, or the last failure. It ends the attempt that
+// race returns the first success, or the last failure. It ends an attempt that
 // failed before.
-func (h *hedging) race() opened {
+func (h *hedging) race() openResult {
 	for {
 		o := <-h.results
 		if o.err == nil || len(h.cancels) == 1 {
@@ -79,17 +80,17 @@
 	}
 }
 
-// drop cancels the attempt that is still under way besides the winner. Its
-// answer or failure is awaited apart from the request.
-func (h *hedging) drop(won *attempt) {
+// cancelLoser cancels the attempt that is still in flight besides the winner. A
+// goroutine waits for its answer or failure.
+func (h *hedging) cancelLoser(winner *attempt) {
 	f := h.f
 	for loser, cancel := range h.cancels {
-		if loser == won {
+		if loser == winner {
 			continue
 		}
 		cancel()
 		f.routing.Ended(route.End{Attempt: loser.route, Outcome: route.Cancelled, CachedTokens: -1})
-		f.left(h.x, loser, ports.AttemptOther)
+		f.leftTarget(h.x, loser, ports.AttemptOther)
 		go h.discard()
 	}
 }
--- a/pipeline/hop_test.go
+++ b/pipeline/hop_test.go
@@ -14,24 +14,24 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// spiller sends every request to another region.
-type spiller struct {
+// spillingDecider spills every request to one region.
+type spillingDecider struct {
 	route.Decider
 	region string
 }
 
-func (s spiller) Decide(_ time.Time, _ *route.Request) route.Decision {
+func (s spillingDecider) Decide(_ time.Time, _ *route.Request) route.Decision {
 	return route.Decision{Action: route.Spill, Region: s.region}
 }
 
-// peers forwards to handlers in this process, in the name of one instance.
-type peers struct {
+// localForwarder forwards to handlers in this process, as one instance.
+type localForwarder struct {
 	name     string
 	handlers map[string]http.Handler
 	sent     int
 }
 
-func (p *peers) Forward(ctx context.Context, f ports.ForwardRequest) (*ports.PlainAnswer, error) {
+func (p *localForwarder) Forward(ctx context.Context, f ports.ForwardRequest) (*ports.PlainAnswer, error) {
 	p.sent++
 	req := httptest.NewRequestWithContext(ctx, f.Method, f.Target, f.Body)
 	req.Header = f.Header
@@ -48,18 +48,18 @@
 
 func peerName(r *http.Request) string { return r.Header.Get("Test-Peer") }
 
-// Symptom: a request travels between two regions until its deadline.
-// Events: each of two instances holds the other region to be the better place.
-// Cause: a hop field that is written and not checked.
+// Guards against a request that is forwarded between two regions until its
+// deadline: each spills to the other, and the hop header is written but not
+// checked.
 func TestTwoRegionsThatSpillToEachOther(t *testing.T) {
-	out := &peers{name: "malang-1", handlers: map[string]http.Handler{}}
-	back := &peers{name: "denpasar-1", handlers: map[string]http.Handler{}}
+	out := &localForwarder{name: "malang-1", handlers: map[string]http.Handler{}}
+	back := &localForwarder{name: "denpasar-1", handlers: map[string]http.Handler{}}
 	jatim := newRig(t, withDeps(func(d *Deps) {
-		d.Decider, d.Forwarder = spiller{d.Decider, "bali"}, out
+		d.Decider, d.Forwarder = spillingDecider{d.Decider, "bali"}, out
 	}))
 	bali := newRig(t, withDeps(func(d *Deps) {
 		d.Instance, d.Region = claim.Instance{ID: "denpasar-1"}, "bali"
-		d.Decider, d.Forwarder = spiller{d.Decider, "jatim"}, back
+		d.Decider, d.Forwarder = spillingDecider{d.Decider, "jatim"}, back
 	}))
 	out.handlers["bali"] = bali.p.PeerHandler(KindChat, peerName)
 	back.handlers["jatim"] = jatim.p.PeerHandler(KindChat, peerName)
@@ -69,9 +69,8 @@
 	}
 }
 
-// Symptom: as above, or a caller that makes hops up.
-// Events: a request arrives with hops that no honest sender writes.
-// Cause: the receiving side trusts the sending one.
+// Guards against trusting the sender's hops: a request arrives with hops that no
+// correct instance sends, or a caller forges them.
 func TestHopsAreCheckedOnArrival(t *testing.T) {
 	r := newRig(t)
 	for _, c := range []struct {
@@ -115,12 +114,12 @@
 	}
 }
 
-// Symptom: a spilled answer that broke off looks whole, or its verdict is lost.
-// Events: the other region's engine is cut, refuses, or answers.
-// Cause: the other instance's bytes copied without reading their end.
+// Guards against a spilled answer that broke off but looks whole, or whose
+// verdict is lost, because the other instance's bytes are copied without checking
+// how they end.
 func TestSpilledAnswers(t *testing.T) {
-	out := &peers{name: "malang-1", handlers: map[string]http.Handler{}}
-	jatim := newRig(t, withDeps(func(d *Deps) { d.Decider, d.Forwarder = spiller{d.Decider, "bali"}, out }))
+	out := &localForwarder{name: "malang-1", handlers: map[string]http.Handler{}}
+	jatim := newRig(t, withDeps(func(d *Deps) { d.Decider, d.Forwarder = spillingDecider{d.Decider, "bali"}, out }))
 	bali := newRig(t)
 	for _, c := range []struct {
 		name   string
@@ -128,12 +127,12 @@
 		from   func(w http.ResponseWriter, r *http.Request)
 		check  func(*testing.T, *http.Response)
 	}{
-		{"whole", false, bali.peerOfAnotherName(), func(t *testing.T, resp *http.Response) {
+		{"whole", false, bali.peerHandlerAs(), func(t *testing.T, resp *http.Response) {
 			if resp.StatusCode != http.StatusOK {
 				t.Fatalf("status %d", resp.StatusCode)
 			}
 		}},
-		{"streamed", true, bali.peerOfAnotherName(), func(t *testing.T, resp *http.Response) {
+		{"streamed", true, bali.peerHandlerAs(), func(t *testing.T, resp *http.Response) {
 			if got := readStream(t, resp.Body); !got.ended || got.text != answerTo("p", 4) {
 				t.Fatalf("%+v", got)
 			}
@@ -161,37 +160,37 @@
 	}
 }
 
-// peerOfAnotherName serves as an instance of its own, with a decider that sends.
-func (r *rig) peerOfAnotherName() func(http.ResponseWriter, *http.Request) {
+// peerHandlerAs serves forwarded requests as an instance of its own.
+func (r *rig) peerHandlerAs() func(http.ResponseWriter, *http.Request) {
 	r.deps.Instance = claim.Instance{ID: "denpasar-1"}
 	p := New(r.deps)
 	p.SetView(r.p.View())
 	return p.PeerHandler(KindChat, peerName).ServeHTTP
 }
 
-// spillsFirst spills what has not crossed, and then decides like another.
-type spillsFirst struct{ spiller }
+// spillFirstDecider spills requests that were not forwarded, and leaves the others
+// to its Decider.
+type spillFirstDecider struct{ spillingDecider }
 
-func (s spillsFirst) Decide(now time.Time, q *route.Request) route.Decision {
+func (s spillFirstDecider) Decide(now time.Time, q *route.Request) route.Decision {
 	if q.Forwarded {
 		return s.Decider.Decide(now, q)
 	}
-	return s.spiller.Decide(now, q)
+	return s.spillingDecider.Decide(now, q)
 }
 
-// lastOutcome keeps what the observer was told last.
-type lastOutcome struct{ outcomes chan Outcome }
+// outcomeObserver sends the outcomes to a channel.
+type outcomeObserver struct{ outcomes chan Outcome }
 
-func (l lastOutcome) Observe(o Outcome) { l.outcomes <- o }
+func (l outcomeObserver) Observe(o Outcome) { l.outcomes <- o }
 
-// Symptom: the share sent away counts requests that were served at home.
-// Events: the other region refuses a spilled request unrun; it is then answered
-// at home. Cause: the region of a failed spill is never taken back.
-func TestFailedSpillIsNotSentAway(t *testing.T) {
-	out := &peers{name: "malang-1", handlers: map[string]http.Handler{}}
-	told := lastOutcome{outcomes: make(chan Outcome, 1)}
+// Guards against counting a request as spilled that was answered in its own
+// region, after the other region had refused it unrun.
+func TestFailedSpillIsNotCountedAsSpilled(t *testing.T) {
+	out := &localForwarder{name: "malang-1", handlers: map[string]http.Handler{}}
+	observed := outcomeObserver{outcomes: make(chan Outcome, 1)}
 	jatim := newRig(t, withDeps(func(d *Deps) {
-		d.Decider, d.Forwarder, d.Observer = spillsFirst{spiller{d.Decider, "bali"}}, out, told
+		d.Decider, d.Forwarder, d.Observer = spillFirstDecider{spillingDecider{d.Decider, "bali"}}, out, observed
 	}))
 	out.handlers["bali"] = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		WriteRefusal(w, verdict.New(verdict.NotRun, CodeOverloaded, "full"))
@@ -200,7 +199,7 @@
 	if resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	if o := <-told.outcomes; o.SpillRegion != "" || o.Target == "" || o.Code != "" {
+	if o := <-observed.outcomes; o.SpillRegion != "" || o.Target == "" || o.Code != "" {
 		t.Fatalf("%+v", o)
 	}
 }
--- a/pipeline/hopcheck.go
+++ b/pipeline/hopcheck.go
@@ -6,11 +6,11 @@
 	"github.com/gullhaven/gullhaven/pipeline/hop"
 )
 
-// HopCheck refuses requests that came in a loop. Callers may not send hops at
-// all; between instances they are required, and the last must be the sender.
-type HopCheck struct{ at hop.Station }
+// HopCheck refuses requests that were forwarded in a loop. Callers must not send
+// a hop header; instances must, and its last hop must be the sender.
+type HopCheck struct{ self hop.Station }
 
-// Serve checks the hops before anything else of the request is looked at.
+// Serve fills x.Hops, or refuses the request.
 func (f *HopCheck) Serve(x *Exchange, next Handler) error {
 	values, given := x.R.Header[HeaderHop]
 	if x.Peer == "" {
@@ -26,7 +26,7 @@
 	if path[len(path)-1].Instance != x.Peer {
 		return refuse(CodeHopNotAllowed, hop.ErrSender.Error())
 	}
-	if err := path.Check(f.at); err != nil {
+	if err := path.Check(f.self); err != nil {
 		return refuse(CodeLoop, err.Error())
 	}
 	x.Hops = path
--- a/pipeline/identify.go
+++ b/pipeline/identify.go
@@ -4,10 +4,10 @@
 
 const bearer = "Bearer "
 
-// Identify finds the workspace by its key.
+// Identify finds the workspace of a request by its key.
 type Identify struct{}
 
-// Serve refuses a key that is missing or not known.
+// Serve fills x.Workspace. It refuses a key that is missing or unknown.
 func (*Identify) Serve(x *Exchange, next Handler) error {
 	given := x.R.Header.Get(HeaderAuthorization)
 	if len(given) <= len(bearer) || !strings.EqualFold(given[:len(bearer)], bearer) {
--- a/pipeline/input_test.go
+++ b/pipeline/input_test.go
@@ -18,9 +18,8 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// Symptom: a request that nobody can read reaches a target, or hangs.
-// Events: in a table.
-// Cause: a parser that guesses, or defaults for what was not understood.
+// Guards against malformed requests that reach a target, because the parser
+// guesses or replaces what it can't read by defaults.
 func TestBadInputIsRefusedAtOnce(t *testing.T) {
 	r := newRig(t, withDeps(func(d *Deps) { d.Bounds.MaxBodyBytes = 2048 }))
 	good := chat("p", false, 2)
@@ -71,10 +70,8 @@
 	}
 }
 
-// Symptom: a body that stops half way is run as far as it came, or is waited for
-// without end.
-// Events: the caller announces more than it sends, then closes its side.
-// Cause: reading up to what came.
+// Guards against running a truncated body, or waiting for its rest without end:
+// the caller announces more bytes than it sends, then closes its side.
 func TestTruncatedBody(t *testing.T) {
 	r := newRig(t)
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
@@ -91,21 +88,21 @@
 	}
 }
 
-// ordered sends to the targets in order.
-type ordered struct {
+// orderedDecider sends to its targets in order, one for each attempt.
+type orderedDecider struct {
 	route.Decider
 	targets []route.TargetID
 }
 
-func (o ordered) Decide(_ time.Time, q *route.Request) route.Decision {
+func (o orderedDecider) Decide(_ time.Time, q *route.Request) route.Decision {
 	if len(q.Tried) >= len(o.targets) {
 		return route.Decision{Action: route.Refuse, Reason: route.ReasonNoTarget}
 	}
 	return route.Decision{Action: route.Send, Target: o.targets[len(q.Tried)]}
 }
 
-// Symptom: memory grows with a body that announces no length.
-// Cause: the bound checked by the announced length alone.
+// Guards against a bound that is checked against the announced length only: a
+// body without a length would take any amount of memory.
 func TestUnannouncedBodyIsBounded(t *testing.T) {
 	r := newRig(t, withDeps(func(d *Deps) { d.Bounds.MaxBodyBytes = 2048 }))
 	body := io.MultiReader(strings.NewReader(chat(strings.Repeat("x", 4096), false, 2)))
@@ -114,28 +111,27 @@
 	}
 }
 
-// hedger is ordered and hedges at once.
-type hedger struct{ ordered }
+// hedgingDecider is an orderedDecider that hedges at once.
+type hedgingDecider struct{ orderedDecider }
 
-func (h hedger) Decide(now time.Time, q *route.Request) route.Decision {
-	d := h.ordered.Decide(now, q)
+func (h hedgingDecider) Decide(now time.Time, q *route.Request) route.Decision {
+	d := h.orderedDecider.Decide(now, q)
 	d.HedgeAt = now
 	return d
 }
 
-// Symptom: a slow target decides the time to the first token, or a caller gets
-// parts of two answers.
-// Events: the first target hangs, breaks or answers late; the hedge answers.
-// Cause: no second attempt; or both relayed.
+// Guards against a slow target that delays the first token, as there is no second
+// attempt, and against relaying parts of both answers. The first target hangs,
+// breaks or answers late; the hedge answers.
 func TestHedge(t *testing.T) {
 	for _, kind := range []standin.FaultKind{standin.FaultHang, standin.FaultCrash, standin.FaultLate} {
 		t.Run(string(kind), func(t *testing.T) {
 			r := newRig(t, withEngines(2, standin.EngineConfig{}), withDeps(func(d *Deps) {
-				d.Decider = hedger{ordered{d.Decider, []route.TargetID{"runner-0", "runner-1"}}}
+				d.Decider = hedgingDecider{orderedDecider{d.Decider, []route.TargetID{"runner-0", "runner-1"}}}
 			}))
 			r.engines[0].SetFaults(standin.Fault{Kind: kind, DelayMillis: 20})
 			for range int(1 / hedgeShare) {
-				r.p.budgets.request("briefing-llm")
+				r.p.budgets.countFirstAttempt("briefing-llm")
 			}
 			got := readStream(t, r.do(call{body: chat("p", true, 6)}).Body)
 			if !got.ended || got.text != answerTo("p", 6) {
@@ -145,7 +141,7 @@
 	}
 	t.Run("never for what runs once", func(t *testing.T) {
 		r := newRig(t, withEngines(2, standin.EngineConfig{}), withDeps(func(d *Deps) {
-			d.Decider = hedger{ordered{d.Decider, []route.TargetID{"runner-0", "runner-1"}}}
+			d.Decider = hedgingDecider{orderedDecider{d.Decider, []route.TargetID{"runner-0", "runner-1"}}}
 		}))
 		r.engines[0].SetFaults(standin.Fault{Kind: standin.FaultLate, DelayMillis: 20})
 		got := readStream(t, r.do(call{body: chat("p", true, 6), header: map[string]string{
@@ -156,9 +152,9 @@
 	})
 }
 
-// Symptom: retries multiply the load of a region that lost targets.
-// Events: every target fails; each request is sent as often as the rules allow.
-// Cause: no budget over the requests of an instance.
+// Guards against retries that multiply the load of a region which lost targets:
+// every target fails, and without a budget over all requests of the instance each
+// request is sent as often as the rules allow.
 func TestRetriesKeepTheBudget(t *testing.T) {
 	begin := time.Now()
 	r := newRig(t, withEngines(3, standin.EngineConfig{}), withDeps(func(d *Deps) {
@@ -176,9 +172,8 @@
 	}
 }
 
-// Symptom: a request is held until its deadline and then fails.
-// Events: its target hangs; the deadline passes; or its caller leaves.
-// Cause: no answer before the target's.
+// Guards against a request that waits for its target past the deadline: the
+// target hangs, and nothing else ends the request.
 func TestDeadlineEndsTheRequest(t *testing.T) {
 	r := newRig(t)
 	r.engines[0].SetFaults(standin.Fault{Kind: standin.FaultHang})
@@ -200,7 +195,7 @@
 	return ports.LimitAnswer{OK: true}
 }
 
-func TestLimitsSayWhenToComeBack(t *testing.T) {
+func TestLimitsSetRetryAfter(t *testing.T) {
 	r := newRig(t, withDeps(func(d *Deps) { d.Limits = &fixedLimits{requests: 2, tokens: 100} }))
 	for i, want := range []int{200, 429, 429} {
 		tokens := []int{2, 2000, 2}[i]
@@ -209,13 +204,13 @@
 			t.Fatalf("request %d: %d", i, resp.StatusCode)
 		}
 		if want == 429 && resp.Header.Get("Retry-After") != "2" {
-			t.Fatalf("come back in %q", resp.Header.Get("Retry-After"))
+			t.Fatalf("Retry-After %q", resp.Header.Get("Retry-After"))
 		}
 	}
 }
 
-// suspects holds a digest for a suspect after one crash, and refuses it after a
-// second.
+// suspects treats a digest as a suspect after one crash, and refuses it after a
+// second one.
 type suspects struct {
 	mu      sync.Mutex
 	digests map[ports.AttemptID]ports.Digest
@@ -253,7 +248,7 @@
 	}
 }
 
-// fixedLone gives one target, and counts its releases.
+// fixedLone reserves always the same target, and counts its releases.
 type fixedLone struct {
 	target   string
 	released int
@@ -263,36 +258,35 @@
 	return ports.LoneRun{Target: l.target, Release: func() { l.released++ }}, nil
 }
 
-// Symptom: one request takes down target after target.
-// Events: its caller sends it again under another id, streamed or not; what ran
-// beside it at the first crash comes again as well.
-// Cause: the request recognised by its id or its bytes; suspects run in a batch,
-// or are never cleared.
+// Guards against a poison request that crashes target after target: it comes
+// again under another id, streamed or not, and is recognised by id or bytes only,
+// or runs beside others. Also against a suspect that is never cleared: a request
+// that ran beside it at the first crash comes again.
 func TestSuspectsRunAloneAndAreRecognisedInAnotherForm(t *testing.T) {
 	known, lone := newSuspects(), &fixedLone{target: "runner-1"}
 	r := newRig(t, withEngines(2, standin.EngineConfig{}), withDeps(func(d *Deps) { d.Suspects, d.LoneRuns = known, lone }),
 		withBundle(func(b *bundle.Bundle) { b.Rules.MaxAttempts = 1 }))
 	r.p.Routing().SetReserved([]route.TargetID{"runner-1"})
 	for _, e := range r.engines {
-		e.SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "killer"}, standin.Fault{Kind: standin.FaultCrash, Match: "innocent", Count: 1})
+		e.SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "poison"}, standin.Fault{Kind: standin.FaultCrash, Match: "innocent", Count: 1})
 	}
 	ask := func(prompt string, i int) *http.Response {
 		return r.do(call{body: chat(prompt, i%2 == 0, 2+i), header: map[string]string{HeaderIdempotencyKey: prompt + string(rune('a'+i)), HeaderResend: "false"}})
 	}
-	readRefusal(t, ask("killer", 0))
+	readRefusal(t, ask("poison", 0))
 	readRefusal(t, ask("innocent", 0))
 	if n := r.engines[1].Counts().Runs; n != 0 {
 		t.Fatalf("the reserved target ran %d requests", n)
 	}
-	r.engines[1].SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "killer"})
-	readRefusal(t, ask("killer", 1))
+	r.engines[1].SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "poison"})
+	readRefusal(t, ask("poison", 1))
 	if got := readStream(t, ask("innocent", 2).Body); !got.ended || known.alone != 2 || lone.released != 2 {
 		t.Fatalf("%+v, %d alone, %d released", got, known.alone, lone.released)
 	}
 	if got := readStream(t, ask("innocent", 4).Body); !got.ended || known.alone != 2 {
 		t.Fatalf("not cleared by its whole answer: %+v, %d alone", got, known.alone)
 	}
-	if got := readRefusal(t, ask("killer", 2)); got.Code != CodeSuspected || got.Verdict != verdict.NotRun {
+	if got := readRefusal(t, ask("poison", 2)); got.Code != CodeSuspected || got.Verdict != verdict.NotRun {
 		t.Fatalf("%+v", got)
 	}
 	if n := r.engines[1].Counts().Runs + r.engines[0].Counts().Runs; n != 5 {
@@ -300,19 +294,18 @@
 	}
 }
 
-// Symptom: one sending of a killer request takes down as many targets as it has
-// attempts. Events: the first attempt crashes its target; the request may be
-// tried again. Cause: suspicion asked for at arrival only, so that the retry
-// runs beside others.
+// Guards against a poison request that crashes as many targets as it has
+// attempts: suspicion is checked on arrival only, so that a retry after the first
+// crash runs beside other requests.
 func TestRetryOfASuspectRunsAlone(t *testing.T) {
 	known, lone := newSuspects(), &fixedLone{target: "runner-1"}
 	r := newRig(t, withEngines(3, standin.EngineConfig{}), withDeps(func(d *Deps) { d.Suspects, d.LoneRuns = known, lone }),
 		withBundle(func(b *bundle.Bundle) { b.Rules.MaxAttempts = 3 }))
 	r.p.Routing().SetReserved([]route.TargetID{"runner-1"})
 	for _, e := range r.engines {
-		e.SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "killer"})
+		e.SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "poison"})
 	}
-	readRefusal(t, r.do(call{body: chat("killer", false, 2)}))
+	readRefusal(t, r.do(call{body: chat("poison", false, 2)}))
 	var runs int64
 	for _, e := range r.engines {
 		runs += e.Counts().Runs
@@ -322,9 +315,8 @@
 	}
 }
 
-// Symptom: memory grows with the requests that wait.
-// Events: more requests are told to wait than the bound.
-// Cause: a queue without one.
+// Guards against held requests that take any amount of memory: more requests are
+// to be held than the bound allows.
 func TestHoldIsBounded(t *testing.T) {
 	r := newRouting(nil, time.Now, 1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -339,7 +331,7 @@
 		}
 	}
 	if r.Hold(ctx, time.Now().Add(time.Hour)) {
-		t.Fatal("held more than its bound")
+		t.Fatal("held more requests than the bound allows")
 	}
 	cancel()
 	if !<-first || len(r.held) != 0 {
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -7,37 +7,38 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// WorkspaceLimit takes one request of the workspace's share, before its body is
-// read. A request that another instance passed on was counted there.
+// WorkspaceLimit consumes one request of the workspace's share, before the body
+// is read. A request that another instance forwarded was counted there.
 type WorkspaceLimit struct {
 	limits ports.Limits
 	now    func() time.Time
 }
 
-// Serve refuses a request beyond the share.
+// Serve refuses a request that exceeds the share.
 func (f *WorkspaceLimit) Serve(x *Exchange, next Handler) error {
-	if err := take(f.limits, f.now, x, 1, 0); err != nil {
+	if err := consume(f.limits, f.now, x, 1, 0); err != nil {
 		return err
 	}
 	return next(x)
 }
 
-// TokenLimit takes the tokens of prompt and answer, once they are known.
+// TokenLimit consumes the estimated tokens of prompt and answer, once they are
+// known.
 type TokenLimit struct {
 	limits ports.Limits
 	now    func() time.Time
 }
 
-// Serve refuses a request beyond the share.
+// Serve refuses a request that exceeds the share.
 func (f *TokenLimit) Serve(x *Exchange, next Handler) error {
 	tokens := x.Request.PromptTokens() + x.Request.OutputTokens()
-	if err := take(f.limits, f.now, x, 0, float64(tokens)); err != nil {
+	if err := consume(f.limits, f.now, x, 0, float64(tokens)); err != nil {
 		return err
 	}
 	return next(x)
 }
 
-func take(l ports.Limits, now func() time.Time, x *Exchange, requests, tokens float64) error {
+func consume(l ports.Limits, now func() time.Time, x *Exchange, requests, tokens float64) error {
 	if l == nil || x.Peer != "" {
 		return nil
 	}
--- a/pipeline/lonerun.go
+++ b/pipeline/lonerun.go
@@ -7,14 +7,14 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// loneRetry is when to come back with a request that must run alone.
-const loneRetry = 5 * time.Second
+// loneRunRetryAfter is the retry delay of a request that must run alone.
+const loneRunRetryAfter = 5 * time.Second
 
-// runAlone sends a suspect to a target that runs nothing else, once. If it takes
-// that target down as well, it is known for the cause, and no other request was
-// lost with it.
-func (f *Attempts) runAlone(x *Exchange, q *route.Request, s send) error {
-	refused := &verdict.Error{Code: CodeSuspected, Message: "the request was running when a target broke down; no target is free to run it alone", RetryAfter: loneRetry}
+// runAlone sends a suspect once, to a target that runs nothing else. If that
+// target crashes as well, the request is known to be the cause, and no other
+// request was lost with it.
+func (f *Attempts) runAlone(x *Exchange, q *route.Request, s sendFunc) error {
+	refused := &verdict.Error{Code: CodeSuspected, Message: "the request was running when a target broke down; no target is free to run it alone", RetryAfter: loneRunRetryAfter}
 	if f.deps.LoneRuns == nil {
 		return refused
 	}
--- a/pipeline/move_test.go
+++ b/pipeline/move_test.go
@@ -14,8 +14,7 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// watched are engines that tell a test of the chunks that they give, in the
-// goroutine that reads them.
+// watched are engines that call onChunk for each chunk that is read.
 type watched struct {
 	ports.Engines
 	onChunk func(seq uint64)
@@ -59,16 +58,16 @@
 	return c, err
 }
 
-// moveRig has two engines; runner-0 gets the request and is leaving from the
-// time on when chunk number at has come. Its drain time has passed then.
-func moveRig(t *testing.T, at uint64) *rig {
+// newMoveRig returns a rig with two engines. runner-0 gets the request; when chunk
+// number at has come, it is leaving and its drain time has passed.
+func newMoveRig(t *testing.T, at uint64) *rig {
 	var r *rig
 	var drained atomic.Int64
 	leave := func(seq uint64) {
 		if seq == at+2 && r.deps.Metrics.MovedStreams.Count() > 0 {
-			// The new engine gives the answer: the old one must be rid of it now,
-			// not only when the caller has it all.
-			idle(r.t, r.engines[0])
+			// The new engine generates the answer: the old attempt must end now,
+			// not only when the caller has the whole answer.
+			waitIdle(r.t, r.engines[0])
 		}
 		if seq != at {
 			return
@@ -88,13 +87,13 @@
 		withDeps(func(d *Deps) {
 			d.Now = func() time.Time { return time.Now().Add(time.Duration(drained.Load())) }
 			d.Engines = &watched{d.Engines, leave}
-			d.Decider = ordered{d.Decider, []route.TargetID{"runner-0", "runner-1"}}
+			d.Decider = orderedDecider{d.Decider, []route.TargetID{"runner-0", "runner-1"}}
 		}))
 	return r
 }
 
-// idle waits until an engine runs nothing.
-func idle(t testing.TB, e *standin.Engine) {
+// waitIdle waits until an engine runs nothing.
+func waitIdle(t testing.TB, e *standin.Engine) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if n := e.Counts(); n.Finished+n.Cancelled >= n.Runs+n.Resumed {
@@ -104,18 +103,17 @@
 	t.Errorf("it still runs: %+v", e.Counts())
 }
 
-// Symptom: a change of a target waits for hours; or a caller reads tokens twice,
-// or not at all, where its stream changed targets.
-// Events: a target leaves while it gives a long answer that stands still after
-// any chunk, the first and the last included.
-// Cause: no move; a move by a count that is one off; the old attempt left running.
+// Guards against a change of a target that waits for a long answer, and against
+// duplicate or missing tokens where a stream is moved (the count of chunks is one
+// off), or an old attempt that is left running. The answer stalls after any chunk,
+// the first and the last included.
 func TestStreamsMoveOffALeavingTarget(t *testing.T) {
 	const tokens = 12
 	for _, at := range []int{1, 2, 7, tokens - 1, tokens} {
 		t.Run(strconv.Itoa(at), func(t *testing.T) {
-			r := moveRig(t, uint64(at))
+			r := newMoveRig(t, uint64(at))
 			r.engines[0].SetFaults(standin.Fault{Kind: standin.FaultStall, Chunk: at})
-			// What is moved is a stream like any other: it can be cut and resumed.
+			// A moved stream can be cut and resumed like any other.
 			r.engines[1].SetFaults(standin.Fault{Kind: standin.FaultCut, Match: "resume:", Chunk: at + 2, Count: 1})
 			prompt := fmt.Sprint("long dossier ", at)
 			got := readStream(t, r.do(call{body: chat(prompt, true, tokens)}).Body)
@@ -126,7 +124,7 @@
 			if m.MovedStreams.Count() != 1 || m.FailedMoves.Count() != 0 {
 				t.Fatalf("%d moved, %d failed", m.MovedStreams.Count(), m.FailedMoves.Count())
 			}
-			idle(t, r.engines[0])
+			waitIdle(t, r.engines[0])
 			if n := r.engines[0].Counts(); n.Runs != 1 || n.Finished != 0 || n.Cancelled != 1 {
 				t.Fatalf("the old engine: %+v", n)
 			}
@@ -137,10 +135,10 @@
 	}
 }
 
-// Symptom: an answer is lost or garbled by a move that did not succeed.
-// Events: the export, the import or the taking up fails or breaks off; there is
-// no other target; the drain time has not passed; the request runs at most once.
-// Cause: the old stream given up before the new one gave its first chunk.
+// Guards against an answer that is lost or garbled by a failed move, as the old
+// stream is given up before the first chunk of the new one. Export, import or
+// resume fails or breaks off, there is no other target, the drain time has not
+// passed, or the request runs at most once.
 func TestStreamsThatCannotMoveStayWhole(t *testing.T) {
 	const tokens, at = 12, 5
 	fault := func(engine int, kind standin.FaultKind, step string) func(*rig) {
@@ -161,13 +159,13 @@
 		{"resume refused", fault(1, standin.FaultError, "resume"), 1, false},
 		{"resume crashes", fault(1, standin.FaultCrash, "resume"), 1, false},
 		{"resume of another", fault(1, standin.FaultWrongAnswer, "resume"), 1, false},
-		{"no other target", decides("runner-0"), 0, false},
-		{"only leaving ones", decides("runner-0", "runner-0"), 0, false},
+		{"no other target", setTargetOrder("runner-0"), 0, false},
+		{"only leaving ones", setTargetOrder("runner-0", "runner-0"), 0, false},
 		{"drain time not over", func(r *rig) { r.p.deps.Now = time.Now; r.p.routing.now = time.Now }, 0, false},
 		{"at most once", func(*rig) {}, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := moveRig(t, at)
+			r := newMoveRig(t, at)
 			r.engines[0].SetFaults(stalled(at))
 			c.set(r)
 			header := map[string]string{}
@@ -189,26 +187,25 @@
 	}
 }
 
-// decides makes routing give these targets in their order.
-func decides(targets ...route.TargetID) func(*rig) {
-	return func(r *rig) { r.p.routing.d = ordered{r.p.routing.d, targets} }
+// setTargetOrder makes routing choose these targets in order.
+func setTargetOrder(targets ...route.TargetID) func(*rig) {
+	return func(r *rig) { r.p.routing.d = orderedDecider{r.p.routing.d, targets} }
 }
 
-// stalled keeps a run from its end while a move is tried.
+// stalled delays a run so that it doesn't end during a move.
 func stalled(at int) standin.Fault {
 	return standin.Fault{Kind: standin.FaultStall, Chunk: at, DelayMillis: 200}
 }
 
-const waitHere = 100 * time.Millisecond
+const limitWait = 100 * time.Millisecond
 
-// Symptom: a stream is never moved although its target has been leaving for
-// long; or is moved off a target that stays.
-// Events: bundles come into force, each showing the target as staying for a
-// moment; it stays for good and leaves anew later.
-// Cause: a drain time that starts again at each bundle, or that never ends.
+// Guards against a drain time that starts again at each bundle, so that a stream
+// is never moved, and against one that never ends, so that it is moved off a
+// target that is no longer leaving. Each bundle shows the target as staying for a
+// moment; later it stays for longer and leaves again.
 func TestDrainTimeOutlastsABundle(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := newRouting(ordered{Decider: noDecider{}}, func() time.Time { return now }, 1)
+	r := newRouting(orderedDecider{Decider: noDecider{}}, func() time.Time { return now }, 1)
 	set := func(s route.State) { r.SetTargets([]route.TargetSpec{{ID: "a", State: s}, {ID: "b"}}) }
 	first := now
 	for range 5 {
@@ -219,7 +216,7 @@
 		now = now.Add(time.Minute)
 		set(route.Warm)
 		if _, ok := r.leavingSince("a"); ok {
-			t.Fatal("it stays by the newest word")
+			t.Fatal("counts as leaving although its newest state is warm")
 		}
 		now = now.Add(leavingGrace / 2)
 		set(route.Warm)
@@ -227,46 +224,46 @@
 	now = now.Add(leavingGrace)
 	set(route.Leaving)
 	if since, ok := r.leavingSince("a"); !ok || !since.Equal(now) {
-		t.Fatalf("it left anew at %v: %v, %v", now, since, ok)
+		t.Fatalf("leaving again at %v: got %v, %v", now, since, ok)
 	}
 	if _, ok := r.leavingSince("b"); ok {
 		t.Fatal("b never left")
 	}
 }
 
-// noDecider takes the targets only.
+// noDecider accepts SetTargets only.
 type noDecider struct{ route.Decider }
 
 func (noDecider) SetTargets(time.Time, []route.TargetSpec) {}
 
-// waits are limits that take a while of a clock to answer.
-type waits struct{ clock *atomic.Int64 }
+// slowLimits allow everything and advance a clock by limitWait for each call.
+type slowLimits struct{ clock *atomic.Int64 }
 
-func (w waits) Take(time.Time, string, float64, float64) ports.LimitAnswer {
-	w.clock.Add(int64(waitHere))
+func (w slowLimits) Take(time.Time, string, float64, float64) ports.LimitAnswer {
+	w.clock.Add(int64(limitWait))
 	return ports.LimitAnswer{OK: true}
 }
 
-// outcomes keep what they are told.
+// outcomes is an Observer that sends the outcomes to a channel.
 type outcomes chan Outcome
 
 func (o outcomes) Observe(out Outcome) { o <- out }
 
-// Symptom: an hour of waiting is billed as an hour of a target.
-// Events: a request waits here before it is sent; it runs freely or at most once.
-// Cause: the time from arrival taken for the time at the target.
-func TestTimeAtTargetLeavesWaitingOut(t *testing.T) {
+// Guards against counting the time from arrival as time at the target, so that
+// waiting at the instance is billed as target time. The request may be retried, or
+// runs at most once.
+func TestTargetTimeExcludesWaiting(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		var clock atomic.Int64
-		told := make(outcomes, 1)
+		observed := make(outcomes, 1)
 		r := newRig(t, withDeps(func(d *Deps) {
 			d.Now = func() time.Time { return time.Now().Add(time.Duration(clock.Load())) }
-			d.Limits, d.Observer = waits{&clock}, told
+			d.Limits, d.Observer = slowLimits{&clock}, observed
 		}))
 		header := map[string]string{HeaderIdempotent: strconv.FormatBool(!once), HeaderIdempotencyKey: "k", HeaderResend: "false"}
 		readStream(t, r.do(call{body: chat("p", true, 4), header: header}).Body)
-		out := <-told
-		if out.Code != "" || out.TargetTime <= 0 || out.TargetTime > out.Took-waitHere {
+		out := <-observed
+		if out.Code != "" || out.TargetTime <= 0 || out.TargetTime > out.Took-limitWait {
 			t.Fatalf("once %v: %v at the target of %v, %q", once, out.TargetTime, out.Took, out.Code)
 		}
 		if n := r.deps.Metrics.Chunks.Count(); n != int64(out.Chunks) || n == 0 || (!once && n != 4) {
--- a/pipeline/once_test.go
+++ b/pipeline/once_test.go
@@ -28,10 +28,9 @@
 	return c
 }
 
-// Symptom: a family pays twice.
-// Events: the caller sends a confirmation again while the first sending runs,
-// from many connections at once, or after its own connection broke.
-// Cause: resends recognised only after the first has ended, or not at all.
+// Guards against running a request twice when the caller sends it again while
+// the first one runs, here from many connections at once: resends are recognised
+// too late or not at all.
 func TestResendsJoinTheRunningAttempt(t *testing.T) {
 	r := newRig(t)
 	r.plain.SetFaults(standin.Fault{Kind: standin.FaultLate, DelayMillis: 50})
@@ -62,11 +61,10 @@
 	}
 }
 
-// Symptom: the caller's connection breaks, the resend runs the work again, or
-// the work is cancelled half way.
-// Events: the caller leaves while its request runs, then sends it again.
-// Cause: work that may run once is tied to its caller's connection.
-func TestCallerThatLeavesFindsItsAnswer(t *testing.T) {
+// Guards against tying a request that runs at most once to its caller's
+// connection: when the connection breaks, the work is cancelled halfway, or the
+// resend runs it again.
+func TestResendAfterDisconnectGetsTheAnswer(t *testing.T) {
 	r := newRig(t)
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan struct{})
@@ -87,14 +85,12 @@
 	}
 }
 
-// Symptom: a resend at another instance runs again, or its caller is left without
-// the answer that is on its way.
-// Events: the first sending runs at one instance; the caller sends it again to
-// another of the region, which asks the claims' home.
-// Cause: running attempts known to their own instance only.
+// Guards against a resend at another instance of the region that runs the
+// request again, or gets no answer while the first attempt runs: the attempt is
+// known to its own instance only.
 func TestResendAtAnotherInstanceJoins(t *testing.T) {
 	first := newRig(t)
-	out := &peers{name: "malang-2", handlers: map[string]http.Handler{}}
+	out := &localForwarder{name: "malang-2", handlers: map[string]http.Handler{}}
 	second := newRig(t, withDeps(func(d *Deps) {
 		d.Instance, d.Claims, d.Forwarder = claim.Instance{ID: "malang-2"}, first.claims, out
 	}))
@@ -126,10 +122,9 @@
 	}
 }
 
-// Symptom: a booking is lost or doubled although the caller was told its state.
-// Events: in a table; each is followed by a resend.
-// Cause: a send without a claim, a second send under an old claim, or a verdict
-// that forgets earlier sendings.
+// Guards against a request that runs twice, or whose verdict is wrong: it is sent
+// without a claim or a second time under an old one, or the verdict leaves out
+// earlier attempts. Each case is followed by a resend.
 func TestAtMostOnce(t *testing.T) {
 	crash := standin.Fault{Kind: standin.FaultCrash, Count: 1}
 	for _, c := range []struct {
@@ -155,7 +150,7 @@
 			if c.claims != nil {
 				first.header[HeaderDeadline] = "400"
 			}
-			r.checkEnd(first, c.want)
+			r.checkVerdict(first, c.want)
 			if n := r.plain.Runs("k"); n != c.runs {
 				t.Fatalf("ran %d times", n)
 			}
@@ -165,7 +160,7 @@
 				r.checkLaterResend(confirm("k", "true"))
 				return
 			}
-			r.checkEnd(confirm("k", "true"), c.again)
+			r.checkVerdict(confirm("k", "true"), c.again)
 			if n := r.plain.Runs("k"); n != 1 {
 				t.Fatalf("ran %d times after the resend", n)
 			}
@@ -173,8 +168,8 @@
 	}
 }
 
-// checkLaterResend sends again when claims are kept again. It runs now, or is
-// refused while the first sending's claim may still be under way.
+// checkLaterResend sends a request again after claims work again. It runs, or is
+// refused while the first request's claim may still be in flight.
 func (r *rig) checkLaterResend(c call) {
 	r.t.Helper()
 	resp := r.do(c)
@@ -195,22 +190,21 @@
 	}
 }
 
-// Symptom: a booking is refused although a target is there; or runs twice.
-// Events: the first target chosen refuses the connection, the second takes it.
-// Cause: a claim used up by a send that reached nobody.
-func TestOnceGoesOnWhereNobodyWasReached(t *testing.T) {
+// Guards against a claim that is used up by an attempt which reached no target:
+// the request is refused although the second target accepts it, or runs twice.
+func TestAtMostOnceRetriesAnUnreachedTarget(t *testing.T) {
 	r := newRig(t, withDeps(func(d *Deps) {
-		d.Decider = ordered{d.Decider, []route.TargetID{"desk-gone", "desk-0"}}
+		d.Decider = orderedDecider{d.Decider, []route.TargetID{"desk-gone", "desk-0"}}
 	}))
 	r.addTarget("booking-desk", "desk-gone", "http://127.0.0.1:1")
 	r.p.SetView(NewView(r.b, "", "jatim"))
 	c := confirm("k", "true")
-	r.checkEnd(c, verdict.Ran)
+	r.checkVerdict(c, verdict.Ran)
 	r.checkRuns(c, 1)
 }
 
-// checkEnd sends and checks the verdict of what comes, an answer or a refusal.
-func (r *rig) checkEnd(c call, want verdict.Verdict) {
+// checkVerdict sends a request and checks the verdict of the answer or refusal.
+func (r *rig) checkVerdict(c call, want verdict.Verdict) {
 	r.t.Helper()
 	resp, err := r.try(c)
 	if err != nil {
@@ -226,13 +220,12 @@
 	_, _ = io.Copy(io.Discard, resp.Body)
 }
 
-// Symptom: a refusal of a resend says "not run" although the first sending ran.
-// Events: the first sending ends well; the resend is malformed, over its limit,
-// or sent with a wrong key.
-// Cause: a verdict of this sending alone.
+// Guards against a resend that is refused with "not run" although the first
+// request ran: the verdict covers the resend alone. The resend is malformed, has
+// a wrong key or is in a wrong region.
 func TestRefusedResendIsNotCalledNotRun(t *testing.T) {
 	r := newRig(t)
-	r.checkEnd(confirm("k", "false"), verdict.Ran)
+	r.checkVerdict(confirm("k", "false"), verdict.Ran)
 	for _, change := range []func(*call){
 		func(c *call) { c.header[HeaderDeadline] = "soon" },
 		func(c *call) { c.key = "wrong" },
@@ -241,17 +234,16 @@
 		for resend, want := range map[string]verdict.Verdict{"": verdict.MayHaveRun, "true": verdict.MayHaveRun, "false": verdict.NotRun} {
 			c := confirm("k", resend)
 			change(&c)
-			r.checkEnd(c, want)
+			r.checkVerdict(c, want)
 		}
 	}
 }
 
-// Symptom: two requests under one key; one caller gets the other's answer.
-// Events: a key is used again with another body.
-// Cause: the key alone taken for the request.
+// Guards against identifying a request by its idempotency key alone: a caller
+// that uses a key again with another body gets the other request's answer.
 func TestKeyWithAnotherBodyIsRefused(t *testing.T) {
 	r := newRig(t)
-	r.checkEnd(confirm("k", ""), verdict.Ran)
+	r.checkVerdict(confirm("k", ""), verdict.Ran)
 	other := confirm("k", "")
 	other.body = "seat 4"
 	resp := r.do(other)
@@ -260,7 +252,7 @@
 	}
 }
 
-// lateRecords keeps claims, and records no end of one.
+// lateRecords grants claims but fails to record their ends.
 type lateRecords struct{ *memClaims }
 
 func (l lateRecords) Propose(ctx context.Context, home string, c claim.Command) (claim.Result, error) {
@@ -270,18 +262,16 @@
 	return l.memClaims.Propose(ctx, home, c)
 }
 
-// Symptom: a caller whose answer was cut off is told that the request still runs, and to
-// come back in a second, though it has ended.
-// Events: the answer is cut; the caller sends the request again at once; the claim's home
-// has not recorded the end yet.
-// Cause: only the home's word was asked, and ends are recorded after they are told.
+// Guards against telling a caller whose answer was cut off that its request still runs: it
+// sends the request again at once, and the region that keeps the claim has not recorded the
+// end yet, as ends are recorded after they are sent to the caller.
 func TestResendBeforeTheEndIsRecorded(t *testing.T) {
 	r := newRig(t, withDeps(func(d *Deps) { d.Claims = lateRecords{newMemClaims()} }))
 	r.plain.SetFaults(standin.Fault{Kind: standin.FaultCut, Count: 1})
-	r.checkEnd(confirm("k", ""), verdict.Ran)
+	r.checkVerdict(confirm("k", ""), verdict.Ran)
 	r.plain.SetFaults()
 	for range 2 {
-		r.checkEnd(confirm("k", "true"), verdict.Ran)
+		r.checkVerdict(confirm("k", "true"), verdict.Ran)
 	}
 	r.checkRuns(confirm("k", "true"), 1)
 }
--- a/pipeline/parse.go
+++ b/pipeline/parse.go
@@ -10,13 +10,14 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// noDeadline takes a deadline off a connection.
+// noDeadline removes the deadline of a connection.
 var noDeadline time.Time
 
 // ParseModel reads a model request and finds its service.
 type ParseModel struct{ directory ports.Directory }
 
-// Serve fills x.Request and x.Service, and refuses what no target should see.
+// Serve fills x.Request, x.Service and x.Adapter. It refuses malformed requests
+// and those that this region may not serve.
 func (f *ParseModel) Serve(x *Exchange, next Handler) error {
 	form := openai.Chat
 	if x.Kind == KindText {
@@ -38,14 +39,14 @@
 	if err := x.setService(s); err != nil {
 		return err
 	}
-	if err := bindRegions(x, f.directory); err != nil {
+	if err := restrictRegions(x, f.directory); err != nil {
 		return err
 	}
 	return next(x)
 }
 
-// PrefixDigests computes the digests by which caches and repeated work are
-// recognised.
+// PrefixDigests computes the digests that identify cached prefixes and repeated
+// work.
 type PrefixDigests struct{}
 
 // Serve fills x.Prefix and x.Digest.
@@ -55,8 +56,8 @@
 	return next(x)
 }
 
-// modelDigest covers what the engine works on, and nothing that differs when
-// the same work is sent again under another id.
+// modelDigest covers the engine's input, and nothing that differs when the same
+// work is sent again under another id.
 func modelDigest(x *Exchange) (d ports.Digest) {
 	h := sha256.New()
 	_, _ = io.WriteString(h, x.Request.Model)
@@ -66,7 +67,7 @@
 	return d
 }
 
-// plainDigest covers method, path and query, and the body where it was read.
+// plainDigest covers method, path and query, and the body if it was read.
 func plainDigest(x *Exchange) (d ports.Digest) {
 	h := sha256.New()
 	_, _ = io.WriteString(h, x.R.Method+" "+x.R.URL.RequestURI()+"\x00")
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -1,8 +1,8 @@
-// Package pipeline takes requests of callers from their headers to their answer.
+// Package pipeline serves callers' requests, from the headers to the answer.
 //
 // A request passes filters in a fixed order; each is a small type in a file of
-// its own that either refuses the request or hands it on. What is decided from
-// headers comes before the body is read.
+// its own that either refuses the request or calls the next one. Whatever can
+// be decided from headers is decided before the body is read.
 package pipeline
 
 import (
@@ -20,52 +20,52 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// Deps are what the request path needs of its host.
+// Deps are the dependencies of the request path.
 type Deps struct {
-	// Instance is this process; its id goes into hops, claims and attempt ids.
+	// Instance identifies this process in hops, claims and attempt ids.
 	Instance claim.Instance
 	// Region and Zone of this instance.
 	Region, Zone string
-	// Decider decides where requests run. Only the pipeline steps it, through
-	// Routing.
+	// Decider decides where requests run. Only Routing may call it.
 	Decider route.Decider
 	Engines ports.Engines
 	Plains  ports.Plains
-	// Forwarder may be nil: nothing is spilled then.
+	// Forwarder may be nil: then nothing is spilled.
 	Forwarder ports.Forwarder
-	// Claims may be nil: work that runs at most once is refused then.
+	// Claims may be nil: then requests that run at most once are refused.
 	Claims ports.Claims
-	// Suspects and Limits may be nil: none are kept then.
+	// Suspects and Limits may be nil: then requests aren't checked for them.
 	Suspects ports.Suspects
 	Limits   ports.Limits
-	// Lone may be nil: requests that must run alone are refused then.
+	// LoneRuns may be nil: then requests that must run alone are refused.
 	LoneRuns ports.LoneRuns
-	// Directory may be nil; it tells callers in a wrong region where to go.
+	// Directory names instances of allowed regions to callers in a wrong region;
+	// may be nil.
 	Directory ports.Directory
-	// Observer may be nil; it is told of each request's end.
+	// Observer receives the outcome of each request; may be nil.
 	Observer Observer
 	Metrics  *metrics.Set
 	Log      *zap.Logger
 	Bounds   Bounds
-	// Now is a clock with a monotonic reading; default time.Now.
+	// Now returns the time with a monotonic reading; default time.Now.
 	Now func() time.Time
 }
 
-// Bounds of what an instance takes on. Zero values mean the defaults.
+// Bounds limit the resources that requests use. Zero values mean the defaults.
 type Bounds struct {
-	// InFlight requests at once; default 8192.
+	// MaxInFlight is the number of requests in flight; default 8192.
 	MaxInFlight int
-	// Held requests that wait for a decision; default 256.
+	// MaxHeld is the number of requests that wait for a decision; default 256.
 	MaxHeld int
-	// BodyBytes of one request; default 4 MiB.
+	// MaxBodyBytes is the size of a request body; default 4 MiB.
 	MaxBodyBytes int64
-	// BodyTime is how long a body may take to come; default 10 s.
+	// BodyTimeout is the time from arrival to a body's end; default 10 s.
 	BodyTimeout time.Duration
-	// MaxDeadline that a caller may ask for; default 1 h.
+	// MaxDeadline is the longest deadline that a caller may set; default 1 h.
 	MaxDeadline time.Duration
-	// JournalBytes of answers kept for resends; default 64 MiB.
+	// MaxAnswerBytes is the size of all answers kept for resends; default 64 MiB.
 	MaxAnswerBytes int64
-	// JournalTime is how long they are kept after their end; default 60 s.
+	// AnswerTTL is how long answers are kept after their end; default 60 s.
 	AnswerTTL time.Duration
 }
 
@@ -99,7 +99,7 @@
 	plain   Handler
 }
 
-// New makes a Pipeline. Requests are refused until SetView was called.
+// New creates a Pipeline. It refuses requests until the first SetView.
 func New(d Deps) *Pipeline {
 	d.Bounds = d.Bounds.withDefaults()
 	if d.Now == nil {
@@ -118,14 +118,14 @@
 		ids:     newIDs(d.Instance),
 		flight:  &inFlight{max: int64(d.Bounds.MaxInFlight)},
 	}
-	forward := &Forward{deps: &p.deps, at: hop.Station{Instance: d.Instance.ID, Region: d.Region}}
+	forward := &Forward{deps: &p.deps, self: hop.Station{Instance: d.Instance.ID, Region: d.Region}}
 	p.claims = newClaiming(&p.deps, p.flight, forward)
 	p.build(forward)
 	d.Metrics.Gauge(metrics.InFlight, p.InFlight)
 	return p
 }
 
-// build joins the filters in the order of the path.
+// build chains the filters in their order.
 func (p *Pipeline) build(forward *Forward) {
 	d := &p.deps
 	head := []Filter{
@@ -133,7 +133,7 @@
 		&Finish{deps: d},
 		&PriorVerdict{},
 		&Admission{flight: p.flight},
-		&HopCheck{at: forward.at},
+		&HopCheck{self: forward.self},
 		&Identify{},
 		&ReadTerms{bounds: d.Bounds},
 		&FindService{},
@@ -166,33 +166,35 @@
 	p.plain = chain(send.Plain, append(append([]Filter{}, head...), plain...)...)
 }
 
-// SetView puts a bundle in force and tells routing its targets.
+// SetView puts a bundle in force and passes its targets to routing.
 func (p *Pipeline) SetView(v *View) {
 	p.view.Store(v)
 	p.budgets.setRatio(v.Bundle.Rules.RetryBudget)
 	p.routing.SetTargets(v.TargetSpecs())
 }
 
-// View returns the bundle in force; nil before the first.
+// View returns the view of the bundle in force; nil before the first SetView.
 func (p *Pipeline) View() *View { return p.view.Load() }
 
-// Routing gives the host what it steps with reports, events and summaries.
+// Routing returns the routing state, which the host updates with load reports,
+// cache events and region summaries.
 func (p *Pipeline) Routing() *Routing { return p.routing }
 
-// InFlight is the number of requests under way.
+// InFlight returns the number of requests in flight.
 func (p *Pipeline) InFlight() int64 { return p.flight.n.Load() }
 
-// Run records the ends of claimed requests until ctx ends. It must run while
+// Run records how claimed requests ended, until ctx ends. It must run while
 // requests are served.
 func (p *Pipeline) Run(ctx context.Context) { p.claims.Run(ctx) }
 
-// Handler serves requests of one kind from callers.
+// Handler returns the handler of callers' requests of one kind.
 func (p *Pipeline) Handler(k Kind) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { p.serve(w, r, k, "") })
 }
 
-// PeerHandler serves requests that other instances pass on. peer names the
-// instance by the certificate of its connection; an empty name is refused.
+// PeerHandler returns the handler of requests that other instances forward.
+// peer returns the name in the certificate of the connection; a request with an
+// empty name is refused.
 func (p *Pipeline) PeerHandler(k Kind, peer func(*http.Request) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := peer(r)
--- a/pipeline/priorverdict.go
+++ b/pipeline/priorverdict.go
@@ -5,26 +5,28 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Floor sets what earlier sendings of the same key may have reached.
+// PriorVerdict sets the verdict that earlier requests with the same idempotency
+// key may have reached.
 //
-// A resend that is refused here, say for its workspace's limit, wasn't run by
-// this sending, but the one before may have. "Not run" would then be a wrong
-// word about the request. So it is said only if the caller marked the sending
-// as the first one, sent no key, or the claim's owner knows better.
+// If a resend is refused here, for example by its workspace's limit, this
+// attempt did not run, but an earlier one may have, and the verdict "not run"
+// would be wrong. So it is given only if the caller marked the request as the
+// first one, sent no key, or the claim's owner knows that nothing ran.
 type PriorVerdict struct{}
 
-// Serve sets x.Floor from headers alone.
+// Serve sets x.PriorVerdict, from headers alone.
 func (*PriorVerdict) Serve(x *Exchange, next Handler) error {
 	h := x.R.Header
-	mark := sendingMark(h.Get(HeaderResend))
+	mark := parseMark(h.Get(HeaderResend))
 	if mark == claim.Resend || (h.Get(HeaderIdempotencyKey) != "" && mark != claim.First) {
 		x.PriorVerdict = verdict.MayHaveRun
 	}
 	return next(x)
 }
 
-// sendingMark reads the resend header: "true", "false", or nothing known.
-func sendingMark(text string) claim.Sending {
+// parseMark reads the resend header: "true" is a resend, "false" a first request;
+// anything else is unmarked.
+func parseMark(text string) claim.Sending {
 	switch text {
 	case "true":
 		return claim.Resend
--- a/pipeline/promise_test.go
+++ b/pipeline/promise_test.go
@@ -13,11 +13,9 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// Symptom: a caller reads a garbled answer, or part of one as if it were whole.
-// Events: the engine gives a chunk twice, early, late, to the wrong attempt, or
-// not at all; or the stream ends before its end mark, cleanly or not.
-// Cause: a relay that passes on what comes, and takes the end of the bytes for
-// the end of the answer.
+// Guards against garbled or partial answers that look whole: the engine sends a
+// chunk twice, out of order, late, of another attempt or not at all, or the
+// stream ends before its end mark, and the relay copies bytes without checking.
 func TestAnswersAreWholeOrEndWithAnError(t *testing.T) {
 	const prompt, tokens = "dossier 12", 12
 	for _, c := range []struct {
@@ -62,9 +60,9 @@
 	}
 }
 
-// Symptom: a caller is told "not run", sends again, and the work is done twice.
-// Events: a target takes a request and then breaks, rejects it, or is not there.
-// Cause: a verdict by the kind of the last error alone.
+// Guards against the verdict "not run" for a request that may have run: a target
+// accepts it and breaks, rejects it, or can't be reached, and the verdict comes
+// from the last error alone. The caller sends the request again and it runs twice.
 func TestVerdictsOfFailures(t *testing.T) {
 	for _, c := range []struct {
 		kind standin.FaultKind
@@ -86,7 +84,7 @@
 	}
 	t.Run("crash, then rejected", func(t *testing.T) {
 		r := newRig(t, withEngines(2, standin.EngineConfig{}), withDeps(func(d *Deps) {
-			d.Decider = ordered{d.Decider, []route.TargetID{"runner-0", "runner-1"}}
+			d.Decider = orderedDecider{d.Decider, []route.TargetID{"runner-0", "runner-1"}}
 		}))
 		r.engines[0].SetFaults(standin.Fault{Kind: standin.FaultCrash})
 		r.engines[1].SetFaults(standin.Fault{Kind: standin.FaultReject})
@@ -101,15 +99,14 @@
 		r.p.SetView(NewView(r.b, "", "jatim"))
 		resp := r.do(call{body: chat("p", true, 4)})
 		if got := readRefusal(t, resp); got.Verdict != verdict.NotRun || resp.Header.Get("Retry-After") == "" {
-			t.Fatalf("%+v, come back %q", got, resp.Header.Get("Retry-After"))
+			t.Fatalf("%+v, Retry-After %q", got, resp.Header.Get("Retry-After"))
 		}
 	})
 }
 
-// Symptom: a caller gets the answer to another's request.
-// Events: many requests run at once over kept connections, some answered late,
-// twice, or as another attempt.
-// Cause: answers matched to requests by order or by connection.
+// Guards against answers that reach the wrong caller because they are matched to
+// requests by order or by connection: many requests run at once over reused
+// connections, and some answers are cut, duplicated or of another attempt.
 func TestWholeAnswersToTheRightCallers(t *testing.T) {
 	r := newRig(t, withEngines(3, standin.EngineConfig{Slots: 64}))
 	for _, e := range r.engines {
@@ -126,7 +123,7 @@
 			prompt := fmt.Sprintf("request %d x%d", i, i%6)
 			resp := r.do(call{body: chat(prompt, true, 8)})
 			if resp.StatusCode != http.StatusOK && i%6 == 3 {
-				return // each target answered it as another attempt
+				return // each target answered as another attempt
 			}
 			got := readStream(t, resp.Body)
 			if got.err == nil && (!got.ended || got.text != answerTo(prompt, 8)) {
@@ -140,11 +137,10 @@
 	wait.Wait()
 }
 
-// Symptom: data of a bound request is read where it must not be.
-// Events: a caller sends it to an instance of another region.
-// Cause: residency decided after the body was read, or by the body.
+// Guards against reading a request's body in a region that its residency
+// excludes, because residency is decided after the body was read, or from it.
 func TestResidencyIsDecidedBeforeTheBody(t *testing.T) {
-	bound := func(b *bundle.Bundle) {
+	restricted := func(b *bundle.Bundle) {
 		b.Services = append(b.Services, bundle.Service{ID: "bali-llm", Kind: bundle.KindModel, Residency: []string{"bali"}})
 	}
 	for _, c := range []struct {
@@ -155,12 +151,12 @@
 		option rigOption
 		status int
 	}{
-		{"by workspace", boundKey, nil, "", nil, http.StatusMisdirectedRequest},
+		{"by workspace", restrictedKey, nil, "", nil, http.StatusMisdirectedRequest},
 		{"by header", testKey, map[string]string{HeaderResidency: "bali"}, "", nil, http.StatusMisdirectedRequest},
-		{"by workspace, plain", boundKey, nil, "/services/lookups/x", nil, http.StatusMisdirectedRequest},
-		{"by service", testKey, map[string]string{HeaderService: "bali-llm"}, "", withBundle(bound), http.StatusMisdirectedRequest},
-		{"service not named", testKey, nil, "", withBundle(bound), http.StatusPreconditionRequired},
-		{"no region left", boundKey, map[string]string{HeaderResidency: "jatim"}, "", nil, http.StatusBadRequest},
+		{"by workspace, plain", restrictedKey, nil, "/services/lookups/x", nil, http.StatusMisdirectedRequest},
+		{"by service", testKey, map[string]string{HeaderService: "bali-llm"}, "", withBundle(restricted), http.StatusMisdirectedRequest},
+		{"service not named", testKey, nil, "", withBundle(restricted), http.StatusPreconditionRequired},
+		{"no region left", restrictedKey, map[string]string{HeaderResidency: "jatim"}, "", nil, http.StatusBadRequest},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			options := []rigOption{}
@@ -168,7 +164,7 @@
 				options = append(options, c.option)
 			}
 			r := newRig(t, options...)
-			body := &untouchable{}
+			body := &countingBody{}
 			resp := r.serveBody(c.path, c.key, c.header, body)
 			if resp.StatusCode != c.status || body.reads != 0 {
 				t.Fatalf("status %d after %d reads of the body", resp.StatusCode, body.reads)
@@ -177,16 +173,15 @@
 				t.Fatalf("%+v", got)
 			}
 			if c.status == http.StatusMisdirectedRequest && resp.Header.Get(HeaderRegions) != "bali" {
-				t.Fatalf("told to go to %q", resp.Header.Get(HeaderRegions))
+				t.Fatalf("regions header %q", resp.Header.Get(HeaderRegions))
 			}
 		})
 	}
 }
 
-// Symptom: a leaving target gets new work.
-// Events: a bundle that marks it leaving comes into force while requests of the
-// old view are held or retried.
-// Cause: the decision trusted, and the view of the request's arrival.
+// Guards against new work for a leaving target: a bundle that marks it as leaving
+// comes into force while requests of the old view are held or retried, and the
+// decision is followed without a check against the new view.
 func TestLeavingTargetsGetNoNewWork(t *testing.T) {
 	r := newRig(t, withEngines(2, standin.EngineConfig{}))
 	left := *r.b
@@ -196,7 +191,7 @@
 			left.Targets[i].State = bundle.TargetLeaving
 		}
 	}
-	// Only the view changes; routing still holds both targets for active.
+	// Only the view changes; for routing both targets are still active.
 	r.p.view.Store(NewView(&left, "", "jatim"))
 	for i := range 20 {
 		readStream(t, r.do(call{body: chat(fmt.Sprint(i), true, 2)}).Body)
@@ -209,10 +204,8 @@
 	}
 }
 
-// Symptom: a target learns the workspace's key; or its answer tells callers a
-// verdict of its own.
-// Events: a plain request and its answer pass with their headers.
-// Cause: all headers copied.
+// Guards against copying all headers of plain requests and answers: the target
+// would get the workspace's key, and could send callers a verdict.
 func TestHeadersOfPlainServices(t *testing.T) {
 	r := newRig(t)
 	var seen http.Header
--- a/pipeline/recent.go
+++ b/pipeline/recent.go
@@ -8,20 +8,19 @@
 )
 
 const (
-	// recentTime is how long an end is remembered: the claim's home may still tell that the
-	// request runs until it has recorded the end, and such a word is on its way for as long
-	// as a question to it may take.
-	recentTime = 2 * claim.ClaimWait
-	// maxRecent bounds the ends that are remembered; those beyond it are not.
+	// recentTTL is how long an end is remembered. Until the region that keeps the claim has
+	// recorded the end, it may answer that the request runs, and such an answer can be on
+	// its way for as long as a call there may take.
+	recentTTL = 2 * claim.ClaimWait
+	// maxRecent bounds the ends that are remembered; further ones are dropped.
 	maxRecent = 4096
 )
 
-// recentEnds are the ends of claimed requests that ran at this instance and whose answers
-// are not kept here.
+// recentEnds holds the ends of claimed requests that ran at this instance and whose answers
+// are not buffered here.
 //
-// What goes wrong without them: a caller whose answer was cut off sends the request again at
-// once, before the claim's home has recorded the end, and is told that the request still
-// runs, to come back in a second.
+// Without it, a caller whose answer was cut off and who sends the request again at once,
+// before the end is recorded, is told that the request still runs and to retry in a second.
 type recentEnds struct {
 	mu    sync.Mutex
 	byKey map[claim.Key]claim.Finish
@@ -29,7 +28,7 @@
 
 func newRecentEnds() *recentEnds { return &recentEnds{byKey: map[claim.Key]claim.Finish{}} }
 
-// add remembers the end that a command records, if it is one.
+// add remembers the end that a command records, if it records one.
 func (r *recentEnds) add(c *claim.Command) {
 	if c == nil || c.Finish == nil {
 		return
@@ -41,7 +40,7 @@
 		return
 	}
 	r.byKey[end.Key] = end
-	time.AfterFunc(recentTime, func() { r.forget(end) })
+	time.AfterFunc(recentTTL, func() { r.forget(end) })
 }
 
 func (r *recentEnds) forget(end claim.Finish) {
@@ -52,7 +51,7 @@
 	}
 }
 
-// find returns the end of an attempt, as the claim's home will tell it.
+// find returns the end of an attempt, as the region that keeps the claim will report it.
 func (r *recentEnds) find(k claim.Key, attempt claim.AttemptID) (claim.Result, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pipeline/recorder.go
+++ b/pipeline/recorder.go
@@ -12,68 +12,73 @@
 )
 
 const (
-	// recordRing bounds the ends of claims that wait for one home.
-	recordRing = 4096
-	// recordWorkers record at one home at once; each waits for a commit there.
+	// recordQueueSize bounds the ends of claims that wait for one region.
+	recordQueueSize = 4096
+	// recordWorkers is the number of concurrent records at one region; each waits
+	// for a commit there.
 	recordWorkers = 16
-	// recordTry bounds one try.
-	recordTry = 5 * time.Second
-	// Pauses between tries.
-	recordPause    = 100 * time.Millisecond
-	recordMaxPause = 5 * time.Second
-	// recordTries bounds the tries; the record counts as MayHaveRun afterwards.
-	recordTries = 200
+	// recordTimeout bounds one attempt to record.
+	recordTimeout = 5 * time.Second
+	// recordBackoff is the first delay between attempts; it doubles up to
+	// recordMaxBackoff.
+	recordBackoff    = 100 * time.Millisecond
+	recordMaxBackoff = 5 * time.Second
+	// maxRecordAttempts bounds the attempts to record one end; after them the
+	// claim counts as MayHaveRun.
+	maxRecordAttempts = 200
 )
 
-// recorder tells the homes of claims how claimed requests ended. An end that is
-// lost leaves the claim running until it counts as "may have run": too careful,
-// never wrong.
+// recorder records how claimed requests ended, at the region that keeps the
+// claim. An end that is lost leaves the claim running until it counts as "may
+// have run", which is too careful but never wrong.
 type recorder struct {
-	claims  ports.Claims
-	metrics *metrics.Set
-	mu      sync.Mutex
-	homes   map[string]*ring.Ring[claim.Command]
-	started chan string
+	claims     ports.Claims
+	metrics    *metrics.Set
+	mu         sync.Mutex
+	queues     map[string]*ring.Ring[claim.Command]
+	newRegions chan string
 }
 
-// maxHomes bounds the regions that claims go to.
-const maxHomes = 256
+// maxClaimRegions bounds the regions that keep claims.
+const maxClaimRegions = 256
 
 func newRecorder(c ports.Claims, m *metrics.Set) *recorder {
-	return &recorder{claims: c, metrics: m, homes: map[string]*ring.Ring[claim.Command]{}, started: make(chan string, maxHomes)}
+	return &recorder{claims: c, metrics: m, queues: map[string]*ring.Ring[claim.Command]{}, newRegions: make(chan string, maxClaimRegions)}
 }
 
-// push hands a command on; nil is left out.
-func (r *recorder) push(home string, c *claim.Command) {
+// push queues a command for a region; a nil command is ignored. A command for
+// which the queue has no room is dropped and counted.
+func (r *recorder) push(region string, c *claim.Command) {
 	if c == nil {
 		return
 	}
-	if !r.ring(home).TryPush(*c) {
+	if !r.queue(region).TryPush(*c) {
 		r.metrics.ClaimsUnrecorded.Inc(1)
 	}
 }
 
-func (r *recorder) ring(home string) *ring.Ring[claim.Command] {
+func (r *recorder) queue(region string) *ring.Ring[claim.Command] {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	q, ok := r.homes[home]
+	q, ok := r.queues[region]
 	if !ok {
-		q = ring.New[claim.Command](recordRing)
-		r.homes[home] = q
-		r.started <- home
+		q = ring.New[claim.Command](recordQueueSize)
+		r.queues[region] = q
+		r.newRegions <- region
 	}
 	return q
 }
 
-// run starts the workers of each home, until ctx ends.
+// run starts the workers of each region as it is first used. It returns when
+// ctx has ended and all workers have stopped.
 func (r *recorder) run(ctx context.Context) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	for {
 		select {
-		case home := <-r.started:
+		case region := <-r.newRegions:
 			for range recordWorkers {
-				workers.Go(func() { r.work(ctx, home) })
+				workers.Go(func() { r.work(ctx, region) })
 			}
 		case <-ctx.Done():
 			return
@@ -81,14 +86,14 @@
 	}
 }
 
-func (r *recorder) work(ctx context.Context, home string) {
-	q := r.ring(home)
+func (r *recorder) work(ctx context.Context, region string) {
+	q := r.queue(region)
 	for {
 		c, err := q.Pop(ctx)
 		if err != nil {
 			return
 		}
-		if r.record(ctx, home, c) {
+		if r.record(ctx, region, c) {
 			r.metrics.ClaimsRecorded.Inc(1)
 		} else {
 			r.metrics.ClaimsUnrecorded.Inc(1)
@@ -96,22 +101,23 @@
 	}
 }
 
-// record tries until the home has answered.
-func (r *recorder) record(ctx context.Context, home string, c claim.Command) bool {
-	pause := recordPause
-	for range recordTries {
-		try, cancel := context.WithTimeout(ctx, recordTry)
-		res, err := r.claims.Propose(try, home, c)
+// record proposes a command until the region has answered, the attempts are used
+// up or ctx ends. It reports whether the command was accepted.
+func (r *recorder) record(ctx context.Context, region string, c claim.Command) bool {
+	backoff := recordBackoff
+	for range maxRecordAttempts {
+		proposeCtx, cancel := context.WithTimeout(ctx, recordTimeout)
+		res, err := r.claims.Propose(proposeCtx, region, c)
 		cancel()
 		if err == nil {
 			return res.Reply == claim.Accepted
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 			return false
 		}
-		pause = min(2*pause, recordMaxPause)
+		backoff = min(2*backoff, recordMaxBackoff)
 	}
 	return false
 }
--- a/pipeline/refusal.go
+++ b/pipeline/refusal.go
@@ -16,16 +16,16 @@
 	Error RefusalDetail `json:"error"`
 }
 
-// RefusalDetail tells a program what happened and whether to come back.
+// RefusalDetail says what happened and whether a retry can help.
 type RefusalDetail struct {
 	Code    verdict.Code    `json:"code"`
 	Verdict verdict.Verdict `json:"verdict"`
 	Message string          `json:"message"`
-	// RetryAfterMillis is left out where coming back later makes no difference.
+	// RetryAfterMillis is 0 and left out where a later retry makes no difference.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// RefusalOf is the body for an error. Its underlying error isn't shown.
+// RefusalOf returns the body for an error, without the underlying error.
 func RefusalOf(e *verdict.Error) Refusal {
 	return Refusal{Error: RefusalDetail{
 		Code:             e.Code,
@@ -39,7 +39,7 @@
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// WriteRefusal answers with an error.
+// WriteRefusal writes an error as the response, with status, headers and body.
 func WriteRefusal(w http.ResponseWriter, e *verdict.Error) {
 	body, _ := json.Marshal(RefusalOf(e))
 	h := w.Header()
@@ -53,8 +53,8 @@
 	_, _ = w.Write(body)
 }
 
-// errorEvent is the last event of a stream that ends early. No end mark
-// follows, so that the answer can't be taken for a whole one.
+// errorEvent returns the last event of a stream that ends early. No end mark
+// may follow it, so that the answer can't be taken for a whole one.
 func errorEvent(e *verdict.Error) []byte {
 	body, _ := json.Marshal(RefusalOf(e))
 	event := append([]byte("event: error\ndata: "), body...)
--- a/pipeline/relay.go
+++ b/pipeline/relay.go
@@ -11,20 +11,20 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// writeGrace is how long after the deadline a slow caller may still take the
-// end of its answer in. Without a bound such a caller would hold its target's
-// slot for as long as it likes.
+// writeGrace is how long after the deadline a slow caller may still read its
+// answer. Without a bound, such a caller could hold its target's slot for any
+// time.
 const writeGrace = time.Second
 
-// maxKeptEvent bounds the buffer kept for building events.
-const maxKeptEvent = 64 << 10
+// maxEventBufferBytes bounds the buffer that is kept between events.
+const maxEventBufferBytes = 64 << 10
 
-// relay passes one answer on to the caller.
+// relay writes one answer to the caller.
 type relay struct {
 	x       *Exchange
 	attempt *attempt
 	flush   func() error
-	// last is the number of the last chunk passed on.
+	// last is the number of the last relayed chunk.
 	last   uint64
 	buf    []byte
 	stream ports.Stream
@@ -35,10 +35,10 @@
 	return &relay{x: x, attempt: a, flush: http.NewResponseController(x.W).Flush}
 }
 
-// pass passes a stream on from its chunk first to its end mark.
-func (r *relay) pass(first ports.Chunk) error {
+// relayStream relays r.stream, from its chunk first to its end mark.
+func (r *relay) relayStream(first ports.Chunk) error {
 	if !r.x.streamed() {
-		return r.passWhole(r.stream, first)
+		return r.writeWhole(r.stream, first)
 	}
 	for c := first; ; {
 		if err := r.chunk(c, !r.stream.Buffered()); err != nil {
@@ -55,13 +55,14 @@
 	}
 }
 
-// next is the next chunk, from another target if the stream is to be moved.
+// next returns the next chunk, from another target if the stream was due to be
+// moved.
 func (r *relay) next() (ports.Chunk, error) {
 	if !r.moving.due(r.attempt) {
 		return r.stream.Next()
 	}
-	// Nothing that is passed on may wait for the move.
-	if err := r.gone(r.flush()); err != nil {
+	// What was relayed must not wait for the move.
+	if err := r.callerGone(r.flush()); err != nil {
 		return ports.Chunk{}, err
 	}
 	m, ok := r.moving.try(r.attempt, r.last)
@@ -69,7 +70,7 @@
 		return r.stream.Next()
 	}
 	old := *r.attempt
-	r.moving.leave(&old, r.stream)
+	r.moving.releaseSource(&old, r.stream)
 	*r.attempt, r.stream = *m.attempt, m.stream
 	r.x.target = r.attempt.decision.Target
 	if m.ended {
@@ -78,8 +79,9 @@
 	return m.first, nil
 }
 
-// passWhole writes nothing before the answer is known to be whole.
-func (r *relay) passWhole(s ports.Stream, c ports.Chunk) error {
+// writeWhole writes an answer of one chunk. It writes nothing before the answer
+// is known to be whole.
+func (r *relay) writeWhole(s ports.Stream, c ports.Chunk) error {
 	if _, err := s.Next(); err != io.EOF {
 		return verdict.New(verdict.Ran, ports.CodeTarget, "more follows a whole answer")
 	}
@@ -91,7 +93,7 @@
 	return r.write(c.Data)
 }
 
-// head starts the answer to the caller.
+// head writes the status and the headers of the answer.
 func (r *relay) head(status int) {
 	x := r.x
 	x.W.Header().Set(HeaderVerdict, verdict.Ran.String())
@@ -107,7 +109,7 @@
 		h.Set("Content-Type", ports.ContentTypeEvents)
 		h.Set("Cache-Control", "no-cache")
 		r.head(http.StatusOK)
-		r.x.letGo()
+		r.x.releaseBody()
 	}
 	if err := r.event(c.Data); err != nil {
 		return err
@@ -118,7 +120,7 @@
 	if !flush {
 		return nil
 	}
-	return r.gone(r.flush())
+	return r.callerGone(r.flush())
 }
 
 // end writes the end mark.
@@ -126,10 +128,10 @@
 	if err := r.event([]byte(ports.EndMark)); err != nil {
 		return err
 	}
-	return r.gone(r.flush())
+	return r.callerGone(r.flush())
 }
 
-// event writes data as one event; each of its lines is a field of its own.
+// event writes data as one event, with a data field for each line.
 func (r *relay) event(data []byte) error {
 	b := r.buf[:0]
 	for len(data) > 0 {
@@ -140,7 +142,7 @@
 		data = rest
 	}
 	b = append(b, '\n')
-	if cap(b) <= maxKeptEvent {
+	if cap(b) <= maxEventBufferBytes {
 		r.buf = b
 	}
 	return r.write(b)
@@ -148,11 +150,11 @@
 
 func (r *relay) write(b []byte) error {
 	_, err := r.x.W.Write(b)
-	return r.gone(err)
+	return r.callerGone(err)
 }
 
-// gone takes a failed write as the caller having left.
-func (r *relay) gone(err error) error {
+// callerGone turns the error of a write into one that says that the caller left.
+func (r *relay) callerGone(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/pipeline/requestid.go
+++ b/pipeline/requestid.go
@@ -11,13 +11,13 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// maxIDBytes bounds a request id taken over from another instance.
+// maxIDBytes bounds a request id that another instance gave.
 const maxIDBytes = 64
 
-// ids makes names that are unique over instances and restarts: each process
-// draws a random start.
+// ids creates ids that are unique over instances and restarts: each process
+// draws a random prefix.
 type ids struct {
-	start    string
+	prefix   string
 	requests atomic.Uint64
 	attempts atomic.Uint64
 }
@@ -25,24 +25,24 @@
 func newIDs(i claim.Instance) *ids {
 	var b [6]byte
 	_, _ = rand.Read(b[:])
-	return &ids{start: i.ID + "-" + hex.EncodeToString(b[:]) + "-"}
+	return &ids{prefix: i.ID + "-" + hex.EncodeToString(b[:]) + "-"}
 }
 
 func (n *ids) request() (uint64, string) {
 	k := n.requests.Add(1)
-	return k, n.start + strconv.FormatUint(k, 36)
+	return k, n.prefix + strconv.FormatUint(k, 36)
 }
 
 func (n *ids) attempt() (route.AttemptID, ports.AttemptID) {
 	k := n.attempts.Add(1)
-	return route.AttemptID(k), ports.AttemptID(n.start + "a" + strconv.FormatUint(k, 36))
+	return route.AttemptID(k), ports.AttemptID(n.prefix + "a" + strconv.FormatUint(k, 36))
 }
 
-// RequestID names the request. The name of another instance is kept, so that
-// one request has one name wherever it runs.
+// RequestID sets the id of the request. It keeps an id given by another
+// instance, so that a request has the same id wherever it runs.
 type RequestID struct{ ids *ids }
 
-// Serve sets the id and tells it to the caller.
+// Serve sets x.Number, x.ID and the response header.
 func (f *RequestID) Serve(x *Exchange, next Handler) error {
 	x.Number, x.ID = f.ids.request()
 	if given := x.R.Header.Get(HeaderRequestID); x.Peer != "" && given != "" && len(given) <= maxIDBytes {
--- a/pipeline/residency.go
+++ b/pipeline/residency.go
@@ -9,24 +9,24 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// servicePath is where plain services stand: /services/{service}/{path...}.
+// servicePath is the path of plain services: /services/{service}/{path...}.
 const servicePath = "/services/"
 
-// NameService finds the service that headers or path name.
+// FindService finds the service that the headers or the path name.
 //
-// A model request names its service in the body. Where some model service may
-// not be touched in this region, the body can't be read to find out whether it
-// is that one, so the header is required there.
+// A model request names its service in the body. Where the residency of some
+// model service excludes this region, the body must not be read to find out
+// whether it names that one, so the header is required there.
 type FindService struct{}
 
-// Serve sets x.Service where it is known before the body.
+// Serve sets x.Service where headers or path name it.
 func (*FindService) Serve(x *Exchange, next Handler) error {
 	if x.Kind == KindPlain {
 		return namePlain(x, next)
 	}
 	name := x.R.Header.Get(HeaderService)
 	if name == "" {
-		if x.View.boundModels {
+		if x.View.restrictedModels {
 			return refuse(CodeServiceHeader, HeaderService+" is required in this region, since it may not read every service's requests")
 		}
 		return next(x)
@@ -55,22 +55,22 @@
 	return next(x)
 }
 
-// quoted bounds a caller's text that stands in a message.
+// quoted quotes a caller's text for a message, up to 64 bytes of it.
 func quoted(s string) string { return `"` + s[:min(len(s), 64)] + `"` }
 
-// Residency refuses a request that this region may not touch, before its body
-// is read, and says where to go.
+// Residency refuses a request that this region may not process, before its body
+// is read, and names the regions that may.
 type Residency struct{ directory ports.Directory }
 
-// Serve decides x.Regions from headers, workspace and, where known, service.
+// Serve fills x.Regions from headers, workspace and, where known, service.
 func (f *Residency) Serve(x *Exchange, next Handler) error {
-	if err := bindRegions(x, f.directory); err != nil {
+	if err := restrictRegions(x, f.directory); err != nil {
 		return err
 	}
 	return next(x)
 }
 
-func bindRegions(x *Exchange, directory ports.Directory) error {
+func restrictRegions(x *Exchange, directory ports.Directory) error {
 	lists := [][]string{x.Workspace.Residency, x.Terms.Residency}
 	if x.Service != nil {
 		lists = append(lists, x.Service.Residency)
@@ -80,31 +80,32 @@
 		return refuse(CodeWrongHeader, "no region is allowed by the workspace, the service and "+HeaderResidency+" together")
 	}
 	x.Regions = regions
-	if mayTouch(regions, x.View.Region) {
+	if regionAllowed(regions, x.View.Region) {
 		return nil
 	}
 	return wrongRegion(x, directory)
 }
 
-// intersect returns the regions in all lists; an empty list allows any. It
-// reports false if none is left.
+// intersect returns the regions that are in all lists; an empty list allows any.
+// It reports false if no region is in all of them.
 func intersect(lists [][]string) ([]string, bool) {
 	var out []string
-	bound := false
+	restricted := false
 	for _, l := range lists {
 		switch {
 		case len(l) == 0:
-		case !bound:
-			out, bound = slices.Clone(l), true
+		case !restricted:
+			out, restricted = slices.Clone(l), true
 		default:
 			out = slices.DeleteFunc(out, func(r string) bool { return !slices.Contains(l, r) })
 		}
 	}
-	return out, !bound || len(out) > 0
+	return out, !restricted || len(out) > 0
 }
 
-// wrongRegion closes the connection after the refusal: net/http would else read
-// the rest of the body, which must not come in here.
+// wrongRegion returns the refusal with the regions to use. It has the connection
+// closed: otherwise net/http would read the rest of the body, which must not
+// enter this region.
 func wrongRegion(x *Exchange, directory ports.Directory) *verdict.Error {
 	h := x.W.Header()
 	h.Set("Connection", "close")
--- a/pipeline/rig_test.go
+++ b/pipeline/rig_test.go
@@ -29,11 +29,11 @@
 
 const (
 	testKey = "key-of-agents"
-	// boundKey belongs to a workspace that only the region bali may touch.
-	boundKey = "key-of-bound"
+	// restrictedKey belongs to a workspace whose residency is the region bali.
+	restrictedKey = "key-of-bound"
 )
 
-// rig is one instance of region jatim with stand-in targets on loopback.
+// rig is an instance of region jatim with stand-in targets on loopback.
 type rig struct {
 	t       testing.TB
 	deps    Deps
@@ -93,7 +93,7 @@
 	return r
 }
 
-// serveTargets puts the stand-ins behind listeners and into the bundle.
+// serveTargets serves the stand-ins and adds them to the bundle.
 func (r *rig) serveTargets() {
 	for i, e := range r.engines {
 		r.addTarget("briefing-llm", fmt.Sprintf("runner-%d", i), r.listen(e))
@@ -144,7 +144,7 @@
 		},
 		Workspaces: []bundle.Workspace{
 			{ID: "agents", KeyHashes: []string{keyHash(testKey)}, Home: "jatim", MaxPriority: 7, Weight: 1},
-			{ID: "bound", KeyHashes: []string{keyHash(boundKey)}, Home: "bali", Residency: []string{"bali"}, Weight: 1},
+			{ID: "bound", KeyHashes: []string{keyHash(restrictedKey)}, Home: "bali", Residency: []string{"bali"}, Weight: 1},
 		},
 		Rules: bundle.Rules{MaxAttempts: 3, RetryBudget: 0.2, ClaimLifetimeSeconds: 3600},
 	}
@@ -207,7 +207,7 @@
 	return string(body)
 }
 
-// answerTo is the whole answer that the stand-in gives to chat.
+// answerTo returns the whole answer that the stand-in gives to chat.
 func answerTo(prompt string, tokens int) string {
 	req, err := openai.Parse(openai.Chat, []byte(chat(prompt, true, tokens)))
 	if err != nil {
@@ -216,7 +216,7 @@
 	return standin.Answer(req.Prompt, tokens)
 }
 
-// streamed is what came of a streamed answer.
+// streamed is a streamed answer as it was read.
 type streamed struct {
 	text  string
 	ended bool
@@ -283,7 +283,7 @@
 	return r.Error
 }
 
-// memClaims is the table of claims without a log.
+// memClaims is a table of claims without a log.
 type memClaims struct {
 	mu    sync.Mutex
 	table *claim.Table
@@ -313,15 +313,15 @@
 	return m.table.Step(c), nil
 }
 
-// untouchable is a body that counts its reads.
-type untouchable struct{ reads int }
+// countingBody is a body that counts its reads.
+type countingBody struct{ reads int }
 
-func (u *untouchable) Read([]byte) (int, error) {
+func (u *countingBody) Read([]byte) (int, error) {
 	u.reads++
 	return 0, io.ErrUnexpectedEOF
 }
 
-// serveBody gives a request with this body straight to the handler.
+// serveBody passes a request with this body to the handler, without a connection.
 func (r *rig) serveBody(path, key string, header map[string]string, body io.Reader) *http.Response {
 	if path == "" {
 		path = "/v1/chat/completions"
--- a/pipeline/routing.go
+++ b/pipeline/routing.go
@@ -10,12 +10,12 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// wakePerEnd is how many held requests decide again when an attempt ends.
+// wakePerEnd is the number of held requests woken when an attempt ends.
 const wakePerEnd = 2
 
-// Routing steps a Decider under a lock, for the request path and for the host's
-// reports. A decision and the record of its sending are one step, so that two
-// requests can't both be sent on the same idle slot.
+// Routing calls a Decider under a lock, for the request path and for the host's
+// updates. A decision and the record of its attempt are one step, so that two
+// requests can't both be sent to the same idle slot.
 type Routing struct {
 	mu      sync.Mutex
 	d       route.Decider
@@ -24,8 +24,8 @@
 	held    []chan struct{}
 
 	reserved atomic.Pointer[[]route.TargetID]
-	// leaving holds since when targets have been leaving; it is replaced, never
-	// changed.
+	// leaving holds since when targets have been leaving. The map is immutable
+	// and replaced at each change.
 	leaving atomic.Pointer[leavingTimes]
 }
 
@@ -33,7 +33,7 @@
 	return &Routing{d: d, now: now, maxHeld: maxHeld}
 }
 
-// Decide asks for a decision; a Send is recorded under attempt a.
+// Decide returns a decision for q; a Send is recorded as attempt a.
 func (r *Routing) Decide(a route.AttemptID, q *route.Request) route.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,21 +45,21 @@
 	return d
 }
 
-// SentTo records a sending that was decided elsewhere.
+// RecordSent records an attempt that was not decided by Decide.
 func (r *Routing) RecordSent(a route.AttemptID, q *route.Request, d route.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.d.Sent(r.now(), a, q, d)
 }
 
-// SetReserved replaces the targets kept free for lone runs, of any instance of
-// the region. They get nothing else.
+// SetReserved replaces the targets that are reserved for lone runs, of any
+// instance of the region. They get no other requests.
 func (r *Routing) SetReserved(targets []route.TargetID) {
 	list := slices.Clone(targets)
 	r.reserved.Store(&list)
 }
 
-// Reserved returns a copy of the targets kept free.
+// Reserved returns a copy of the reserved targets.
 func (r *Routing) Reserved() []route.TargetID {
 	list := r.reserved.Load()
 	if list == nil || len(*list) == 0 {
@@ -75,7 +75,7 @@
 	r.d.FirstToken(r.now(), a)
 }
 
-// Ended records an attempt's end and lets held requests decide again.
+// Ended records an attempt's end and wakes held requests.
 func (r *Routing) Ended(e route.End) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,8 +87,8 @@
 	r.held = r.held[n:]
 }
 
-// Hold waits until the time given, an attempt's end, or ctx's. It reports false
-// at once if too many are held.
+// Hold waits until the given time, an attempt's end, or ctx's end. It reports
+// false at once if too many requests are held.
 func (r *Routing) Hold(ctx context.Context, until time.Time) bool {
 	c := make(chan struct{})
 	r.mu.Lock()
@@ -106,11 +106,11 @@
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	r.unhold(c)
+	r.removeHeld(c)
 	return true
 }
 
-func (r *Routing) unhold(c chan struct{}) {
+func (r *Routing) removeHeld(c chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.held {
@@ -121,7 +121,7 @@
 	}
 }
 
-// SetTargets replaces the targets known.
+// SetTargets replaces the known targets.
 func (r *Routing) SetTargets(specs []route.TargetSpec) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,18 +130,19 @@
 	r.leaving.Store(r.leaving.Load().update(now, specs))
 }
 
-// SetLinks replaces the neighbours known.
+// SetLinks replaces the links to neighbour regions.
 func (r *Routing) SetLinks(links []route.Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.d.SetLinks(r.now(), links)
 }
 
-// instanceCounter is a Decider that cares how many instances decide alike.
+// instanceCounter is a Decider that uses the number of instances that route
+// requests in the region.
 type instanceCounter interface{ SetInstances(n int) }
 
-// SetInstances tells how many instances of the region decide alike; Deciders
-// that don't care are not told.
+// SetInstances sets the number of instances that route requests in the region.
+// It does nothing for a Decider that doesn't use it.
 func (r *Routing) SetInstances(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,28 +151,28 @@
 	}
 }
 
-// Report takes a load report.
+// Report processes a load report.
 func (r *Routing) Report(l route.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.d.Report(r.now(), l)
 }
 
-// CacheEvent takes a prefix cache event.
+// CacheEvent processes a prefix cache event.
 func (r *Routing) CacheEvent(e route.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.d.CacheEvent(r.now(), e)
 }
 
-// RegionSummary takes a neighbour's summary.
+// RegionSummary processes a neighbour's summary.
 func (r *Routing) RegionSummary(s route.RegionSummary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.d.RegionSummary(r.now(), s)
 }
 
-// Summarise makes the summary of this region.
+// Summarise returns the summaries of this region.
 func (r *Routing) Summarise() []route.RegionSummary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pipeline/sendmodel.go
+++ b/pipeline/sendmodel.go
@@ -9,11 +9,11 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// maxResumes bounds how often one answer's stream is taken up again.
+// maxResumes bounds how often one answer's stream is resumed.
 const maxResumes = 2
 
-// opened is an attempt whose first chunk came, or its failure.
-type opened struct {
+// openResult is an attempt with its first chunk, or with the error instead.
+type openResult struct {
 	attempt *attempt
 	stream  ports.Stream
 	first   ports.Chunk
@@ -22,21 +22,21 @@
 
 // sendModel sends a completion and relays its answer.
 func (f *Attempts) sendModel(x *Exchange, a *attempt) error {
-	var o opened
+	var o openResult
 	if x.Once || a.decision.HedgeAt.IsZero() {
 		o = f.open(x.Ctx, completionOf(x, a), a)
 	} else {
 		o = f.openHedged(x, a)
 	}
 	x.target = o.attempt.decision.Target
-	err := f.passOn(x, o)
+	err := f.relayOpened(x, o)
 	f.end(x, o.attempt, err)
 	return err
 }
 
-func (f *Attempts) passOn(x *Exchange, o opened) error {
+func (f *Attempts) relayOpened(x *Exchange, o openResult) error {
 	if o.err != nil {
-		return f.firstChunkLost(x, o)
+		return f.resumeBeforeFirstChunk(x, o)
 	}
 	f.routing.FirstToken(o.attempt.route)
 	return f.relay(x, o)
@@ -44,7 +44,7 @@
 
 func completionOf(x *Exchange, a *attempt) ports.Completion {
 	return ports.Completion{
-		Attempt:  a.sent,
+		Attempt:  a.engineID,
 		Chat:     x.Kind == KindChat,
 		Stream:   x.Request.Stream,
 		Body:     x.Body,
@@ -54,12 +54,12 @@
 	}
 }
 
-// open sends and waits for the first chunk.
-func (f *Attempts) open(ctx context.Context, m ports.Completion, a *attempt) opened {
-	o := opened{attempt: a}
+// open sends a completion and waits for the first chunk.
+func (f *Attempts) open(ctx context.Context, m ports.Completion, a *attempt) openResult {
+	o := openResult{attempt: a}
 	o.stream, o.err = f.deps.Engines.Engine(a.target.Address).Complete(ctx, m)
 	if o.err != nil {
-		f.countWrong(o.err)
+		f.countWrongAnswer(o.err)
 		return o
 	}
 	o.first, o.err = o.stream.Next()
@@ -73,23 +73,23 @@
 	return o
 }
 
-// firstChunkLost takes up work that may run only once and whose answer broke
-// off before its first chunk. Other work is sent anew instead.
-func (f *Attempts) firstChunkLost(x *Exchange, o opened) error {
+// resumeBeforeFirstChunk resumes a stream that broke off before its first chunk,
+// where the request may run at most once. Other requests are retried instead.
+func (f *Attempts) resumeBeforeFirstChunk(x *Exchange, o openResult) error {
 	if !x.Once || !x.streamed() || !resumable(o.err) {
 		return o.err
 	}
 	return f.relay(x, o)
 }
 
-// relay passes an answer on and takes it up again when its stream is cut.
-func (f *Attempts) relay(x *Exchange, o opened) error {
+// relay relays an answer to the caller and resumes it when its stream is cut.
+func (f *Attempts) relay(x *Exchange, o openResult) error {
 	r := newRelay(x, o.attempt)
 	r.moving = moving{f: f, x: x}
 	err := o.err
 	if err == nil {
 		r.stream = o.stream
-		err = r.pass(o.first)
+		err = r.relayStream(o.first)
 		f.closeStream(r.stream)
 	}
 	for n := 0; n < maxResumes && x.streamed() && resumable(err) && x.Ctx.Err() == nil; n++ {
@@ -102,8 +102,8 @@
 	return err
 }
 
-// resume takes up the stream after the last chunk passed on. It reports false
-// if the engine can't.
+// resume resumes the stream after the last chunk that was relayed, and relays
+// the rest. It reports false if the engine can't resume it.
 func (f *Attempts) resume(x *Exchange, a *attempt, r *relay) (error, bool) {
 	engine := f.deps.Engines.Engine(a.target.Address)
 	stream, err := engine.Resume(x.Ctx, completionOf(x, a), r.last)
@@ -120,10 +120,10 @@
 	if err != nil {
 		return err, true
 	}
-	return r.pass(first), true
+	return r.relayStream(first), true
 }
 
-// resumable reports whether the rest of an answer may still be had.
+// resumable reports whether the engine may still have the rest of an answer.
 func resumable(err error) bool {
 	var e *verdict.Error
 	if !errors.As(err, &e) {
@@ -141,7 +141,7 @@
 	_ = s.Close()
 }
 
-func (f *Attempts) countWrong(err error) {
+func (f *Attempts) countWrongAnswer(err error) {
 	if asError(err).Code == ports.CodeWrongAnswer {
 		f.deps.Metrics.WrongAnswers.Inc(1)
 	}
--- a/pipeline/suspectcheck.go
+++ b/pipeline/suspectcheck.go
@@ -6,13 +6,13 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// SuspectCheck refuses requests that are known to take targets down.
+// SuspectCheck refuses poison requests: those known to crash targets.
 type SuspectCheck struct {
 	suspects ports.Suspects
 	now      func() time.Time
 }
 
-// Serve asks by digest, so that a resend under another id is recognised.
+// Serve checks the digest, so that it also finds a resend under another id.
 func (f *SuspectCheck) Serve(x *Exchange, next Handler) error {
 	if f.suspects != nil && f.suspects.Check(f.now(), x.Digest) == ports.SuspectRefused {
 		return refuseSuspect()
--- a/pipeline/terms.go
+++ b/pipeline/terms.go
@@ -14,31 +14,33 @@
 const (
 	// maxPriority is the highest priority there is.
 	maxPriority = 9
-	// defaultPriority holds where a request names none and its workspace allows it.
+	// defaultPriority applies where a request has none, up to its workspace's
+	// highest.
 	defaultPriority = 5
-	// maxIdempotencyKey bounds an idempotency key in bytes.
-	maxIdempotencyKey = 255
-	// fallbackDeadline holds where neither request nor service give one.
+	// maxIdempotencyKeyBytes bounds an idempotency key.
+	maxIdempotencyKeyBytes = 255
+	// fallbackDeadline applies where neither request nor service set one.
 	fallbackDeadline = time.Minute
 )
 
-// Terms are what the headers of a request ask for.
+// Terms are the options in a request's headers.
 type Terms struct {
-	// Deadline and FirstToken are from arrival on; zero means not given.
+	// Deadline and FirstToken count from arrival; zero means not given.
 	Deadline, FirstToken time.Duration
 	Priority             int
 	// Residency lists the regions that the caller allows; empty means any.
 	Residency []string
-	// Service is named by header or path; empty means by the body alone.
+	// Service is named by header or path; empty if only the body names it.
 	Service        string
 	IdempotencyKey string
-	// NonIdempotent is the caller's mark.
+	// NonIdempotent says that the caller marked the request as not idempotent.
 	NonIdempotent bool
-	Mark          claim.Sending
+	// Mark says whether the caller marked the request as a resend.
+	Mark claim.Sending
 }
 
-// ReadTerms reads the headers. Anything malformed is refused: a deadline that
-// was meant and not understood must not be replaced by a default.
+// ReadTerms reads the headers. It refuses malformed ones: a deadline that can't
+// be read must not be replaced by a default.
 type ReadTerms struct{ bounds Bounds }
 
 // Serve fills x.Terms.
@@ -121,20 +123,20 @@
 	}
 	switch text := h.Get(HeaderResend); text {
 	case "", "true", "false":
-		x.Terms.Mark = sendingMark(text)
+		x.Terms.Mark = parseMark(text)
 	default:
 		return wrongHeader(HeaderResend, "is neither true nor false")
 	}
 	key := h.Get(HeaderIdempotencyKey)
-	if len(key) > maxIdempotencyKey || strings.ContainsFunc(key, func(r rune) bool { return r < ' ' || r > '~' }) {
-		return wrongHeader(HeaderIdempotencyKey, "is not 1 to %d printable ASCII characters", maxIdempotencyKey)
+	if len(key) > maxIdempotencyKeyBytes || strings.ContainsFunc(key, func(r rune) bool { return r < ' ' || r > '~' }) {
+		return wrongHeader(HeaderIdempotencyKey, "is not 1 to %d printable ASCII characters", maxIdempotencyKeyBytes)
 	}
 	x.Terms.IdempotencyKey = key
 	return nil
 }
 
-// setService takes the service over with what it decides: deadline, mark and
-// required key.
+// setService sets x.Service and what follows from it: the deadlines, and whether
+// the request runs at most once and so needs an idempotency key.
 func (x *Exchange) setService(s *bundle.Service) error {
 	x.Service = s
 	x.Once = x.Terms.NonIdempotent || s.NonIdempotent
--- a/pipeline/view.go
+++ b/pipeline/view.go
@@ -11,12 +11,12 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// View is a bundle compiled for the request path of one region. It never
-// changes; a new bundle makes a new View.
+// View is a bundle indexed for the request path of one region. It is immutable;
+// each bundle has a View of its own.
 type View struct {
-	// Bundle is what it was made of.
+	// Bundle is the source of the view.
 	Bundle *bundle.Bundle
-	// Digest of the bundle; empty if it was not given.
+	// Digest of the bundle; empty if NewView was given none.
 	Digest bundle.Digest
 	// Region of this instance.
 	Region string
@@ -26,11 +26,13 @@
 	services map[string]*bundle.Service
 	targets  map[route.TargetID]*bundle.Target
 	regions  map[string]*bundle.Region
-	// boundModels says that some model service may not be touched here.
-	boundModels bool
+	// restrictedModels says that the residency of some model service excludes
+	// this region.
+	restrictedModels bool
 }
 
-// NewView compiles a bundle that was checked (package bundle) for a region.
+// NewView indexes a bundle for a region. The bundle must be valid (package
+// bundle) and must not change afterwards.
 func NewView(b *bundle.Bundle, d bundle.Digest, region string) *View {
 	v := &View{
 		Bundle:   b,
@@ -49,8 +51,8 @@
 	for i := range b.Services {
 		s := &b.Services[i]
 		v.services[s.ID] = s
-		if s.Kind == bundle.KindModel && !mayTouch(s.Residency, region) {
-			v.boundModels = true
+		if s.Kind == bundle.KindModel && !regionAllowed(s.Residency, region) {
+			v.restrictedModels = true
 		}
 	}
 	for i := range b.Targets {
@@ -71,24 +73,26 @@
 	}
 }
 
-// mayTouch reports whether a list of regions holds one; an empty list holds all.
-func mayTouch(regions []string, region string) bool {
+// regionAllowed reports whether a residency list allows a region; an empty list
+// allows all.
+func regionAllowed(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
 
-// Workspace finds the workspace of a key; nil if there is none.
+// Workspace returns the workspace of an API key; nil if there is none.
 func (v *View) Workspace(key string) *bundle.Workspace { return v.keys[sha256.Sum256([]byte(key))] }
 
-// WorkspaceByID finds a workspace; nil if there is none.
+// WorkspaceByID returns a workspace; nil if there is none.
 func (v *View) WorkspaceByID(id string) *bundle.Workspace { return v.byID[id] }
 
-// Service finds a service; nil if there is none.
+// Service returns a service; nil if there is none.
 func (v *View) Service(id string) *bundle.Service { return v.services[id] }
 
-// Target finds a target; nil if there is none.
+// Target returns a target; nil if there is none.
 func (v *View) Target(id route.TargetID) *bundle.Target { return v.targets[id] }
 
-// Model finds the model service and adapter that a request names.
+// Model returns the model service and the adapter that a request names as
+// "service" or "service:adapter". s is nil if either doesn't exist.
 func (v *View) Model(name string) (s *bundle.Service, adapter string) {
 	id, adapter, _ := strings.Cut(name, ":")
 	s = v.services[id]
@@ -101,7 +105,7 @@
 	return s, adapter
 }
 
-// Models lists what a request may name as its model, sorted.
+// Models returns the names that a request may give as its model, sorted.
 func (v *View) Models() []string {
 	var names []string
 	for _, s := range v.services {
@@ -117,7 +121,7 @@
 	return names
 }
 
-// ClaimsHome is the region that keeps a workspace's claims.
+// ClaimsHome returns the region that keeps a workspace's claims.
 func (v *View) ClaimsHome(w *bundle.Workspace) string {
 	if r := v.regions[w.Home]; r != nil && r.ClaimsHome != "" {
 		return r.ClaimsHome
@@ -125,8 +129,8 @@
 	return w.Home
 }
 
-// TargetSpecs lists the targets of this region as routing takes them. A target
-// is Warm or Leaving as the bundle says; the host overlays what it observes.
+// TargetSpecs returns the targets of this region as routing takes them. Their
+// state is Warm or Leaving, as in the bundle; the host sets what it observes.
 func (v *View) TargetSpecs() []route.TargetSpec {
 	var specs []route.TargetSpec
 	for i := range v.Bundle.Targets {
@@ -159,7 +163,8 @@
 	return spec
 }
 
-// Links lists this region's neighbours; reachable says which are.
+// Links returns the links to this region's neighbours. reachable reports whether
+// a region can be reached now.
 func (v *View) Links(reachable func(region string) bool) []route.Link {
 	r := v.regions[v.Region]
 	if r == nil {
