--- a/pipeline/openai/messages.go
+++ b/pipeline/openai/messages.go
@@ -17,18 +17,18 @@
 
 func (p *parser) messages(raw []byte) error {
 	p.hasPrompt = true
-	if p.texts(raw) {
+	if p.textMessages(raw) {
 		return nil
 	}
 	var list []message
 	if isNull(raw) || json.Unmarshal(raw, &list) != nil {
-		return wrong("messages", "is not an array of messages")
+		return newError("messages", "is not an array of messages")
 	}
 	if len(list) == 0 {
-		return wrong("messages", "is empty")
+		return newError("messages", "is empty")
 	}
 	if len(list) > MaxMessages {
-		return wrong("messages", "has more than %d entries", MaxMessages)
+		return newError("messages", "has more than %d entries", MaxMessages)
 	}
 	p.req.Prompt = make([]byte, 0, len(raw))
 	for i := range list {
@@ -45,9 +45,10 @@
 	Content *string `json:"content"`
 }
 
-// texts reads messages of the usual form, in one pass fewer than messages. It
-// reports false, and leaves all to messages, where anything is unusual or wrong.
-func (p *parser) texts(raw []byte) bool {
+// textMessages reads messages whose contents are all strings or null, in one pass
+// less than messages. It reports false, and leaves the prompt empty, for others
+// and for malformed ones.
+func (p *parser) textMessages(raw []byte) bool {
 	var list []textMessage
 	if json.Unmarshal(raw, &list) != nil || len(list) == 0 || len(list) > MaxMessages {
 		return false
@@ -71,7 +72,7 @@
 
 func (p *parser) message(field string, m *message) error {
 	if m.Role == nil || *m.Role == "" {
-		return wrong(field+".role", "is missing")
+		return newError(field+".role", "is missing")
 	}
 	p.append(*m.Role)
 	return p.content(field+".content", m.Content)
@@ -82,8 +83,8 @@
 	p.req.Prompt = append(p.req.Prompt, 0)
 }
 
-// content takes a string, an array of parts, or null (a message that only
-// calls tools).
+// content appends a message's content: a string, the texts of an array of parts,
+// or null (in a message that only calls tools).
 func (p *parser) content(field string, raw []byte) error {
 	if len(raw) == 0 || isNull(raw) {
 		p.append("")
@@ -92,18 +93,18 @@
 	if raw[0] == '"' {
 		var text string
 		if json.Unmarshal(raw, &text) != nil {
-			return wrong(field, "is not a string")
+			return newError(field, "is not a string")
 		}
 		p.append(text)
 		return nil
 	}
 	var parts []part
 	if json.Unmarshal(raw, &parts) != nil {
-		return wrong(field, "is not a string or an array of parts")
+		return newError(field, "is not a string or an array of parts")
 	}
 	for i, x := range parts {
 		if x.Type == "" {
-			return wrong(fmt.Sprintf("%s[%d].type", field, i), "is missing")
+			return newError(fmt.Sprintf("%s[%d].type", field, i), "is missing")
 		}
 		p.append(x.Text)
 	}
--- a/pipeline/openai/parse.go
+++ b/pipeline/openai/parse.go
@@ -1,5 +1,5 @@
-// Package openai reads the parts of an OpenAI-form completion request that the
-// gateway decides on. The body itself goes to the engine unchanged.
+// Package openai reads the fields of a completion request in OpenAI's format that
+// the gateway's decisions depend on. The engine gets the body unchanged.
 package openai
 
 import (
@@ -13,38 +13,40 @@
 const (
 	// MaxMessages bounds the messages of one chat request.
 	MaxMessages = 4096
-	// DefaultMaxTokens is assumed where a request bounds its answer by nothing.
+	// DefaultMaxTokens is the assumed length of an answer that its request doesn't
+	// bound.
 	DefaultMaxTokens = 256
-	// BytesPerToken is the assumed mean length of a token.
+	// BytesPerToken is the assumed mean length of a token in bytes.
 	BytesPerToken = 4
 )
 
-// Form is the form of a completion request.
+// Form is the format of a completion request.
 type Form uint8
 
-// Forms of requests.
+// Forms of requests: Chat has messages, Text has a prompt.
 const (
 	Chat Form = iota
 	Text
 )
 
-// Request is what was read of a request.
+// Request holds the fields that were read from a request.
 type Request struct {
-	// Model is the service and optionally an adapter, "service" or "service:adapter".
+	// Model names the service and optionally an adapter: "service" or
+	// "service:adapter".
 	Model string
 	// Stream asks for server-sent events.
 	Stream bool
-	// MaxTokens bounds the answer; 0 if the request does not say.
+	// MaxTokens bounds the answer; 0 if the request doesn't.
 	MaxTokens int
-	// Prompt is the prompt's text; of a chat, roles and contents in order, each
-	// ended by a NUL so that different chats differ.
+	// Prompt is the text of the prompt. For a chat it is the roles and contents in
+	// order, each followed by a NUL so that different chats differ.
 	Prompt []byte
 }
 
-// PromptTokens estimates the prompt's length; at least 1.
+// PromptTokens returns the estimated length of the prompt, at least 1.
 func (r *Request) PromptTokens() int { return max(1, len(r.Prompt)/BytesPerToken) }
 
-// OutputTokens estimates the answer's length.
+// OutputTokens returns the estimated length of the answer, at least 1.
 func (r *Request) OutputTokens() int {
 	if r.MaxTokens > 0 {
 		return r.MaxTokens
@@ -52,11 +54,11 @@
 	return DefaultMaxTokens
 }
 
-// Error says which part of a request is wrong.
+// Error says which field of a request is invalid and why.
 type Error struct {
 	// Field is a JSON path; empty for the whole body.
 	Field string
-	// Problem is for people.
+	// Problem describes the error in words.
 	Problem string
 }
 
@@ -68,19 +70,19 @@
 	return e.Field + ": " + e.Problem
 }
 
-func wrong(field, format string, args ...any) error {
+func newError(field, format string, args ...any) error {
 	return &Error{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
 // Parse reads a request. Its error is an *Error.
 //
-// Keys are matched exactly and none may stand twice. Otherwise the gateway and
-// the engine could read different models or prompts out of the same body: a
-// request would be admitted as one thing and run as another. Fields that the
-// gateway does not decide on are left to the engine.
+// Keys are matched exactly and must be unique. Otherwise the gateway and the
+// engine could read different models or prompts from the same body, and a request
+// would be admitted as one thing and run as another. Fields that the gateway
+// doesn't use are left to the engine.
 func Parse(form Form, body []byte) (*Request, error) {
 	if !utf8.Valid(body) {
-		return nil, wrong("", "the body is not UTF-8")
+		return nil, newError("", "the body is not UTF-8")
 	}
 	p := parser{form: form, seen: make(map[string]struct{}, 8)}
 	if !json.Valid(body) {
@@ -91,35 +93,35 @@
 		return nil, err
 	}
 	if !object {
-		return nil, wrong("", "the body is not a JSON object")
+		return nil, newError("", "the body is not a JSON object")
 	}
 	return p.finish()
 }
 
-// malformed says what is wrong with a body that is not valid JSON.
+// malformed returns the error for a body that is not valid JSON.
 func malformed(body []byte) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	var first json.RawMessage
 	if d.Decode(&first) != nil {
-		return wrong("", "malformed JSON")
+		return newError("", "malformed JSON")
 	}
 	if first[0] != '{' {
-		return wrong("", "the body is not a JSON object")
+		return newError("", "the body is not a JSON object")
 	}
-	return wrong("", "more follows the JSON object")
+	return newError("", "more follows the JSON object")
 }
 
 type parser struct {
-	form      Form
-	seen      map[string]struct{}
-	req       Request
-	hasPrompt bool
-	legacyMax int
+	form            Form
+	seen            map[string]struct{}
+	req             Request
+	hasPrompt       bool
+	legacyMaxTokens int
 }
 
 func (p *parser) member(key string, raw []byte) error {
-	if _, twice := p.seen[key]; twice {
-		return wrong(key, "stands twice")
+	if _, duplicate := p.seen[key]; duplicate {
+		return newError(key, "stands twice")
 	}
 	p.seen[key] = struct{}{}
 	return p.value(key, raw)
@@ -132,9 +134,9 @@
 	case "stream":
 		return decode(key, raw, &p.req.Stream, "a boolean")
 	case "max_tokens":
-		return tokens(key, raw, &p.legacyMax)
+		return decodeTokens(key, raw, &p.legacyMaxTokens)
 	case "max_completion_tokens":
-		return tokens(key, raw, &p.req.MaxTokens)
+		return decodeTokens(key, raw, &p.req.MaxTokens)
 	case "messages":
 		if p.form == Chat {
 			return p.messages(raw)
@@ -152,7 +154,7 @@
 		return err
 	}
 	if p.req.Model == "" {
-		return wrong("model", "is empty")
+		return newError("model", "is empty")
 	}
 	return nil
 }
@@ -166,7 +168,7 @@
 	}
 	var many []string
 	if json.Unmarshal(raw, &many) != nil || len(many) != 1 {
-		return wrong("prompt", "is not a string or an array of one string")
+		return newError("prompt", "is not a string or an array of one string")
 	}
 	p.req.Prompt = []byte(many[0])
 	return nil
@@ -174,37 +176,38 @@
 
 func (p *parser) finish() (*Request, error) {
 	if p.req.Model == "" {
-		return nil, wrong("model", "is missing")
+		return nil, newError("model", "is missing")
 	}
 	if !p.hasPrompt && p.form == Chat {
-		return nil, wrong("messages", "is missing")
+		return nil, newError("messages", "is missing")
 	}
 	if !p.hasPrompt {
-		return nil, wrong("prompt", "is missing")
+		return nil, newError("prompt", "is missing")
 	}
 	if p.req.MaxTokens == 0 {
-		p.req.MaxTokens = p.legacyMax
+		p.req.MaxTokens = p.legacyMaxTokens
 	}
 	return &p.req, nil
 }
 
-// decode reads a value whose null counts as wrong.
+// decode reads a value that must not be null.
 func decode(field string, raw []byte, out any, want string) error {
 	if isNull(raw) || json.Unmarshal(raw, out) != nil {
-		return wrong(field, "is not %s", want)
+		return newError(field, "is not %s", want)
 	}
 	return nil
 }
 
 func isNull(raw []byte) bool { return string(raw) == "null" }
 
-func tokens(field string, raw []byte, out *int) error {
+// decodeTokens reads a number of tokens. It leaves out unchanged for null.
+func decodeTokens(field string, raw []byte, out *int) error {
 	if isNull(raw) {
 		return nil
 	}
 	var n int64
 	if json.Unmarshal(raw, &n) != nil || n < 1 || n > math.MaxInt32 {
-		return wrong(field, "is not a whole number from 1 on")
+		return newError(field, "is not a whole number from 1 on")
 	}
 	*out = int(n)
 	return nil
--- a/pipeline/openai/parse_test.go
+++ b/pipeline/openai/parse_test.go
@@ -27,8 +27,8 @@
 	`[`, `null`, ``, `{"model":`, "{\"model\":\"\xff\"}",
 }
 
-// FuzzParse: what is taken is valid JSON in which model and prompt stand once,
-// and another reader of the same bytes finds the same model.
+// FuzzParse checks that an accepted body is valid JSON, and that encoding/json
+// reads the same model and prompt from it.
 func FuzzParse(f *testing.F) {
 	for _, s := range seeds {
 		f.Add(s, true)
@@ -49,7 +49,7 @@
 		}
 		var other map[string]any
 		if !utf8.ValidString(body) || json.Unmarshal([]byte(body), &other) != nil {
-			t.Fatalf("took %q", body)
+			t.Fatalf("accepted %q", body)
 		}
 		if other["model"] != req.Model || req.Model == "" || req.PromptTokens() < 1 || req.OutputTokens() < 1 {
 			t.Fatalf("%q read as %+v", body, req)
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkParse: a chat request of about a thousand tokens.
+// BenchmarkParse parses a chat request of about a thousand tokens.
 func BenchmarkParse(b *testing.B) {
 	content, _ := json.Marshal(strings.Repeat("wind at the ridge ", 220))
 	body := []byte(`{"max_tokens":1,"messages":[{"content":` + string(content) + `,"role":"user"}],"model":"m","stream":true}`)
