--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -120,7 +120,7 @@
 		Idempotent:   !x.Once,
 		Home:         x.Workspace.Home,
 		Regions:      x.Regions,
-		Forwarded:    x.Hops.Crossed(x.View.Region),
+		Forwarded:    x.Hops.FromOtherRegion(x.View.Region),
 	}
 	if x.Once {
 		// The claim was granted to this instance; no other may send the request.
--- a/pipeline/forward.go
+++ b/pipeline/forward.go
@@ -21,13 +21,13 @@
 // Forward forwards a request to another instance and relays the answer.
 type Forward struct {
 	deps *Deps
-	self hop.Station
+	self hop.Hop
 }
 
 // send forwards the request to another region. The other instance checks the
 // hops; they are checked here as well, so that a wrong decision sends nothing.
 func (f *Forward) send(x *Exchange, region string) error {
-	if x.Once || x.Hops.Crossed(f.self.Region) || !regionAllowed(x.Regions, region) || region == f.self.Region {
+	if x.Once || x.Hops.FromOtherRegion(f.self.Region) || !regionAllowed(x.Regions, region) || region == f.self.Region {
 		return refuse(CodeLoop, "the request may not go to another region")
 	}
 	f.deps.Metrics.Spilled.Inc(1)
@@ -49,7 +49,7 @@
 // and relays the running attempt's answer. It reports false if there is no such
 // answer; the other instance finds the claim and does not run the request again.
 func (f *Forward) join(x *Exchange, owner string) (joined bool, err error) {
-	if f.deps.Forwarder == nil || x.Hops.Stepped(f.self.Region) || owner == f.self.Instance {
+	if f.deps.Forwarder == nil || x.Hops.WithinRegion(f.self.Region) || owner == f.self.Instance {
 		return false, nil
 	}
 	got, err := f.deps.Forwarder.Forward(x.Ctx, f.request(x, f.self.Region, owner))
--- a/pipeline/hop/hop.go
+++ b/pipeline/hop/hop.go
@@ -15,21 +15,21 @@
 
 // MaxStations bounds a path: one crossing, and one step inside each of the two
 // regions, pass through three instances before the last.
-const MaxStations = 3
+const MaxHops = 3
 
 // Station is one instance that a request has passed.
-type Station struct{ Instance, Region string }
+type Hop struct{ Instance, Region string }
 
 // Path lists the instances passed, first to last.
-type Path []Station
+type Path []Hop
 
 // Errors of Check and Parse.
 var (
-	ErrMalformed = errors.New("malformed hop path")
-	ErrLoop      = errors.New("the request was here before")
-	ErrCrossings = errors.New("the request would cross regions more than once")
-	ErrSteps     = errors.New("the request would pass instances of a region more than once")
-	ErrSender    = errors.New("the path does not end with its sender")
+	ErrMalformed       = errors.New("malformed hop path")
+	ErrLoop            = errors.New("the request was here before")
+	ErrRegionCrossings = errors.New("the request would cross regions more than once")
+	ErrRegionForwards  = errors.New("the request would pass instances of a region more than once")
+	ErrSender          = errors.New("the path does not end with its sender")
 )
 
 // Parse reads the form "instance@region, instance@region".
@@ -37,10 +37,10 @@
 	var p Path
 	for part := range strings.SplitSeq(text, ",") {
 		instance, region, ok := strings.Cut(strings.TrimSpace(part), "@")
-		if !ok || !name(instance) || !name(region) || len(p) == MaxStations {
+		if !ok || !name(instance) || !name(region) || len(p) == MaxHops {
 			return nil, ErrMalformed
 		}
-		p = append(p, Station{Instance: instance, Region: region})
+		p = append(p, Hop{Instance: instance, Region: region})
 	}
 	return p, nil
 }
@@ -58,23 +58,23 @@
 }
 
 // Add returns the path with one more station.
-func (p Path) Add(s Station) Path { return append(slices.Clone(p), s) }
+func (p Path) Add(s Hop) Path { return append(slices.Clone(p), s) }
 
 // Crossed reports whether a request that came to region by this path has
 // crossed from another one.
-func (p Path) Crossed(region string) bool {
-	return slices.ContainsFunc(p, func(s Station) bool { return s.Region != region })
+func (p Path) FromOtherRegion(region string) bool {
+	return slices.ContainsFunc(p, func(s Hop) bool { return s.Region != region })
 }
 
 // Stepped reports whether a request that came to region by this path has passed
 // another instance of the region already.
-func (p Path) Stepped(region string) bool {
-	return slices.ContainsFunc(p, func(s Station) bool { return s.Region == region })
+func (p Path) WithinRegion(region string) bool {
+	return slices.ContainsFunc(p, func(s Hop) bool { return s.Region == region })
 }
 
 // Check reports whether a request may arrive at a station by this path.
-func (p Path) Check(at Station) error {
-	if slices.ContainsFunc(p, func(s Station) bool { return s.Instance == at.Instance }) {
+func (p Path) Check(at Hop) error {
+	if slices.ContainsFunc(p, func(s Hop) bool { return s.Instance == at.Instance }) {
 		return ErrLoop
 	}
 	whole := p.Add(at)
@@ -86,11 +86,11 @@
 		}
 		steps[whole[i].Region]++
 		if steps[whole[i].Region] > 1 {
-			return fmt.Errorf("%w: %s", ErrSteps, whole[i].Region)
+			return fmt.Errorf("%w: %s", ErrRegionForwards, whole[i].Region)
 		}
 	}
 	if crossings > 1 {
-		return ErrCrossings
+		return ErrRegionCrossings
 	}
 	return nil
 }
--- a/pipeline/hop/hop_test.go
+++ b/pipeline/hop/hop_test.go
@@ -15,12 +15,12 @@
 		at := station(t)
 		var p Path
 		for steps := 0; ; steps++ {
-			if steps > MaxStations {
+			if steps > MaxHops {
 				t.Fatalf("walked %v", p)
 			}
 			p = p.Add(at)
 			read, err := Parse(p.String())
-			if err != nil && len(p) <= MaxStations {
+			if err != nil && len(p) <= MaxHops {
 				t.Fatalf("%q: %v", p, err)
 			}
 			at = station(t)
@@ -32,9 +32,9 @@
 	})
 }
 
-func station(t *rapid.T) Station {
+func station(t *rapid.T) Hop {
 	r := rapid.IntRange(0, 2).Draw(t, "region")
-	return Station{Instance: fmt.Sprintf("i%d%d", r, rapid.IntRange(0, 3).Draw(t, "instance")), Region: fmt.Sprintf("r%d", r)}
+	return Hop{Instance: fmt.Sprintf("i%d%d", r, rapid.IntRange(0, 3).Draw(t, "instance")), Region: fmt.Sprintf("r%d", r)}
 }
 
 // checkRules counts apart from Check.
@@ -71,7 +71,7 @@
 			return
 		}
 		again, err := Parse(p.String())
-		if err != nil || again.String() != p.String() || len(p) == 0 || len(p) > MaxStations {
+		if err != nil || again.String() != p.String() || len(p) == 0 || len(p) > MaxHops {
 			t.Fatalf("%q read as %v, then %v, %v", text, p, again, err)
 		}
 	})
--- a/pipeline/hopcheck.go
+++ b/pipeline/hopcheck.go
@@ -8,7 +8,7 @@
 
 // HopCheck refuses requests that were forwarded in a loop. Callers must not send
 // a hop header; instances must, and its last hop must be the sender.
-type HopCheck struct{ self hop.Station }
+type HopCheck struct{ self hop.Hop }
 
 // Serve fills x.Hops, or refuses the request.
 func (f *HopCheck) Serve(x *Exchange, next Handler) error {
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -118,7 +118,7 @@
 		ids:     newIDs(d.Instance),
 		flight:  &inFlight{max: int64(d.Bounds.MaxInFlight)},
 	}
-	forward := &Forward{deps: &p.deps, self: hop.Station{Instance: d.Instance.ID, Region: d.Region}}
+	forward := &Forward{deps: &p.deps, self: hop.Hop{Instance: d.Instance.ID, Region: d.Region}}
 	p.claims = newClaiming(&p.deps, p.flight, forward)
 	p.build(forward)
 	d.Metrics.Gauge(metrics.InFlight, p.InFlight)
