--- a/pipeline/hop/hop.go
+++ b/pipeline/hop/hop.go
@@ -1,9 +1,9 @@
-// Package hop keeps requests from travelling in a loop between instances.
+// Package hop keeps requests from being forwarded in a loop between instances.
 //
-// Each instance adds itself to the path of a request that it passes on, and the
-// next one checks the whole path before it does anything. A path that is only
-// written and not checked lets two instances, each of which holds the other to
-// be the better place, pass one request back and forth until its deadline.
+// Each instance adds itself to the path of a request that it forwards, and the
+// next one checks the whole path before it does anything. If the path were not
+// checked, two instances that each prefer the other could forward a request back
+// and forth until its deadline.
 package hop
 
 import (
@@ -13,14 +13,14 @@
 	"strings"
 )
 
-// MaxStations bounds a path: one crossing, and one step inside each of the two
-// regions, pass through three instances before the last.
+// MaxHops bounds a path. One forward to another region, and one inside each of the
+// two regions, pass three instances before the last.
 const MaxHops = 3
 
-// Station is one instance that a request has passed.
+// Hop is an instance that forwarded a request.
 type Hop struct{ Instance, Region string }
 
-// Path lists the instances passed, first to last.
+// Path lists the instances that forwarded a request, first to last.
 type Path []Hop
 
 // Errors of Check and Parse.
@@ -32,12 +32,13 @@
 	ErrSender          = errors.New("the path does not end with its sender")
 )
 
-// Parse reads the form "instance@region, instance@region".
+// Parse parses a path of the form "instance@region, instance@region". It returns
+// ErrMalformed for any other text and for more than MaxHops hops.
 func Parse(text string) (Path, error) {
 	var p Path
 	for part := range strings.SplitSeq(text, ",") {
 		instance, region, ok := strings.Cut(strings.TrimSpace(part), "@")
-		if !ok || !name(instance) || !name(region) || len(p) == MaxHops {
+		if !ok || !validName(instance) || !validName(region) || len(p) == MaxHops {
 			return nil, ErrMalformed
 		}
 		p = append(p, Hop{Instance: instance, Region: region})
@@ -45,10 +46,10 @@
 	return p, nil
 }
 
-// name reports whether s can stand in a path.
-func name(s string) bool { return s != "" && !strings.ContainsAny(s, "@, \t\r\n") }
+// validName reports whether s can be an instance or a region in a path.
+func validName(s string) bool { return s != "" && !strings.ContainsAny(s, "@, \t\r\n") }
 
-// String writes the form that Parse reads.
+// String returns the form that Parse parses.
 func (p Path) String() string {
 	parts := make([]string, len(p))
 	for i, s := range p {
@@ -57,27 +58,30 @@
 	return strings.Join(parts, ", ")
 }
 
-// Add returns the path with one more station.
+// Add returns a copy of the path with one more hop.
 func (p Path) Add(s Hop) Path { return append(slices.Clone(p), s) }
 
-// Crossed reports whether a request that came to region by this path has
-// crossed from another one.
+// FromOtherRegion reports whether a request that arrived in region by this path
+// was forwarded from another region.
 func (p Path) FromOtherRegion(region string) bool {
 	return slices.ContainsFunc(p, func(s Hop) bool { return s.Region != region })
 }
 
-// Stepped reports whether a request that came to region by this path has passed
-// another instance of the region already.
+// WithinRegion reports whether a request that arrived in region by this path was
+// already forwarded by another instance of the region.
 func (p Path) WithinRegion(region string) bool {
 	return slices.ContainsFunc(p, func(s Hop) bool { return s.Region == region })
 }
 
-// Check reports whether a request may arrive at a station by this path.
-func (p Path) Check(at Hop) error {
-	if slices.ContainsFunc(p, func(s Hop) bool { return s.Instance == at.Instance }) {
+// Check returns an error if a request must not arrive at the instance self by
+// this path: it was there before (ErrLoop), it was forwarded between regions more
+// than once (ErrRegionCrossings), or within a region more than once
+// (ErrRegionForwards).
+func (p Path) Check(self Hop) error {
+	if slices.ContainsFunc(p, func(s Hop) bool { return s.Instance == self.Instance }) {
 		return ErrLoop
 	}
-	whole := p.Add(at)
+	whole := p.Add(self)
 	crossings, steps := 0, map[string]int{}
 	for i := 1; i < len(whole); i++ {
 		if whole[i-1].Region != whole[i].Region {
--- a/pipeline/hop/hop_test.go
+++ b/pipeline/hop/hop_test.go
@@ -7,38 +7,37 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a request travels on and on.
-// Events: every instance passes each request to any other, without judgement.
-// Cause: a check that some path gets around.
+// Guards against a request that is forwarded without end: every instance forwards
+// to any other at random, and the check lets some loop pass.
 func TestEveryWalkEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		at := station(t)
+		at := drawHop(t)
 		var p Path
 		for steps := 0; ; steps++ {
 			if steps > MaxHops {
-				t.Fatalf("walked %v", p)
+				t.Fatalf("forwarded by %v", p)
 			}
 			p = p.Add(at)
 			read, err := Parse(p.String())
 			if err != nil && len(p) <= MaxHops {
 				t.Fatalf("%q: %v", p, err)
 			}
-			at = station(t)
+			at = drawHop(t)
 			if err != nil || read.Check(at) != nil {
 				break
 			}
-			checkRules(t, p.Add(at))
+			checkPath(t, p.Add(at))
 		}
 	})
 }
 
-func station(t *rapid.T) Hop {
+func drawHop(t *rapid.T) Hop {
 	r := rapid.IntRange(0, 2).Draw(t, "region")
 	return Hop{Instance: fmt.Sprintf("i%d%d", r, rapid.IntRange(0, 3).Draw(t, "instance")), Region: fmt.Sprintf("r%d", r)}
 }
 
-// checkRules counts apart from Check.
-func checkRules(t *rapid.T, p Path) {
+// checkPath checks the rules of Check independently of it.
+func checkPath(t *rapid.T, p Path) {
 	seen, crossings, steps := map[string]bool{}, 0, map[string]int{}
 	for i, s := range p {
 		if seen[s.Instance] {
