--- a/pipeline/endtoend/endtoend.go
+++ b/pipeline/endtoend/endtoend.go
@@ -1,4 +1,5 @@
-// Package endtoend tells the headers of a message that go further than one connection.
+// Package endtoend separates the end-to-end headers of a message from those of one
+// connection.
 package endtoend
 
 import (
@@ -6,16 +7,17 @@
 	"strings"
 )
 
-// singleHop are headers that belong to one connection (RFC 9110, section 7.6.1).
-var singleHop = [...]string{
+// hopByHop lists the headers that belong to one connection (RFC 9110, section 7.6.1).
+var hopByHop = [...]string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Copy copies the headers that go further than one connection. The values are shared;
-// each list is cut to its length, so that adding to the copy leaves h as it is.
+// Copy returns a copy of h without the headers of one connection: those of hopByHop and
+// those that Connection names. The values are shared; the capacity of each list is its
+// length, so that adding to the copy doesn't change h.
 func Copy(h http.Header) http.Header {
-	// A few more are set by whoever sends the copy on.
+	// Leaves room for headers that the caller adds.
 	out := make(http.Header, len(h)+4)
 	for name, values := range h {
 		out[name] = values[:len(values):len(values)]
@@ -25,7 +27,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range singleHop {
+	for _, name := range hopByHop {
 		delete(out, name)
 	}
 	return out
--- a/pipeline/endtoend/endtoend_test.go
+++ b/pipeline/endtoend/endtoend_test.go
@@ -9,8 +9,8 @@
 	"github.com/gullhaven/gullhaven/pipeline/endtoend"
 )
 
-func TestCopyLeavesOutWhatBelongsToOneConnection(t *testing.T) {
-	Convey("a header that names one of its own for the connection", t, func() {
+func TestCopyDropsHopByHopHeaders(t *testing.T) {
+	Convey("a header whose Connection names some of its fields", t, func() {
 		h := http.Header{
 			"Connection": {"close, x-one", "X-Two"}, "X-One": {"1"}, "X-Two": {"2"}, "Te": {"trailers"},
 			"X-Kept": append(make([]string, 0, 4), "a"),
