--- a/pipeline/prefix/prefix.go
+++ b/pipeline/prefix/prefix.go
@@ -1,5 +1,5 @@
-// Package prefix computes the chained digests of a prompt's blocks, by which
-// prefix caches are recognised.
+// Package prefix computes the chained digests of a prompt's blocks, which identify
+// cached prefixes.
 package prefix
 
 import (
@@ -14,12 +14,14 @@
 // BlockBytes is the length of one block in bytes.
 const BlockBytes = route.PrefixBlockTokens * openai.BytesPerToken
 
-// MaxBlocks bounds the digests of one prompt; what follows is not told apart.
+// MaxBlocks bounds the digests of one prompt. Prompts that differ only in later
+// blocks have the same digests.
 const MaxBlocks = 512
 
-// Digests returns one digest for each whole block of the prompt. Each covers
-// its block and all blocks before, and the model, so that equal digests mean
-// equal prefixes for the same model up to collisions of 64 bits.
+// Digests returns one digest for each whole block of the prompt, up to MaxBlocks;
+// nil if there is none. Each digest covers the model, its block and all blocks
+// before it, so that equal digests mean equal prefixes for the same model, apart
+// from collisions of 64 bits.
 func Digests(model string, prompt []byte) []uint64 {
 	blocks := min(len(prompt)/BlockBytes, MaxBlocks)
 	if blocks == 0 {
