--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -51,7 +51,7 @@
 	// Regions that may serve the request; empty means any.
 	Regions []string
 
-	// Body is the request body; nil where it is streamed.
+	// Body is the request body, where it is read whole.
 	Body []byte
 	// Request is nil for plain services.
 	Request *openai.Request
--- a/pipeline/move.go
+++ b/pipeline/move.go
@@ -16,7 +16,7 @@
 	moveTimeout = 3 * time.Second
 	// moveRetryInterval is the time between two attempts to move a stream.
 	moveRetryInterval = time.Second
-	// maxMoveAttempts bounds the attempts that call an engine.
+	// maxMoveAttempts bounds the attempts to move one stream that call an engine.
 	maxMoveAttempts = 3
 	// maxMoves bounds the streams of one instance that are being moved at once,
 	// as all streams of a target become due at the same time.
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -53,17 +53,17 @@
 
 // Bounds limit the resources that requests use. Zero values mean the defaults.
 type Bounds struct {
-	// MaxInFlight is the number of requests in flight; default 8192.
+	// MaxInFlight bounds the requests in flight; default 8192.
 	MaxInFlight int
-	// MaxHeld is the number of requests that wait for a decision; default 256.
+	// MaxHeld bounds the requests that wait for a decision; default 256.
 	MaxHeld int
-	// MaxBodyBytes is the size of a request body; default 4 MiB.
+	// MaxBodyBytes bounds one request body; default 4 MiB.
 	MaxBodyBytes int64
-	// BodyTimeout is the time from arrival to a body's end; default 10 s.
+	// BodyTimeout bounds the time from arrival to the body's end; default 10 s.
 	BodyTimeout time.Duration
 	// MaxDeadline is the longest deadline that a caller may set; default 1 h.
 	MaxDeadline time.Duration
-	// MaxAnswerBytes is the size of all answers kept for resends; default 64 MiB.
+	// MaxAnswerBytes bounds all answers that are kept for resends; default 64 MiB.
 	MaxAnswerBytes int64
 	// AnswerTTL is how long answers are kept after their end; default 60 s.
 	AnswerTTL time.Duration
