--- a/coord/limit/fair_test.go
+++ b/coord/limit/fair_test.go
@@ -8,13 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a workspace gets less than its weight, or a low priority nothing.
-// Events: every workspace of every priority keeps a backlog while one item
-// after the other is served.
-// Cause: tags that ignore weight or cost; priorities without a floor.
+// Guards against a workspace that gets less than its weight, or a low priority that gets
+// nothing, while every workspace of every priority has a backlog: tags that ignore weight
+// or cost, or priorities without a floor.
 func TestBacklogIsSharedByWeightAndNobodyStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFair(1 << 20)
+		f := NewFairQueue(1 << 20)
 		const maxCost = 10
 		workspaces := rapid.IntRange(1, 5).Draw(t, "workspaces")
 		priorities := rapid.SliceOfNDistinct(rapid.IntRange(0, Priorities-1), 1, 4, rapid.ID[int]).Draw(t, "priorities")
@@ -64,8 +63,8 @@
 	})
 }
 
-// checkClass holds start-time fair queueing to its bound: the normalised
-// service of two backlogged workspaces differs by at most one item of each.
+// checkClass checks the bound of start-time fair queueing: the normalised service of two
+// backlogged workspaces differs by at most one item of each.
 func checkClass(t *rapid.T, served, weights []float64, maxCost float64) {
 	for i := range served {
 		for j := range served {
@@ -77,17 +76,16 @@
 	}
 }
 
-// Symptom: a request is lost in the queue or served twice; memory grows.
-// Events: random pushes, pops and removals.
-// Cause: a heap whose indexes are wrong, tags that are never dropped.
+// Guards against a request that is lost in the queue or served twice, and growing memory,
+// with random pushes, pops and removals: wrong heap indexes, or tags that are never dropped.
 func TestEveryItemLeavesOnce(t *testing.T) {
 	for _, bad := range []Item{{Cost: 1}, {Weight: 1}, {Weight: math.NaN(), Cost: 1}} {
-		if err := NewFair(20).Push(bad); err != ErrItem {
+		if err := NewFairQueue(20).Push(bad); err != ErrInvalidItem {
 			t.Fatalf("%+v: %v", bad, err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFair(20)
+		f := NewFairQueue(20)
 		waiting := map[uint64]bool{}
 		for i := range uint64(300) {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
@@ -112,7 +110,7 @@
 				delete(waiting, r)
 			}
 			for p := range f.classes {
-				if n := len(f.classes[p].finish); n > 120 {
+				if n := len(f.classes[p].finishTags); n > 120 {
 					t.Fatalf("%d tags kept", n)
 				}
 			}
@@ -124,7 +122,7 @@
 }
 
 func BenchmarkFairTenThousandWorkspaces(b *testing.B) {
-	f := NewFair(20_000)
+	f := NewFairQueue(20_000)
 	names := make([]string, 10_000)
 	for i := range names {
 		names[i] = fmt.Sprint("w", i)
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -114,9 +114,9 @@
 		Self: o.Self.ID, Region: o.Self.Region, Regions: len(o.Regions), Tolerance: o.Tolerance, Hub: hub, Core: i.followed, Log: o.Log,
 	})
 	i.gateway = exchange.New(exchange.Options{
-		Self: o.Self.ID, Region: o.Self.Region, Dialect: o.Dialect, Pool: i.pool, Decider: i.deciding, Killers: i.killers, Limits: i.limits, Targets: i.targets, Peers: i.peers,
+		Self: o.Self.ID, Region: o.Self.Region, Dialect: o.Dialect, Pool: i.pool, GroupOwner: i.deciding, PoisonRequests: i.killers, Limits: i.limits, Targets: i.targets, Peers: i.peers,
 		Retries: o.Retries, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Log: o.Log,
-		Ordinary: o.Ordinary, Metrics: i.metrics,
+		AccessLog: o.Ordinary, Metrics: i.metrics,
 	})
 	return i, nil
 }
@@ -126,7 +126,7 @@
 
 // Peers serves the links and the requests of other instances.
 func (i *Instance) Peers() http.Handler {
-	links, passed := i.hub.Handler(), i.gateway.PassedOn()
+	links, passed := i.hub.Handler(), i.gateway.ForwardedHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == link.DefaultPath {
 			links.ServeHTTP(w, r)
@@ -145,7 +145,7 @@
 	s := metrics.EntryState{InFlight: i.gateway.InFlight(), Dials: int64(i.targets.Dials()), ListAge: -1}
 	c := i.pool.Count(now)
 	s.Links = metrics.SumLinks(i.hub.Stats())
-	s.Targets, s.Out, s.Cold, s.Limited, s.Draining = int64(c.Targets), int64(c.Out), int64(c.Cold), int64(c.Limited), int64(c.Draining)
+	s.Targets, s.Out, s.Cold, s.Limited, s.Draining = int64(c.Targets), int64(c.BackingOff), int64(c.Cold), int64(c.Limited), int64(c.Draining)
 	if i.o.Lines != nil {
 		dropped, leftOut := i.o.Lines.Missing()
 		s.LinesDropped, s.LinesLeftOut = int64(dropped), int64(leftOut)
--- a/pipeline/attempts.go
+++ b/pipeline/attempts.go
@@ -134,7 +134,7 @@
 	f.start(x, a)
 	err := s(x, a)
 	x.joinVerdict(verdictOf(err))
-	if x.claim != nil && x.Verdict.Safe() {
+	if x.claim != nil && x.Verdict.SafeToRetry() {
 		x.claim.cancelSend()
 	}
 	return err
@@ -230,7 +230,7 @@
 	if x.headWritten || x.Ctx.Err() != nil || x.bodyUsed() {
 		return false
 	}
-	if !retryable(e.Code) || (x.Once && !x.Verdict.Safe()) {
+	if !retryable(e.Code) || (x.Once && !x.Verdict.SafeToRetry()) {
 		return false
 	}
 	q.Attempt++
@@ -277,7 +277,7 @@
 // withRetryAfter adds a retry delay to refusals for lack of a target or of a
 // region, which are temporary.
 func withRetryAfter(e *verdict.Error) *verdict.Error {
-	temporary := StatusOf(e.Code) == http.StatusServiceUnavailable || (e.Code == CodeRegionUnreached && e.Verdict.Safe())
+	temporary := StatusOf(e.Code) == http.StatusServiceUnavailable || (e.Code == CodeRegionUnreached && e.Verdict.SafeToRetry())
 	if e.RetryAfter == 0 && temporary {
 		c := *e
 		c.RetryAfter = defaultRetryAfter
--- a/pipeline/budget.go
+++ b/pipeline/budget.go
@@ -94,9 +94,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.forService(x.Service.ID).gate.Allow(b.now(), retry.Attempt{
-		Idempotent: !x.Once,
-		FirstToken: x.headWritten,
-		Deadline:   x.Deadline,
-		Finish:     finish,
+		Idempotent:      !x.Once,
+		ResponseStarted: x.headWritten,
+		Deadline:        x.Deadline,
+		Finish:          finish,
 	})
 }
--- a/pipeline/claiming.go
+++ b/pipeline/claiming.go
@@ -53,14 +53,14 @@
 // beginSend must be called right before each attempt. It reports whether the
 // claim still allows to send.
 func (c *claimed) beginSend() bool {
-	c.sent = c.gate.Sending()
+	c.sent = c.gate.BeginSend()
 	return c.sent
 }
 
 // cancelSend undoes beginSend. It may be called only where the attempt certainly
 // ran at no target.
 func (c *claimed) cancelSend() {
-	c.gate.Unsent()
+	c.gate.CancelSend()
 	c.sent = false
 }
 
@@ -108,7 +108,7 @@
 	c.gate = gate
 	for {
 		switch step.Action {
-		case claim.Ask:
+		case claim.Propose:
 			step = f.propose(ctx, c, step)
 		case claim.Send:
 			return f.start(x, c, digest, next)
@@ -133,7 +133,7 @@
 		Key:      x.claimKey(),
 		Body:     digest,
 		Instance: f.deps.Instance,
-		Sending:  x.Terms.Mark,
+		Mark:     x.Terms.Mark,
 		Lifetime: time.Duration(x.View.Bundle.Rules.ClaimLifetimeSeconds) * time.Second,
 	}
 	_, _ = rand.Read(r.Attempt[:])
--- a/pipeline/priorverdict.go
+++ b/pipeline/priorverdict.go
@@ -26,7 +26,7 @@
 
 // parseMark reads the resend header: "true" is a resend, "false" a first request;
 // anything else is unmarked.
-func parseMark(text string) claim.Sending {
+func parseMark(text string) claim.Mark {
 	switch text {
 	case "true":
 		return claim.Resend
--- a/pipeline/terms.go
+++ b/pipeline/terms.go
@@ -36,7 +36,7 @@
 	// NonIdempotent says that the caller marked the request as not idempotent.
 	NonIdempotent bool
 	// Mark says whether the caller marked the request as a resend.
-	Mark claim.Sending
+	Mark claim.Mark
 }
 
 // ReadTerms reads the headers. It refuses malformed ones: a deadline that can't
