--- a/coord/replhost/calls.go
+++ b/coord/replhost/calls.go
@@ -28,7 +28,7 @@
 	done  chan outcome // holds one
 
 	// The rest is guarded by calls.mu.
-	place   replog.Place
+	place   replog.Position
 	readID  uint64
 	dropped bool
 }
@@ -61,7 +61,7 @@
 	return &calls{proposals: map[uint64][]*call{}, reads: map[uint64]*call{}}
 }
 
-func (cs *calls) addProposal(c *call, p replog.Place) {
+func (cs *calls) addProposal(c *call, p replog.Position) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if !c.dropped {
--- a/coord/replhost/requests.go
+++ b/coord/replhost/requests.go
@@ -172,7 +172,7 @@
 	l.placed(c.call, place, err)
 }
 
-func (l *loop) placed(c *call, place replog.Place, err error) {
+func (l *loop) placed(c *call, place replog.Position, err error) {
 	if err != nil {
 		c.end(outcome{err: refusal(err, l.core.Status().Leader.ID)})
 		return
--- a/coord/replog/api.go
+++ b/coord/replog/api.go
@@ -121,7 +121,7 @@
 	MsgProbeResp
 	// MsgStranger answers a message that was meant for another incarnation of
 	// the receiver.
-	MsgStranger
+	MsgWrongIncarnation
 	MsgPreVote
 	MsgPreVoteResp
 	MsgVote
@@ -259,7 +259,7 @@
 	Peers []Peer
 	// Strangers are incarnations that answered in place of a silent member: a
 	// lost disk that waits for Readmit. Set at a leader, sorted by id.
-	Strangers []Member
+	OtherIncarnations []Member
 }
 
 // Log is the interface of a Node towards its host, for hosts that fake it.
@@ -279,11 +279,11 @@
 	// The proposal has won if an entry of that term is committed at that
 	// index, and has lost if one of another term is. Errors: ErrNotLeader,
 	// ErrOverloaded, ErrTransferring, ErrEmpty.
-	Propose(now time.Time, data []byte) (Place, error)
+	Propose(now time.Time, data []byte) (Position, error)
 	// ProposeConfChange appends the next configuration. Errors: those of
 	// Propose, ErrConfPending, ErrNotCaughtUp, ErrLeaderChange and those of
 	// Config.Apply.
-	ProposeConfChange(now time.Time, ch ConfChange) (Place, error)
+	ProposeConfChange(now time.Time, ch ConfChange) (Position, error)
 	// NextRepair returns the change that a lost disk needs now: Readmit for a
 	// stranger, Promote for a caught-up learner among promote. For a leader
 	// only.
@@ -318,4 +318,4 @@
 }
 
 // Place is where a proposal stands in the log.
-type Place struct{ Term, Index uint64 }
+type Position struct{ Term, Index uint64 }
--- a/coord/replog/check_test.go
+++ b/coord/replog/check_test.go
@@ -42,7 +42,7 @@
 	}
 	s.commit = l.commit
 	term, _ := l.term(l.commit)
-	p := Place{term, l.commit}
+	p := Position{term, l.commit}
 	s.checkMajority(l.config().config, h, fmt.Sprintf("commit of %+v", p), func(m Member) bool { return s.disks[m].holds(p) })
 }
 
@@ -86,7 +86,7 @@
 			continue
 		}
 		sum := xxhash.Sum64(fmt.Appendf(nil, "%d %d %s %v", prev.Term, e.Kind, e.Data, e.Config))
-		p := groupPlace{h.disk.hs.Group, Place{e.Term, e.Index}}
+		p := groupPlace{h.disk.hs.Group, Position{e.Term, e.Index}}
 		if old, ok := s.entries[p]; ok && old != sum {
 			s.fail("logs differ at or before %+v, seen at %v", p, h.disk.self)
 		}
--- a/coord/replog/errors.go
+++ b/coord/replog/errors.go
@@ -19,7 +19,7 @@
 	// ErrNotCaughtUp: a learner is promoted only once it holds the log.
 	ErrNotCaughtUp = errors.ConstError("learner has not caught up")
 	// ErrLeaderChange: a leader does not take itself out; transfer first.
-	ErrLeaderChange = errors.ConstError("the change is about the leader itself")
+	ErrSelfChange = errors.ConstError("the change is about the leader itself")
 	// ErrWrongNode: a message for another node id.
 	ErrWrongNode = errors.ConstError("message for another node")
 	// ErrMalformed: a message that no node of this version sends.
--- a/coord/replog/forming.go
+++ b/coord/replog/forming.go
@@ -109,7 +109,7 @@
 		})
 	case MsgProbeResp:
 		n.handleProbeResp(m)
-	case MsgStranger:
+	case MsgWrongIncarnation:
 		n.noteStranger(m.From)
 	}
 }
--- a/coord/replog/large_test.go
+++ b/coord/replog/large_test.go
@@ -42,7 +42,7 @@
 	return s, leader, sent
 }
 
-func propose(t *testing.T, s *sim, leader *host, bytes int) Place {
+func propose(t *testing.T, s *sim, leader *host, bytes int) Position {
 	t.Helper()
 	place, err := leader.node.Propose(s.local(leader), make([]byte, bytes))
 	if err != nil {
@@ -51,7 +51,7 @@
 	return place
 }
 
-func mustHaveCommitted(t *testing.T, leader *host, place Place) {
+func mustHaveCommitted(t *testing.T, leader *host, place Position) {
 	t.Helper()
 	if got := leader.node.Status(); got.Role != Leader || got.Commit < place.Index {
 		t.Fatalf("entry %d is not committed: %+v", place.Index, got)
--- a/coord/replog/log.go
+++ b/coord/replog/log.go
@@ -19,7 +19,7 @@
 	// Index is zero if there is none.
 	snapshot Snapshot
 	// prev is the place before entries[0].
-	prev    Place
+	prev    Position
 	entries []Entry
 	// persisted: all up to it is synced. handed: all up to it was given out in
 	// Ready.Committed. applied: the host has said so by Advance.
@@ -137,7 +137,7 @@
 
 // restore replaces all by a snapshot.
 func (l *entryLog) restore(s Snapshot) {
-	l.snapshot, l.prev, l.entries = s, Place{Term: s.Term, Index: s.Index}, nil
+	l.snapshot, l.prev, l.entries = s, Position{Term: s.Term, Index: s.Index}, nil
 	l.persisted, l.commit, l.handed, l.applied = s.Index, s.Index, s.Index, s.Index
 	l.confs = []confAt{{s.Index, s.Config}}
 }
@@ -161,7 +161,7 @@
 		return
 	}
 	l.entries = append([]Entry(nil), l.entries[index-l.prev.Index:]...)
-	l.prev = Place{Term: term, Index: index}
+	l.prev = Position{Term: term, Index: index}
 	for len(l.confs) > 1 && l.confs[1].index <= index {
 		l.confs = l.confs[1:]
 	}
--- a/coord/replog/members.go
+++ b/coord/replog/members.go
@@ -20,23 +20,23 @@
 // was found in single-server changes after the Raft thesis). Neighbouring
 // configurations differ by one voter at most, so their majorities overlap, and
 // so do a majority that promised a lease and one that elects.
-func (n *Node) ProposeConfChange(now time.Time, ch ConfChange) (Place, error) {
+func (n *Node) ProposeConfChange(now time.Time, ch ConfChange) (Position, error) {
 	n.clock(now)
 	if err := n.mayPropose(); err != nil {
-		return Place{}, err
+		return Position{}, err
 	}
 	if !n.settled() {
-		return Place{}, ErrConfPending
+		return Position{}, ErrConfPending
 	}
 	if ch.Member.ID == n.opts.Self.ID {
-		return Place{}, ErrLeaderChange
+		return Position{}, ErrSelfChange
 	}
 	next, err := n.log.config().config.Apply(ch)
 	if err != nil {
-		return Place{}, errors.Trace(err)
+		return Position{}, errors.Trace(err)
 	}
 	if ch.Kind == confchange.Promote && !n.caughtUp(n.lead.peers[ch.Member]) {
-		return Place{}, errors.Annotatef(ErrNotCaughtUp, "%v", ch.Member)
+		return Position{}, errors.Annotatef(ErrNotCaughtUp, "%v", ch.Member)
 	}
 	n.lead.leaseBefore = n.leaseGiven
 	return n.appendEntry(Entry{Kind: EntryConfig, Config: &next}), nil
@@ -104,7 +104,7 @@
 // to is not here. Nothing else of the message is taken in.
 func (n *Node) answerStranger(m Message) {
 	if m.Kind.fromLeader() || m.Kind == MsgVote || m.Kind == MsgPreVote {
-		n.out.messages = append(n.out.messages, Message{Kind: MsgStranger, From: n.opts.Self, To: m.From})
+		n.out.messages = append(n.out.messages, Message{Kind: MsgWrongIncarnation, From: n.opts.Self, To: m.From})
 	}
 }
 
--- a/coord/replog/node.go
+++ b/coord/replog/node.go
@@ -193,7 +193,7 @@
 	}
 	n.clock(now)
 	switch {
-	case m.Kind <= MsgStranger:
+	case m.Kind <= MsgWrongIncarnation:
 		n.stepOutside(m)
 	case m.To != n.opts.Self:
 		n.answerStranger(m)
@@ -321,6 +321,6 @@
 		Self: n.opts.Self, Role: n.role, Group: n.hs.Group, Term: n.hs.Term, Leader: n.leader,
 		Config: conf.config, ConfigIndex: conf.index,
 		First: n.log.prev.Index + 1, Last: n.log.last(), Commit: n.log.commit, Applied: n.log.applied,
-		Peers: n.peerStatus(), Strangers: n.strangers(),
+		Peers: n.peerStatus(), OtherIncarnations: n.strangers(),
 	}
 }
--- a/coord/replog/replicate.go
+++ b/coord/replog/replicate.go
@@ -15,16 +15,16 @@
 const snapshotPatience = 4
 
 // Propose implements Log.
-func (n *Node) Propose(now time.Time, data []byte) (Place, error) {
+func (n *Node) Propose(now time.Time, data []byte) (Position, error) {
 	n.clock(now)
 	if len(data) == 0 {
-		return Place{}, ErrEmpty
+		return Position{}, ErrEmpty
 	}
 	if err := n.mayPropose(); err != nil {
-		return Place{}, err
+		return Position{}, err
 	}
 	if n.lead.uncommitted > 0 && n.lead.uncommitted+len(data) > n.opts.MaxUncommittedBytes {
-		return Place{}, ErrOverloaded
+		return Position{}, ErrOverloaded
 	}
 	return n.appendEntry(Entry{Data: data}), nil
 }
@@ -40,7 +40,7 @@
 }
 
 // appendEntry gives the entry its place and sends it out.
-func (n *Node) appendEntry(e Entry) Place {
+func (n *Node) appendEntry(e Entry) Position {
 	e.Term, e.Index = n.hs.Term, n.log.last()+1
 	n.log.append(e)
 	n.lead.uncommitted += len(e.Data)
@@ -48,7 +48,7 @@
 		n.trackPeers(e.Index)
 	}
 	n.out.appendDue = true
-	return Place{Term: e.Term, Index: e.Index}
+	return Position{Term: e.Term, Index: e.Index}
 }
 
 // trackPeers gives each other member of the configuration in force a progress,
@@ -94,7 +94,7 @@
 // sendAppends fills the windows of all peers.
 func (n *Node) sendAppends() {
 	n.eachPeer(func(m Member, p *tracker.Progress) {
-		for p.Next <= n.log.last() && p.MaySend(n.opts.MaxInflight) {
+		for p.Next <= n.log.last() && p.CanSend(n.opts.MaxInflight) {
 			n.sendAppend(m, p)
 		}
 	})
@@ -110,7 +110,7 @@
 		return
 	}
 	entries := n.log.between(p.Next, n.log.last(), n.opts.MaxAppendBytes)
-	p.Sent(n.now, prev+uint64(len(entries)), len(entries), dataBytes(entries))
+	p.RecordAppend(n.now, prev+uint64(len(entries)), len(entries), dataBytes(entries))
 	p.SentCommit = max(p.SentCommit, min(n.log.commit, prev+uint64(len(entries))))
 	n.sendAsLeader(Message{
 		Kind: MsgAppend, To: to, Index: prev, LogTerm: term,
@@ -128,7 +128,7 @@
 
 func (n *Node) sendSnapshot(to Member, p *tracker.Progress) {
 	s := n.log.snapshot
-	p.SentSnapshot(n.now, s.Index, len(s.Data))
+	p.RecordSnapshot(n.now, s.Index, len(s.Data))
 	n.sendAsLeader(Message{Kind: MsgSnapshot, To: to, Index: s.Index, LogTerm: s.Term, Snapshot: &s})
 }
 
@@ -226,7 +226,7 @@
 	delete(n.lead.strangers, m.From.ID)
 	switch {
 	case m.Kind == MsgHeartbeatResp:
-		mayAppend := p.Heard(n.now, n.opts.MaxInflight, snapshotPatience*n.opts.ElectionTimeout)
+		mayAppend := p.HandleHeartbeatResp(n.now, n.opts.MaxInflight, snapshotPatience*n.opts.ElectionTimeout)
 		n.ackRound(p, m.Round)
 		if p.Match < n.log.last() && mayAppend {
 			n.sendAppend(m.From, p)
--- a/coord/replog/sim_test.go
+++ b/coord/replog/sim_test.go
@@ -23,7 +23,7 @@
 }
 
 // holds reports whether the place is synced here.
-func (d *disk) holds(p Place) bool {
+func (d *disk) holds(p Position) bool {
 	if d.snapshot != nil && p.Index <= d.snapshot.Index {
 		return true
 	}
@@ -95,7 +95,7 @@
 
 type groupPlace struct {
 	group uint64
-	place Place
+	place Position
 }
 
 // sim runs hosts over a network in true time and sees all that they do.
--- a/coord/replog/tracker/tracker.go
+++ b/coord/replog/tracker/tracker.go
@@ -77,7 +77,7 @@
 
 // MaySend reports whether an append may go out now, with at most limit in
 // flight.
-func (p *Progress) MaySend(limit int) bool {
+func (p *Progress) CanSend(limit int) bool {
 	switch p.State {
 	case Probe:
 		return !p.waiting
@@ -88,7 +88,7 @@
 }
 
 // Sent notes an append whose last entry is last; n entries with so many bytes went out.
-func (p *Progress) Sent(now time.Time, last uint64, n, bytes int) {
+func (p *Progress) RecordAppend(now time.Time, last uint64, n, bytes int) {
 	a := appended{prev: last - uint64(n), last: last, bytes: bytes, at: now}
 	if p.State == Probe {
 		p.waiting, p.inflight = true, []appended{a}
@@ -102,7 +102,7 @@
 }
 
 // SentSnapshot notes a snapshot of so many bytes.
-func (p *Progress) SentSnapshot(now time.Time, index uint64, bytes int) {
+func (p *Progress) RecordSnapshot(now time.Time, index uint64, bytes int) {
 	p.State, p.Next, p.overtaken = Snapshot, index+1, false
 	p.inflight = []appended{{last: index, bytes: bytes, at: now}}
 }
@@ -153,7 +153,7 @@
 // Heard takes in an answer to a heartbeat. It lets one more append go out where those under
 // way must be taken as lost: the next one is rejected and the peer probed again. A snapshot
 // is given patience at least, as the peer has to write it.
-func (p *Progress) Heard(now time.Time, limit int, patience time.Duration) (mayAppend bool) {
+func (p *Progress) HandleHeartbeatResp(now time.Time, limit int, patience time.Duration) (mayAppend bool) {
 	if len(p.inflight) > 0 && !p.lost(now, p.inflight[0]) {
 		return false
 	}
@@ -173,5 +173,5 @@
 	if len(p.inflight) >= limit {
 		p.inflight = p.inflight[1:]
 	}
-	return p.MaySend(limit)
+	return p.CanSend(limit)
 }
--- a/coord/replog/tracker/tracker_test.go
+++ b/coord/replog/tracker/tracker_test.go
@@ -14,21 +14,21 @@
 	now := time.Unix(1000, 0)
 	p := New(1, now)
 	for _, want := range []time.Duration{8 * time.Second, 16 * time.Second, 32 * time.Second} {
-		p.SentSnapshot(now, 100, bytes)
+		p.RecordSnapshot(now, 100, bytes)
 		begun := now
-		for !p.Heard(now, 32, patience) {
+		for !p.HandleHeartbeatResp(now, 32, patience) {
 			now = now.Add(100 * time.Millisecond)
 		}
 		if got := now.Sub(begun); got != want {
 			t.Errorf("sent again after %v, want %v", got, want)
 		}
 	}
-	p.SentSnapshot(now, 100, bytes)
+	p.RecordSnapshot(now, 100, bytes)
 	if p.Ack(100); p.State != Replicate || p.Next != 101 {
 		t.Fatalf("after the snapshot: %+v", p)
 	}
-	p.SentSnapshot(now, 200, 1)
-	if p.Heard(now.Add(patience), 32, patience) || !p.Heard(now.Add(patience+1), 32, patience) {
+	p.RecordSnapshot(now, 200, 1)
+	if p.HandleHeartbeatResp(now.Add(patience), 32, patience) || !p.HandleHeartbeatResp(now.Add(patience+1), 32, patience) {
 		t.Error("a small snapshot has another patience")
 	}
 }
--- a/node/status.go
+++ b/node/status.go
@@ -183,7 +183,7 @@
 			v.State, v.Disk = "unreachable", "unknown"
 		}
 	}
-	for _, stranger := range s.Core.Strangers {
+	for _, stranger := range s.Core.OtherIncarnations {
 		if stranger.ID == v.Instance {
 			v.Disk = "empty"
 		}
