--- a/coord/replog/bench_test.go
+++ b/coord/replog/bench_test.go
@@ -11,21 +11,21 @@
 	"github.com/gullhaven/gullhaven/coord/replog/confchange"
 )
 
-// BenchmarkStep is the cost of one heartbeat at a follower, with its answer
-// taken out, and of one acknowledged proposal at a leader of three voters.
+// BenchmarkStep measures one heartbeat with its answer at a follower, and one
+// acknowledged proposal at a leader of three voters.
 func BenchmarkStep(b *testing.B) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
 	b.Run("heartbeat", func(b *testing.B) {
-		n := ruleNode(&testing.T{}, longAgo, conf)
+		n := newRestartedNode(&testing.T{}, longAgo, conf)
 		b.ReportAllocs()
 		for i := range b.N {
 			m := Message{Kind: MsgHeartbeat, From: mb, To: ma, Group: ruleGroup, Term: ruleTerm, Round: uint64(i + 1)}
 			_ = n.Step(epoch.Add(time.Duration(i)), m)
-			settle(n)
+			drainReady(n)
 		}
 	})
 	b.Run("commit", func(b *testing.B) {
-		n := ruleNode(&testing.T{}, longAgo, conf)
+		n := newRestartedNode(&testing.T{}, longAgo, conf)
 		elect(&testing.T{}, n, epoch)
 		data := make([]byte, 128)
 		b.ReportAllocs()
@@ -34,11 +34,11 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			settle(n)
+			drainReady(n)
 			for _, from := range []Member{mb, mc} {
 				_ = n.Step(epoch, Message{Kind: MsgAppendResp, From: from, To: ma, Group: ruleGroup, Term: ruleTerm + 1, Index: p.Index})
 			}
-			settle(n)
+			drainReady(n)
 			if i%1000 == 999 {
 				snap, _ := n.MakeSnapshot(p.Index, data)
 				_ = n.Compact(snap, 10)
@@ -50,13 +50,13 @@
 	})
 }
 
-// quiet returns a group that has a leader and nothing to do, on a network
-// without loss; count sees each message from then on.
-func quiet(b *testing.B, voters, learners int, count func(Message)) (*sim, *host) {
-	s := newSimOf(Options{}, 1, voters, learners, b.Fatalf)
+// newIdleSim returns a group with a leader and no work, on a network without loss;
+// count is called for each message from then on.
+func newIdleSim(b *testing.B, voters, learners int, count func(Message)) (*sim, *host) {
+	s := newSimWithOptions(Options{}, 1, voters, learners, b.Fatalf)
 	s.lossy = false
 	s.run(10*time.Second, nil)
-	l := s.leading()
+	l := s.currentLeader()
 	if l == nil {
 		b.Fatal("no leader")
 	}
@@ -64,14 +64,14 @@
 	return s, l
 }
 
-// BenchmarkCommitMessages counts the messages of a commit, heartbeats apart,
-// for proposals one by one and 16 at a time.
+// BenchmarkCommitMessages counts the messages of a commit, without heartbeats, for
+// proposals one by one and 16 at a time.
 func BenchmarkCommitMessages(b *testing.B) {
 	for _, size := range [][2]int{{1, 0}, {3, 0}, {5, 0}, {3, 2}, {3, 6}, {5, 6}} {
 		for _, batch := range []int{1, 16} {
 			b.Run(fmt.Sprintf("voters=%d/learners=%d/batch=%d", size[0], size[1], batch), func(b *testing.B) {
 				messages, bytes := 0, 0
-				s, l := quiet(b, size[0], size[1], func(m Message) {
+				s, l := newIdleSim(b, size[0], size[1], func(m Message) {
 					if m.Kind == MsgHeartbeat && m.Round > 0 || m.Kind == MsgHeartbeatResp {
 						return
 					}
@@ -105,13 +105,13 @@
 	return len(b)
 }
 
-// BenchmarkIdle gives the messages and CBOR bytes, without framing, that a
-// group without work sends in a second, with the default heartbeats.
+// BenchmarkIdle counts the messages and CBOR bytes, without framing, that an idle group
+// sends per second with the default heartbeats.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range [][2]int{{1, 0}, {3, 0}, {5, 0}, {3, 6}} {
 		b.Run(fmt.Sprintf("voters=%d/learners=%d", size[0], size[1]), func(b *testing.B) {
 			messages, bytes := 0, 0
-			s, _ := quiet(b, size[0], size[1], func(m Message) {
+			s, _ := newIdleSim(b, size[0], size[1], func(m Message) {
 				messages++
 				bytes += wireSize(m)
 			})
@@ -124,9 +124,9 @@
 	}
 }
 
-// BenchmarkElection gives the virtual time from the stop of a leader to the
-// first commit of its successor, over seeds, with an election timeout of 1 s
-// and one-way delays of 1 to 8 ms.
+// BenchmarkElection measures the virtual time from the stop of a leader to the first
+// commit of its successor, over seeds, with an election timeout of 1 s and one-way
+// delays of 1 to 8 ms.
 func BenchmarkElection(b *testing.B) {
 	const seeds = 100
 	for _, voters := range []int{3, 5} {
@@ -145,14 +145,14 @@
 }
 
 func electionTime(b *testing.B, seed uint64, voters int) time.Duration {
-	s := newSimOf(Options{}, seed, voters, 0, b.Fatalf)
+	s := newSimWithOptions(Options{}, seed, voters, 0, b.Fatalf)
 	s.lossy = false
 	s.run(5*time.Second+time.Duration(seed)*simStep, nil)
-	s.crash(s.leading().disk.self.ID)
+	s.crash(s.currentLeader().disk.self.ID)
 	begin := s.now
 	for s.now-begin < time.Minute {
 		s.run(simStep, nil)
-		if l := s.leading(); l != nil && l.node.leads() {
+		if l := s.currentLeader(); l != nil && l.node.hasCommittedInTerm() {
 			return s.now - begin
 		}
 	}
--- a/coord/replog/check_test.go
+++ b/coord/replog/check_test.go
@@ -10,7 +10,7 @@
 	"github.com/gullhaven/gullhaven/coord/replog/quorum"
 )
 
-// apply checks that all state machines run through the same states.
+// apply checks that all state machines go through the same states.
 func (s *sim) apply(h *host, e Entry) {
 	if e.Index != h.applied+1 {
 		s.fail("%v applies %d after %d", h.disk.self, e.Index, h.applied)
@@ -29,12 +29,12 @@
 	s.committed = append(s.committed, e)
 	if e.Kind == EntryConfig {
 		s.config, s.configIndex = *e.Config, e.Index
-		s.changes++
+		s.configChanges++
 	}
 }
 
-// checkCommit checks, after each event, that what a leader has newly committed
-// is synced by a majority of members.
+// checkCommit checks, after each event, that a majority of members has synced what a
+// leader has newly committed.
 func (s *sim) checkCommit(h *host) {
 	l := h.node.log
 	if h.node.role != Leader || l.commit <= s.commit {
@@ -46,8 +46,8 @@
 	s.checkMajority(l.config().config, h, fmt.Sprintf("commit of %+v", p), func(m Member) bool { return s.disks[m].holds(p) })
 }
 
-// checkMajority asks the disks, not the nodes: a member counts only by what
-// this very incarnation has synced.
+// checkMajority checks the disks, not the nodes: a member counts only by what this very
+// incarnation has synced.
 func (s *sim) checkMajority(conf Config, h *host, what string, has func(Member) bool) {
 	n := 0
 	for _, m := range conf.Voters {
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkVote checks after each write that no vote is ever changed.
+// checkVote checks, after each write, that no vote is ever changed.
 func (s *sim) checkVote(h *host) {
 	if hs := h.disk.hs; hs.Vote != (Member{}) {
 		votes := s.votes[h.disk.self]
@@ -75,8 +75,8 @@
 	}
 }
 
-// checkEntries checks after each write that an entry of one place is the same,
-// behind the same entry, in all logs.
+// checkEntries checks, after each write, that all logs hold the same entry, after the
+// same entry, at one position.
 func (s *sim) checkEntries(h *host, entries []Entry) {
 	for _, e := range entries {
 		var prev Entry
@@ -86,7 +86,7 @@
 			continue
 		}
 		sum := xxhash.Sum64(fmt.Appendf(nil, "%d %d %s %v", prev.Term, e.Kind, e.Data, e.Config))
-		p := groupPlace{h.disk.hs.Group, Position{e.Term, e.Index}}
+		p := groupPosition{h.disk.hs.Group, Position{e.Term, e.Index}}
 		if old, ok := s.entries[p]; ok && old != sum {
 			s.fail("logs differ at or before %+v, seen at %v", p, h.disk.self)
 		}
@@ -94,7 +94,8 @@
 	}
 }
 
-// checkLeader checks elections and leases.
+// checkLeader checks that a term has one leader, elected by a majority, and that no two
+// leases overlap.
 func (s *sim) checkLeader(h *host) {
 	st := h.node.Status()
 	if st.Role != Leader {
@@ -113,7 +114,7 @@
 	if until.IsZero() {
 		return
 	}
-	s.leases++
+	s.leaseChecks++
 	h.leaseEnd = time.Duration(float64(until.Sub(time.Unix(1000, 0))) / h.rate)
 	for id, o := range s.hosts {
 		if o != h && o.leaseEnd > s.now {
--- a/coord/replog/election.go
+++ b/coord/replog/election.go
@@ -7,25 +7,25 @@
 	"github.com/gullhaven/gullhaven/coord/replog/tracker"
 )
 
-// resetElection draws the next time to campaign. It lies at or after the time
-// until which this node refuses votes if it heard from a leader just now.
+// resetElection draws the next time to campaign. If this node just received a message
+// from a leader, that is no earlier than the time until which it refuses votes.
 func (n *Node) resetElection() {
 	jitter := time.Duration(n.rng.Int64N(int64(n.opts.ElectionTimeout)))
-	n.electionAt = n.now.Add(n.stretched() + jitter)
+	n.electionAt = n.now.Add(n.voterTimeout() + jitter)
 }
 
-// promotable reports whether this incarnation votes in its own newest
+// promotable reports whether this incarnation is a voter in its own newest
 // configuration.
 func (n *Node) promotable() bool { return n.log.config().config.IsVoter(n.opts.Self) }
 
-// becomeFollower enters a term, or stays in its own without leading.
+// becomeFollower enters a term, or stays in the current one without leading.
 //
-// A leader that steps down may still have a host that acts on a lease given
-// out before. Its own vote helped to carry that lease, so it refuses to vote
-// until the end of it.
+// A leader that steps down may still have a host that acts on a lease returned before.
+// Its own vote helped to establish that lease, so it refuses to vote until the lease
+// ends.
 func (n *Node) becomeFollower(term uint64, leader Member) {
-	if n.role == Leader && n.leaseGiven.After(n.refuseUntil) {
-		n.refuseUntil = n.leaseGiven
+	if n.role == Leader && n.returnedLeaseEnd.After(n.refuseUntil) {
+		n.refuseUntil = n.returnedLeaseEnd
 	}
 	if term > n.hs.Term {
 		n.hs.Term, n.hs.Vote = term, Member{}
@@ -35,23 +35,23 @@
 	n.resetElection()
 }
 
-// hearLeader notes a sign of the leader of this term.
-func (n *Node) hearLeader(leader Member) {
+// observeLeader records a message from the leader of this term.
+func (n *Node) observeLeader(leader Member) {
 	if n.role != Follower || n.leader != leader {
 		n.becomeFollower(n.hs.Term, leader)
 	}
 	n.resetElection()
-	n.refuseUntil = n.now.Add(n.stretched())
+	n.refuseUntil = n.now.Add(n.voterTimeout())
 }
 
-// refusesVote reports whether a vote would break the promise behind a lease. A
-// leader refuses as long as it leads: it steps down by itself when it does not
-// hear from a majority.
+// refusesVote reports whether a vote would break the promise behind a lease. A leader
+// refuses as long as it leads: it steps down by itself when it does not hear from a
+// majority.
 func (n *Node) refusesVote(m Message) bool {
 	return !m.Force && (n.role == Leader || n.now.Before(n.refuseUntil))
 }
 
-// campaign starts a pre-vote, which changes no term, or an election.
+// campaign starts a pre-vote, which does not change the term, or an election.
 func (n *Node) campaign(role Role, force bool) {
 	kind, term := MsgPreVote, n.hs.Term+1
 	if role == Candidate {
@@ -73,17 +73,16 @@
 	n.countVotes()
 }
 
-// handleVote answers a pre-vote or a vote. The candidate's configuration names
-// this incarnation, or the message would not have come this far; whether this
-// node's own log already says so does not matter, for it is the candidate that
-// counts.
+// handleVote answers a pre-vote or a vote. The candidate's configuration names this
+// incarnation, or the message would have been rejected before; whether this node's own
+// log already says so does not matter, as the candidate does the counting.
 func (n *Node) handleVote(m Message) {
 	if n.refusesVote(m) {
 		return
 	}
 	if m.Kind == MsgPreVote {
 		grant := m.Term > n.hs.Term && n.log.upToDate(m.Index, m.LogTerm)
-		n.answerVote(m, MsgPreVoteResp, grant)
+		n.sendVoteResp(m, MsgPreVoteResp, grant)
 		return
 	}
 	free := n.hs.Vote == m.From || (n.hs.Vote == Member{} && n.leader == Member{})
@@ -92,11 +91,11 @@
 		n.hs.Vote = m.From
 		n.resetElection()
 	}
-	n.answerVote(m, MsgVoteResp, grant)
+	n.sendVoteResp(m, MsgVoteResp, grant)
 }
 
-// answerVote grants in the asked term, or rejects with this node's own one.
-func (n *Node) answerVote(m Message, kind MessageKind, grant bool) {
+// sendVoteResp grants in the requested term, or rejects with this node's own term.
+func (n *Node) sendVoteResp(m Message, kind MessageKind, grant bool) {
 	term := n.hs.Term
 	if grant {
 		term = m.Term
@@ -120,7 +119,7 @@
 }
 
 // countVotes counts by member, so that a vote of another incarnation than the
-// configuration's is no vote.
+// configuration's does not count.
 func (n *Node) countVotes() {
 	voters := n.log.config().config.Voters
 	granted, rejected := 0, 0
@@ -143,23 +142,22 @@
 	}
 }
 
-// becomeLeader opens the term with an empty entry: entries of earlier terms
-// are committed only behind one of the own term (section 5.4.2 of the paper).
+// becomeLeader starts the term with an empty entry: entries of earlier terms are
+// committed only by one of the own term after them (section 5.4.2 of the paper).
 func (n *Node) becomeLeader() {
 	n.role, n.leader, n.votes = Leader, n.opts.Self, nil
 	n.lead = leadership{
-		peers:       make(map[Member]*tracker.Progress),
-		strangers:   make(map[string]Member),
-		leaseBefore: n.leaseGiven,
+		peers:             make(map[Member]*tracker.Progress),
+		otherIncarnations: make(map[string]Member),
+		earlierLeaseEnd:   n.returnedLeaseEnd,
 	}
 	n.trackPeers(n.log.last() + 1)
 	n.appendEntry(Entry{})
 	n.broadcastHeartbeat()
 }
 
-// handleTimeoutNow campaigns at once. The leader of this term has stepped down
-// and given up its lease before it sent the message, so the voters may break
-// their promise to it.
+// handleTimeoutNow campaigns at once. The leader of this term stepped down and gave up
+// its lease before it sent the message, so the voters may break their promise to it.
 func (n *Node) handleTimeoutNow() {
 	if n.promotable() && n.role == Follower {
 		n.campaign(Candidate, true)
--- a/coord/replog/forming.go
+++ b/coord/replog/forming.go
@@ -10,8 +10,8 @@
 	"github.com/gullhaven/gullhaven/coord/replog/confchange"
 )
 
-// firstTerm and firstIndex are the place of the configuration that forms a
-// group. Only its founder ever writes there, before any election.
+// firstTerm and firstIndex are the position of the configuration that forms a group.
+// Only the founder ever writes there, before any election.
 const (
 	firstTerm  = 1
 	firstIndex = 1
@@ -19,13 +19,13 @@
 
 // forming is the state of a blank node.
 type forming struct {
-	// digest is of Bootstrap: nodes whose lists differ must not form a group.
+	// digest is that of Bootstrap: nodes whose lists differ must not form a group.
 	digest uint64
-	// others are the ids that the founder asks, and blank those that answered
+	// otherIDs are the ids that the founder probes, and blank the members that answered
 	// that they are blank. Both stay empty at any other node.
-	others  []string
-	blank   map[string]Member
-	probeAt time.Time
+	otherIDs []string
+	blank    map[string]Member
+	probeAt  time.Time
 }
 
 func (b *Bootstrap) check() error {
@@ -57,8 +57,8 @@
 	return d.Sum64()
 }
 
-// founds reports whether this node is the one that may form the group.
-func (n *Node) founds() bool {
+// isFounder reports whether this node is the one that may form the group.
+func (n *Node) isFounder() bool {
 	b := n.opts.Bootstrap
 	return b != nil && slices.Min(b.Voters) == n.opts.Self.ID
 }
@@ -66,43 +66,43 @@
 func (n *Node) startForming() {
 	n.role = Blank
 	n.forming = forming{digest: n.opts.Bootstrap.digest(), blank: make(map[string]Member), probeAt: n.now}
-	if !n.founds() {
+	if !n.isFounder() {
 		return
 	}
 	for _, id := range n.opts.Bootstrap.ids() {
 		if id != n.opts.Self.ID {
-			n.forming.others = append(n.forming.others, id)
+			n.forming.otherIDs = append(n.forming.otherIDs, id)
 		}
 	}
 	n.tickForming()
 }
 
-// tickForming asks all others whether they are blank, again and again: they may
-// not run yet.
+// tickForming probes all other members at each heartbeat interval, as they may not run
+// yet.
 func (n *Node) tickForming() {
 	if n.now.Before(n.forming.probeAt) {
 		return
 	}
 	n.forming.probeAt = n.now.Add(n.opts.HeartbeatInterval)
-	if !n.founds() {
+	if !n.isFounder() {
 		return
 	}
-	if len(n.forming.others) == 0 {
+	if len(n.forming.otherIDs) == 0 {
 		n.form()
 		return
 	}
-	for _, id := range n.forming.others {
+	for _, id := range n.forming.otherIDs {
 		n.out.messages = append(n.out.messages, Message{
 			Kind: MsgProbe, From: n.opts.Self, To: Member{ID: id}, Bootstrap: n.forming.digest,
 		})
 	}
 }
 
-// stepOutside handles the messages that belong to no group.
-func (n *Node) stepOutside(m Message) {
+// stepUngrouped handles the messages that belong to no group.
+func (n *Node) stepUngrouped(m Message) {
 	switch m.Kind {
 	case MsgProbe:
-		n.noteStranger(m.From)
+		n.recordOtherIncarnation(m.From)
 		agrees := n.opts.Bootstrap == nil || m.Bootstrap == n.forming.digest
 		n.out.messages = append(n.out.messages, Message{
 			Kind: MsgProbeResp, From: n.opts.Self, To: m.From, Reject: n.role != Blank || !agrees,
@@ -110,14 +110,15 @@
 	case MsgProbeResp:
 		n.handleProbeResp(m)
 	case MsgWrongIncarnation:
-		n.noteStranger(m.From)
+		n.recordOtherIncarnation(m.From)
 	}
 }
 
-// handleProbeResp forms the group once all others were seen to be blank. The
-// answers go to this incarnation, so they were given after its folder was made.
+// handleProbeResp forms the group once all others have answered that they are blank.
+// The answers are addressed to this incarnation, so they were given after its folder
+// was created.
 func (n *Node) handleProbeResp(m Message) {
-	if n.role != Blank || !n.founds() || m.To != n.opts.Self || !slices.Contains(n.forming.others, m.From.ID) {
+	if n.role != Blank || !n.isFounder() || m.To != n.opts.Self || !slices.Contains(n.forming.otherIDs, m.From.ID) {
 		return
 	}
 	if m.Reject {
@@ -125,7 +126,7 @@
 		return
 	}
 	n.forming.blank[m.From.ID] = m.From
-	if len(n.forming.blank) == len(n.forming.others) {
+	if len(n.forming.blank) == len(n.forming.otherIDs) {
 		n.form()
 	}
 }
--- a/coord/replog/large_test.go
+++ b/coord/replog/large_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// largeBytes is the length of an entry that takes longer on its way than some heartbeats.
+// largeBytes is the length of an entry that is in transit for longer than some
+// heartbeats.
 const largeBytes = 1 << 20
 
 func isLarge(m Message) bool {
@@ -17,11 +18,12 @@
 	return false
 }
 
-// slowForLarge is a group with a leader whose links take three election timeouts for a large
-// entry while short messages overtake it. sent counts how often each member was sent one.
-func slowForLarge(t *testing.T) (s *sim, leader *host, sent map[Member]int) {
+// newSlowLargeEntrySim returns a group with a leader whose links take three election
+// timeouts for a large entry while short messages overtake it. sent counts how often a
+// large entry was sent to each member.
+func newSlowLargeEntrySim(t *testing.T) (s *sim, leader *host, sent map[Member]int) {
 	o := Options{HeartbeatInterval: simElection / 10, ElectionTimeout: simElection, MaxDrift: simDrift}
-	s = newSimOf(o, 1, 3, 0, t.Fatalf)
+	s = newSimWithOptions(o, 1, 3, 0, t.Fatalf)
 	s.lossy = false
 	s.delay = func(m Message) time.Duration {
 		if isLarge(m) {
@@ -36,7 +38,7 @@
 		}
 	}
 	s.run(10*simElection, nil)
-	if leader = s.leading(); leader == nil {
+	if leader = s.currentLeader(); leader == nil {
 		t.Fatal("no leader")
 	}
 	return s, leader, sent
@@ -44,30 +46,30 @@
 
 func propose(t *testing.T, s *sim, leader *host, bytes int) Position {
 	t.Helper()
-	place, err := leader.node.Propose(s.local(leader), make([]byte, bytes))
+	position, err := leader.node.Propose(s.local(leader), make([]byte, bytes))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return place
+	return position
 }
 
-func mustHaveCommitted(t *testing.T, leader *host, place Position) {
+func mustHaveCommitted(t *testing.T, leader *host, position Position) {
 	t.Helper()
-	if got := leader.node.Status(); got.Role != Leader || got.Commit < place.Index {
-		t.Fatalf("entry %d is not committed: %+v", place.Index, got)
+	if got := leader.node.Status(); got.Role != Leader || got.Commit < position.Index {
+		t.Fatalf("entry %d is not committed: %+v", position.Index, got)
 	}
 }
 
-// The links between the members were full of copies of one entry for seconds, and what was
-// proposed behind it was committed seconds later. The entry took longer on its way than a
-// heartbeat; the answer to the heartbeat let a short append go out, which overtook it and was
-// rejected for the lack of the entry, and so it was sent again: 31 times to each member in
-// this test, though no message is lost.
+// Guards against sending a large entry repeatedly though no message is lost. The entry
+// takes longer than a heartbeat; the heartbeat's answer let a short append go out,
+// which overtook the entry and was rejected, and the entry was sent again: 31 times to
+// each member in this test. The links were full of copies, and later proposals were
+// committed seconds late.
 func TestLargeEntryIsSentOnceToEachMember(t *testing.T) {
-	s, leader, sent := slowForLarge(t)
-	place := propose(t, s, leader, largeBytes)
+	s, leader, sent := newSlowLargeEntrySim(t)
+	position := propose(t, s, leader, largeBytes)
 	s.run(10*simElection, nil)
-	mustHaveCommitted(t, leader, place)
+	mustHaveCommitted(t, leader, position)
 	for m, n := range sent {
 		if n != 1 {
 			t.Errorf("the entry was sent to %v %d times", m, n)
@@ -78,26 +80,27 @@
 	}
 }
 
-// A short entry that is proposed while a long one is on its way overtakes it and is rejected.
-// It is sent again as soon as the long one has arrived, and the long one is not.
+// A short entry proposed while a large one is in transit overtakes it and is rejected.
+// Only the short one is sent again, as soon as the large one has arrived.
 func TestEntryThatOvertakesALargeOneIsSentAgain(t *testing.T) {
-	s, leader, sent := slowForLarge(t)
+	s, leader, sent := newSlowLargeEntrySim(t)
 	propose(t, s, leader, largeBytes)
 	s.run(simElection, nil)
-	place := propose(t, s, leader, 1)
+	position := propose(t, s, leader, 1)
 	s.run(3*simElection, nil)
-	mustHaveCommitted(t, leader, place)
+	mustHaveCommitted(t, leader, position)
 	for m, n := range sent {
 		if n != 1 {
-			t.Errorf("the long entry was sent to %v %d times", m, n)
+			t.Errorf("the large entry was sent to %v %d times", m, n)
 		}
 	}
 }
 
-// A long entry is lost on its way. It is sent again once a slow member would have answered,
-// so the group goes on; not with each heartbeat, of which there are some hundred meanwhile.
+// A large entry that is lost is sent again once a slow member would have answered, so
+// that the group makes progress; not with each of the hundred or so heartbeats
+// meanwhile.
 func TestLargeEntryThatIsLostIsSentAgain(t *testing.T) {
-	s, leader, sent := slowForLarge(t)
+	s, leader, sent := newSlowLargeEntrySim(t)
 	lost := map[Member]bool{}
 	s.drop = func(m Message) bool {
 		first := isLarge(m) && !lost[m.To]
@@ -106,9 +109,9 @@
 		}
 		return first
 	}
-	place := propose(t, s, leader, largeBytes)
+	position := propose(t, s, leader, largeBytes)
 	s.run(60*simElection, nil)
-	mustHaveCommitted(t, leader, place)
+	mustHaveCommitted(t, leader, position)
 	for m, n := range sent {
 		if n > 2 {
 			t.Errorf("the entry was sent to %v %d times", m, n)
--- a/coord/replog/lease.go
+++ b/coord/replog/lease.go
@@ -8,30 +8,30 @@
 	"github.com/gullhaven/gullhaven/coord/replog/tracker"
 )
 
-// The lease. Let E be the election timeout and d the bound on drift: while a
-// clock shows t, true time passes between t/(1+d) and t/(1-d).
+// Lease safety. Let E be the election timeout and d the bound on drift: while a clock
+// advances by t, true time advances by between t/(1+d) and t/(1-d).
 //
-// A voter that takes in a heartbeat at true time r refuses votes for E(1+d) on
-// its clock, hence at least until r+E. The leader sent the round at a true time
-// s before r. It holds its lease for E(1-d) on its clock from s, hence at most
-// until s+E, and that is before r+E for each voter that answered the round in
-// the same term. A majority answered. Whoever is elected next needs a vote
-// from a member of that majority (it votes after s+E, or it voted in a higher
-// term before it saw the heartbeat and then did not answer it in this term).
-// So the lease has ended in true time before the next leader exists.
+// A voter that handles a heartbeat at true time r refuses votes for E(1+d) on its
+// clock, hence at least until r+E. The leader sent the round at a true time s before r.
+// It holds its lease for E(1-d) on its clock from s, hence at most until s+E, and that
+// is before r+E for each voter that answered the round in the same term. A majority
+// answered. Whoever is elected next needs a vote from a member of that majority (it
+// votes after s+E, or it voted in a higher term before it saw the heartbeat and then
+// did not answer it in this term). So the lease has ended in true time before the next
+// leader exists.
 //
-// Counting from the time at which the answer came in would be wrong: the
-// heartbeat may have lain in a queue of a stopped process for any time.
+// Counting from the time at which the answer arrived would be wrong: the heartbeat may
+// have waited in a queue of a stopped process for any time.
 //
-// A promise is lost with the process that made it; a node that starts refuses
-// votes for a whole E(1+d) first. A leader's own vote is bound until the end of
-// the last lease it gave out (becomeFollower). A change of the configuration is
-// refused while a lease given out under an earlier one reaches further than
-// what a majority of the present one has promised (ProposeConfChange), since
-// only majorities of neighbouring configurations overlap.
-
-// stretched is the election timeout by a voter's clock, rounded up.
-func (n *Node) stretched() time.Duration {
+// A voter's promise is lost with its process, so a node that starts refuses votes for a
+// whole E(1+d) first. A leader's own vote is bound until the end of the last lease it
+// returned (becomeFollower). A change of the configuration is refused while a lease
+// returned under an earlier one reaches further than what a majority of the present one
+// has promised (ProposeConfChange), since only majorities of neighbouring
+// configurations overlap.
+
+// voterTimeout is how long a voter refuses votes, by its own clock, rounded up.
+func (n *Node) voterTimeout() time.Duration {
 	return time.Duration(float64(n.opts.ElectionTimeout)*(1+n.opts.MaxDrift)) + 1
 }
 
@@ -42,25 +42,25 @@
 
 // LeaseUntil implements Log.
 func (n *Node) LeaseUntil(now time.Time) time.Time {
-	n.clock(now)
+	n.advanceClock(now)
 	end := n.leaseEnd()
-	if !n.leads() || n.lead.transferee != (Member{}) || !n.now.Before(end) {
+	if !n.hasCommittedInTerm() || n.lead.transferee != (Member{}) || !n.now.Before(end) {
 		return time.Time{}
 	}
-	if end.After(n.leaseGiven) {
-		n.leaseGiven = end
+	if end.After(n.returnedLeaseEnd) {
+		n.returnedLeaseEnd = end
 	}
 	return end
 }
 
-// leads reports whether this node leads and has committed in its term; only
-// then does its commit index cover all that was ever committed.
-func (n *Node) leads() bool {
+// hasCommittedInTerm reports whether this node leads and has committed in its term;
+// only then does its commit index cover all that was ever committed.
+func (n *Node) hasCommittedInTerm() bool {
 	return n.role == Leader && n.log.matches(n.log.commit, n.hs.Term)
 }
 
-// leaseEnd returns the time until which a majority of the configuration in
-// force refuses votes, zero if none does.
+// leaseEnd returns the time until which a majority of the configuration in force
+// refuses votes, or zero if none does.
 func (n *Node) leaseEnd() time.Time {
 	if n.role != Leader {
 		return time.Time{}
@@ -74,7 +74,7 @@
 	return start.Add(n.leaseTime())
 }
 
-// tickLeader steps down without a majority, and sends heartbeats.
+// tickLeader steps down without a majority and sends due heartbeats.
 func (n *Node) tickLeader() {
 	if !n.majorityActive() {
 		n.becomeFollower(n.hs.Term, Member{})
@@ -88,9 +88,9 @@
 	}
 }
 
-// majorityActive reports whether a majority answered within the last election
-// timeout. A leader that is cut off, or that woke up after a long stop, finds
-// here that it leads no longer; its lease has ended before.
+// majorityActive reports whether a majority answered within the last election timeout.
+// A leader that is partitioned off or was stopped for long thereby steps down; its
+// lease has ended before.
 func (n *Node) majorityActive() bool {
 	voters := n.log.config().config.Voters
 	active := 0
@@ -106,38 +106,38 @@
 	return n.now.Sub(p.Active) < n.opts.ElectionTimeout
 }
 
-// broadcastHeartbeat opens a round.
+// broadcastHeartbeat starts a heartbeat round.
 func (n *Node) broadcastHeartbeat() {
 	l := &n.lead
 	l.round++
 	l.roundDue = false
 	l.commitAtRound = n.log.commit
 	l.heartbeatAt = n.now.Add(n.opts.HeartbeatInterval)
-	l.sent = append(l.sent, n.now)
-	for len(l.sent) > 1 && n.now.Sub(l.sent[0]) > n.opts.ElectionTimeout {
-		l.sent = l.sent[1:]
+	l.roundTimes = append(l.roundTimes, n.now)
+	for len(l.roundTimes) > 1 && n.now.Sub(l.roundTimes[0]) > n.opts.ElectionTimeout {
+		l.roundTimes = l.roundTimes[1:]
 	}
 	n.eachPeer(func(m Member, p *tracker.Progress) {
 		n.sendHeartbeat(m, p, l.round)
 	})
 }
 
-// sendHeartbeat sends a heartbeat, or with round zero only the commit index,
-// which asks for no answer. It names no index beyond what the peer holds: the
-// rest of its log may be another.
+// sendHeartbeat sends a heartbeat, or with round zero only the commit index, which is
+// not answered. It sends no index beyond what the peer is known to hold: the rest of
+// the peer's log may differ.
 func (n *Node) sendHeartbeat(to Member, p *tracker.Progress, round uint64) {
 	commit := min(p.Match, n.log.commit)
 	p.SentCommit = max(p.SentCommit, commit)
 	n.sendAsLeader(Message{Kind: MsgHeartbeat, To: to, Commit: commit, Round: round})
 }
 
-// sentAt returns when a round was sent, if that still matters to a lease.
-func (l *leadership) sentAt(round uint64) (time.Time, bool) {
+// roundTime returns when a round was sent, if it is recent enough to matter to a lease.
+func (l *leadership) roundTime(round uint64) (time.Time, bool) {
 	back := l.round - round
-	if round > l.round || back >= uint64(len(l.sent)) {
+	if round > l.round || back >= uint64(len(l.roundTimes)) {
 		return time.Time{}, false
 	}
-	return l.sent[uint64(len(l.sent))-1-back], true
+	return l.roundTimes[uint64(len(l.roundTimes))-1-back], true
 }
 
 func (n *Node) handleHeartbeat(m Message) {
@@ -147,13 +147,13 @@
 	}
 }
 
-// ackRound notes an answer to a heartbeat.
+// ackRound records a peer's answer to a heartbeat round.
 func (n *Node) ackRound(p *tracker.Progress, round uint64) {
 	if round <= p.Round {
 		return
 	}
 	p.Round = round
-	if at, ok := n.lead.sentAt(round); ok {
+	if at, ok := n.lead.roundTime(round); ok {
 		p.LeaseFrom = at
 	}
 	n.confirmReads()
--- a/coord/replog/log.go
+++ b/coord/replog/log.go
@@ -6,39 +6,40 @@
 	"github.com/juju/errors"
 )
 
-// confAt is the configuration from an index on.
-type confAt struct {
+// indexedConfig is the configuration from an index on.
+type indexedConfig struct {
 	index  uint64
 	config Config
 }
 
-// entryLog holds the entries after the newest compaction. It knows how far
-// they are synced, committed and handed out.
+// entryLog holds the entries after the newest compaction, and up to where they are
+// synced, committed and delivered.
 type entryLog struct {
 	// snapshot is the newest one, for peers whose next entry is compacted; its
 	// Index is zero if there is none.
 	snapshot Snapshot
-	// prev is the place before entries[0].
+	// prev is the position before entries[0].
 	prev    Position
 	entries []Entry
-	// persisted: all up to it is synced. handed: all up to it was given out in
-	// Ready.Committed. applied: the host has said so by Advance.
-	persisted, commit, handed, applied uint64
-	// confs is never empty; the first is the one at prev or before, the last
-	// the one in force: a configuration counts from its append on.
-	confs []confAt
+	// persisted is the last synced index, delivered the last one returned in
+	// Ready.Committed, and applied the last one that the host has confirmed by Advance.
+	persisted, commit, delivered, applied uint64
+	// configs is never empty. The first one is in force at prev; the last one is in
+	// force now, as a configuration takes effect when it is appended.
+	configs []indexedConfig
 }
 
-// newLog checks what the host read and builds the log from it.
+// newLog builds the log from what the host read, and returns an error if that is
+// inconsistent.
 func newLog(s State) (*entryLog, error) {
-	l := &entryLog{confs: []confAt{{}}}
+	l := &entryLog{configs: []indexedConfig{{}}}
 	if s.Snapshot != nil {
 		l.restore(*s.Snapshot)
 	}
 	if l.prev.Term > s.HardState.Term {
 		return nil, errors.NotValidf("snapshot of term %d with term %d on disk", l.prev.Term, s.HardState.Term)
 	}
-	for _, e := range l.beyondSnapshot(s.Entries) {
+	for _, e := range l.afterSnapshot(s.Entries) {
 		if e.Index != l.last()+1 || e.Term < l.lastTerm() || e.Term > s.HardState.Term {
 			return nil, errors.NotValidf("entry %d of term %d after %d of term %d (term %d on disk)",
 				e.Index, e.Term, l.last(), l.lastTerm(), s.HardState.Term)
@@ -49,11 +50,11 @@
 	return l, nil
 }
 
-// beyondSnapshot drops entries that the snapshot holds. What goes wrong
-// without the check of the term: a host stops after it wrote a snapshot of its
-// leader and before it dropped its own diverging log; the rest of that log
-// would then follow a snapshot that it does not fit.
-func (l *entryLog) beyondSnapshot(entries []Entry) []Entry {
+// afterSnapshot drops entries that the snapshot covers. It checks the term, as a host
+// may stop after it wrote a snapshot from its leader and before it dropped its own
+// diverging log; the rest of that log would then follow a snapshot that it does not
+// fit.
+func (l *entryLog) afterSnapshot(entries []Entry) []Entry {
 	for i, e := range entries {
 		if e.Index > l.prev.Index {
 			return entries[i:]
@@ -90,14 +91,14 @@
 	return ok && t == term
 }
 
-// upToDate reports whether a log that ends there holds all that this one can
-// have committed (section 5.4.1 of the Raft paper).
+// upToDate reports whether a log whose last entry has this index and term holds all
+// that this one can have committed (section 5.4.1 of the Raft paper).
 func (l *entryLog) upToDate(index, term uint64) bool {
 	return term > l.lastTerm() || (term == l.lastTerm() && index >= l.last())
 }
 
-// between returns the entries in [lo, hi], as many as fit into maxBytes of
-// data and at least one.
+// between returns the entries in [lo, hi], as many as fit into maxBytes of data but at
+// least one.
 func (l *entryLog) between(lo, hi uint64, maxBytes int) []Entry {
 	if lo > hi || lo <= l.prev.Index {
 		return nil
@@ -113,16 +114,16 @@
 	return all[:len(all):len(all)]
 }
 
-// append adds an entry behind the last.
+// append adds an entry at the end.
 func (l *entryLog) append(e Entry) {
 	l.entries = append(l.entries, e)
 	if e.Kind == EntryConfig {
-		l.confs = append(l.confs, confAt{e.Index, *e.Config})
+		l.configs = append(l.configs, indexedConfig{e.Index, *e.Config})
 	}
 }
 
-// truncate drops the entries from index on. A committed entry never conflicts
-// with one of a leader; if it did, going on would lose it silently.
+// truncate drops the entries from index on. A committed entry never conflicts with a
+// leader's; if it did, continuing would lose it silently.
 func (l *entryLog) truncate(index uint64) {
 	if index <= l.commit {
 		panic(fmt.Sprintf("replog: entry %d conflicts but is committed up to %d", index, l.commit))
@@ -130,28 +131,28 @@
 	n := index - l.prev.Index - 1
 	l.entries = l.entries[:n:n]
 	l.persisted = min(l.persisted, index-1)
-	for l.confs[len(l.confs)-1].index >= index {
-		l.confs = l.confs[:len(l.confs)-1]
+	for l.configs[len(l.configs)-1].index >= index {
+		l.configs = l.configs[:len(l.configs)-1]
 	}
 }
 
-// restore replaces all by a snapshot.
+// restore replaces the whole log by a snapshot.
 func (l *entryLog) restore(s Snapshot) {
 	l.snapshot, l.prev, l.entries = s, Position{Term: s.Term, Index: s.Index}, nil
-	l.persisted, l.commit, l.handed, l.applied = s.Index, s.Index, s.Index, s.Index
-	l.confs = []confAt{{s.Index, s.Config}}
+	l.persisted, l.commit, l.delivered, l.applied = s.Index, s.Index, s.Index, s.Index
+	l.configs = []indexedConfig{{s.Index, s.Config}}
 }
 
-func (l *entryLog) config() confAt { return l.confs[len(l.confs)-1] }
+func (l *entryLog) config() indexedConfig { return l.configs[len(l.configs)-1] }
 
-// configAt returns the configuration in force at an index that is held.
+// configAt returns the configuration in force at an index, which must be in the log.
 func (l *entryLog) configAt(index uint64) Config {
-	for i := len(l.confs) - 1; i > 0; i-- {
-		if l.confs[i].index <= index {
-			return l.confs[i].config
+	for i := len(l.configs) - 1; i > 0; i-- {
+		if l.configs[i].index <= index {
+			return l.configs[i].config
 		}
 	}
-	return l.confs[0].config
+	return l.configs[0].config
 }
 
 // compact drops the entries up to index.
@@ -162,7 +163,7 @@
 	}
 	l.entries = append([]Entry(nil), l.entries[index-l.prev.Index:]...)
 	l.prev = Position{Term: term, Index: index}
-	for len(l.confs) > 1 && l.confs[1].index <= index {
-		l.confs = l.confs[1:]
+	for len(l.configs) > 1 && l.configs[1].index <= index {
+		l.configs = l.configs[1:]
 	}
 }
--- a/coord/replog/members.go
+++ b/coord/replog/members.go
@@ -14,18 +14,18 @@
 
 // ProposeConfChange implements Log.
 //
-// The new configuration counts from its append on. The one before is applied,
-// hence committed, and this leader has committed in its term, so that no other
-// configuration of an earlier term can still come up beside it (the flaw that
-// was found in single-server changes after the Raft thesis). Neighbouring
-// configurations differ by one voter at most, so their majorities overlap, and
-// so do a majority that promised a lease and one that elects.
+// The new configuration takes effect when it is appended. The one before is applied,
+// hence committed, and this leader has committed in its term, so no other configuration
+// of an earlier term can still be committed beside it (the known flaw of single-server
+// changes as first described in the Raft thesis). Neighbouring configurations differ by
+// at most one voter, so their majorities overlap, and so do a majority that promised a
+// lease and one that elects.
 func (n *Node) ProposeConfChange(now time.Time, ch ConfChange) (Position, error) {
-	n.clock(now)
+	n.advanceClock(now)
 	if err := n.mayPropose(); err != nil {
 		return Position{}, err
 	}
-	if !n.settled() {
+	if !n.mayChangeConfig() {
 		return Position{}, ErrConfPending
 	}
 	if ch.Member.ID == n.opts.Self.ID {
@@ -38,29 +38,29 @@
 	if ch.Kind == confchange.Promote && !n.caughtUp(n.lead.peers[ch.Member]) {
 		return Position{}, errors.Annotatef(ErrNotCaughtUp, "%v", ch.Member)
 	}
-	n.lead.leaseBefore = n.leaseGiven
+	n.lead.earlierLeaseEnd = n.returnedLeaseEnd
 	return n.appendEntry(Entry{Kind: EntryConfig, Config: &next}), nil
 }
 
-// settled reports whether the configuration may change.
-func (n *Node) settled() bool {
-	covered := !n.lead.leaseBefore.After(n.now) || !n.leaseEnd().Before(n.lead.leaseBefore)
-	return n.leads() && n.log.config().index <= n.log.applied && covered
+// mayChangeConfig reports whether the configuration may change now.
+func (n *Node) mayChangeConfig() bool {
+	covered := !n.lead.earlierLeaseEnd.After(n.now) || !n.leaseEnd().Before(n.lead.earlierLeaseEnd)
+	return n.hasCommittedInTerm() && n.log.config().index <= n.log.applied && covered
 }
 
-// caughtUp reports whether a peer answers and holds all that was committed when
-// the newest heartbeat round began.
+// caughtUp reports whether a peer is active and holds all that was committed when the
+// newest heartbeat round began.
 func (n *Node) caughtUp(p *tracker.Progress) bool {
 	return p != nil && p.Match > 0 && p.Match >= n.lead.commitAtRound && n.isActive(p)
 }
 
 // NextRepair implements Log.
 func (n *Node) NextRepair(now time.Time, promote func(Member) bool) (ConfChange, bool) {
-	n.clock(now)
-	if n.mayPropose() != nil || !n.settled() {
+	n.advanceClock(now)
+	if n.mayPropose() != nil || !n.mayChangeConfig() {
 		return ConfChange{}, false
 	}
-	for _, m := range n.strangers() {
+	for _, m := range n.otherIncarnations() {
 		ch := ConfChange{Kind: confchange.Readmit, Member: m}
 		if _, err := n.log.config().config.Apply(ch); err == nil {
 			return ch, true
@@ -74,25 +74,25 @@
 	return ConfChange{}, false
 }
 
-// noteStranger remembers that another incarnation answers in place of a member.
-// Late messages of incarnations that are gone arrive too; so it counts only
-// while the member itself is silent.
-func (n *Node) noteStranger(m Member) {
+// recordOtherIncarnation records that another incarnation answers under a member's id.
+// Late messages of old incarnations arrive too, so it counts only while the member
+// itself is silent.
+func (n *Node) recordOtherIncarnation(m Member) {
 	if n.role != Leader || m.ID == n.opts.Self.ID {
 		return
 	}
 	held, ok := n.log.config().config.Lookup(m.ID)
 	if ok && held != m && !n.isActive(n.lead.peers[held]) {
-		n.lead.strangers[m.ID] = m
+		n.lead.otherIncarnations[m.ID] = m
 	}
 }
 
-// strangers returns those that still stand for a silent member.
-func (n *Node) strangers() []Member {
+// otherIncarnations returns those whose member is still silent, sorted by id.
+func (n *Node) otherIncarnations() []Member {
 	var out []Member
 	conf := n.log.config().config
-	for _, id := range slices.Sorted(maps.Keys(n.lead.strangers)) {
-		m := n.lead.strangers[id]
+	for _, id := range slices.Sorted(maps.Keys(n.lead.otherIncarnations)) {
+		m := n.lead.otherIncarnations[id]
 		if held, ok := conf.Lookup(id); ok && held != m && !n.isActive(n.lead.peers[held]) {
 			out = append(out, m)
 		}
@@ -100,9 +100,9 @@
 	return out
 }
 
-// answerStranger tells the sender of a request that the incarnation it writes
-// to is not here. Nothing else of the message is taken in.
-func (n *Node) answerStranger(m Message) {
+// sendWrongIncarnation tells the sender of a request that the addressed incarnation is
+// not here. The message is otherwise ignored.
+func (n *Node) sendWrongIncarnation(m Message) {
 	if m.Kind.fromLeader() || m.Kind == MsgVote || m.Kind == MsgPreVote {
 		n.out.messages = append(n.out.messages, Message{Kind: MsgWrongIncarnation, From: n.opts.Self, To: m.From})
 	}
--- a/coord/replog/node.go
+++ b/coord/replog/node.go
@@ -19,11 +19,11 @@
 	DefaultMaxUncommittedBytes = 16 << 20
 )
 
-// Node is the replicated log of one member. It is not safe for concurrent use.
+// Node is one member's replicated log. It is not safe for concurrent use.
 type Node struct {
 	opts Options
 	rng  *rand.Rand
-	// now is the latest time that was passed in.
+	// now is the latest time passed in.
 	now time.Time
 
 	role   Role
@@ -31,51 +31,53 @@
 	leader Member
 	log    *entryLog
 
-	// refuseUntil: before it, no vote but one with Force is granted; see lease.go.
+	// refuseUntil is the time before which only votes with Force are granted; see
+	// lease.go.
 	refuseUntil time.Time
-	// electionAt is when a node that is no leader campaigns.
+	// electionAt is when a node that is not the leader campaigns.
 	electionAt time.Time
 	votes      map[Member]bool
 
 	forming forming
 	lead    leadership
-	// leaseGiven is the latest lease end ever returned to the host.
-	leaseGiven time.Time
+	// returnedLeaseEnd is the latest lease end returned to the host.
+	returnedLeaseEnd time.Time
 
-	// readsSent holds when reads went to a leader, by id.
+	// readsSent holds when reads were sent to a leader, by id.
 	readsSent map[uint64]time.Time
 	out       outbox
 }
 
-// leadership is the state of a leader, new at each election.
+// leadership is a leader's state, reset at each election.
 type leadership struct {
 	peers map[Member]*tracker.Progress
-	// round is the newest heartbeat round; sent holds the times of the newest
-	// rounds, the last one being round's. roundDue asks for another one with the
-	// next Ready, for reads that wait.
+	// round is the newest heartbeat round. roundTimes holds when the newest rounds were
+	// sent, the last one being round. roundDue requests another round with the next
+	// Ready, for waiting reads.
 	round       uint64
-	sent        []time.Time
+	roundTimes  []time.Time
 	roundDue    bool
 	heartbeatAt time.Time
 	// commitAtRound is the commit index when the newest round began.
 	commitAtRound uint64
-	// uncommitted is the data of the proposals that wait for a majority, in bytes.
+	// uncommitted is the data of uncommitted proposals, in bytes.
 	uncommitted int
 	reads       []pendingRead
-	// leaseBefore is the latest lease end given under earlier configurations.
-	leaseBefore time.Time
-	// strangers holds the newest other incarnation heard under a member's id.
-	strangers map[string]Member
-	// transferee is who is to lead next, zero without a transfer; at transferEnd
-	// it is given up.
+	// earlierLeaseEnd is the latest lease end returned under earlier configurations.
+	earlierLeaseEnd time.Time
+	// otherIncarnations holds, by member id, the newest other incarnation that
+	// answered.
+	otherIncarnations map[string]Member
+	// transferee is the next leader, zero without a transfer; at transferEnd the
+	// transfer is given up.
 	transferee  Member
 	transferEnd time.Time
 }
 
 var _ Log = (*Node)(nil)
 
-// New makes a node from what the host read from its disk. The error says which
-// option, or which part of the state, does not fit.
+// New returns a node that continues from what the host read from its disk. The error
+// names the invalid option or the inconsistent part of the state.
 func New(now time.Time, o Options, s State) (*Node, error) {
 	if err := o.complete(); err != nil {
 		return nil, errors.Trace(err)
@@ -92,26 +94,26 @@
 		rng: rand.New(rand.NewPCG(o.Seed, o.Self.Incarnation)),
 	}
 	if n.hs.Group == o.Self.Incarnation && l.last() == 0 {
-		// A founder that stopped while it wrote the first entry: it has told
-		// nobody of the group, and asks again.
+		// The founder stopped while it wrote the first entry. It has told nobody about
+		// the group, and probes again.
 		n.hs = HardState{}
 	}
-	n.out.saved, n.out.emitted = n.hs, n.hs
+	n.out.synced, n.out.emitted = n.hs, n.hs
 	n.readsSent = make(map[uint64]time.Time)
 	n.start()
 	return n, nil
 }
 
-// start sets the first timers. A node that was started again does not know
-// whether it answered a heartbeat just before; it refuses votes for as long as
-// such an answer can bind it. A blank one has never answered any.
+// start sets the first timers. A restarted node does not know whether it answered a
+// heartbeat just before it stopped; it refuses votes for as long as such an answer can
+// bind it. A blank node has never answered one.
 func (n *Node) start() {
 	if n.hs.Group == 0 {
 		n.startForming()
 		return
 	}
 	n.role = Follower
-	n.refuseUntil = n.now.Add(n.stretched())
+	n.refuseUntil = n.now.Add(n.voterTimeout())
 	n.resetElection()
 	if c := n.log.config().config; len(c.Voters) == 1 && n.promotable() {
 		n.electionAt = n.now
@@ -147,8 +149,8 @@
 	}
 }
 
-// clock takes in the time; it never runs backwards.
-func (n *Node) clock(now time.Time) {
+// advanceClock sets the time; it never goes backwards.
+func (n *Node) advanceClock(now time.Time) {
 	if now.After(n.now) {
 		n.now = now
 	}
@@ -156,8 +158,8 @@
 
 // Tick implements Log.
 func (n *Node) Tick(now time.Time) {
-	n.clock(now)
-	n.forgetReads()
+	n.advanceClock(now)
+	n.expireReads()
 	switch {
 	case n.role == Blank:
 		n.tickForming()
@@ -191,12 +193,12 @@
 	if m.To.ID != n.opts.Self.ID {
 		return errors.Annotatef(ErrWrongNode, "%v", m.To)
 	}
-	n.clock(now)
+	n.advanceClock(now)
 	switch {
 	case m.Kind <= MsgWrongIncarnation:
-		n.stepOutside(m)
+		n.stepUngrouped(m)
 	case m.To != n.opts.Self:
-		n.answerStranger(m)
+		n.sendWrongIncarnation(m)
 	case !n.sameGroup(m):
 	case n.stepTerm(m):
 		n.stepKind(m)
@@ -220,9 +222,9 @@
 	return nil
 }
 
-// sameGroup reports whether the message is of this node's group. A blank node
-// joins the group of the first message that is addressed to its incarnation:
-// only a configuration that holds this incarnation makes anyone write to it.
+// sameGroup reports whether the message is of this node's group. A blank node joins the
+// group of the first message for its incarnation: only a configuration that holds this
+// incarnation makes a member write to it.
 func (n *Node) sameGroup(m Message) bool {
 	if n.role != Blank {
 		return m.Group == n.hs.Group
@@ -244,7 +246,7 @@
 	return false
 }
 
-// fromLeader reports whether only the leader of a term sends such messages.
+// fromLeader reports whether only the leader of a term sends this kind.
 func (k MessageKind) fromLeader() bool {
 	return k == MsgAppend || k == MsgHeartbeat || k == MsgSnapshot
 }
@@ -255,8 +257,8 @@
 		return true
 	}
 	if m.Term < n.hs.Term {
-		// A leader of an old term, perhaps one that woke up, has to learn
-		// that its term is over.
+		// A leader of an old term, for example one that was stopped, has to learn that
+		// its term is over.
 		if m.Kind.fromLeader() {
 			n.send(Message{Kind: MsgAppendResp, To: m.From, Index: m.Index, Reject: true})
 		}
@@ -290,7 +292,7 @@
 
 func (n *Node) stepKind(m Message) {
 	if m.Kind.fromLeader() {
-		n.hearLeader(m.From)
+		n.observeLeader(m.From)
 	}
 	switch m.Kind {
 	case MsgPreVote, MsgVote:
@@ -304,7 +306,7 @@
 	case MsgSnapshot:
 		n.handleSnapshot(m)
 	case MsgAppendResp, MsgHeartbeatResp:
-		n.handleAnswer(m)
+		n.handlePeerResp(m)
 	case MsgTimeoutNow:
 		n.handleTimeoutNow()
 	case MsgReadIndex:
@@ -321,6 +323,6 @@
 		Self: n.opts.Self, Role: n.role, Group: n.hs.Group, Term: n.hs.Term, Leader: n.leader,
 		Config: conf.config, ConfigIndex: conf.index,
 		First: n.log.prev.Index + 1, Last: n.log.last(), Commit: n.log.commit, Applied: n.log.applied,
-		Peers: n.peerStatus(), OtherIncarnations: n.strangers(),
+		Peers: n.peerStatus(), OtherIncarnations: n.otherIncarnations(),
 	}
 }
--- a/coord/replog/quorum/quorum.go
+++ b/coord/replog/quorum/quorum.go
@@ -3,12 +3,12 @@
 
 import "slices"
 
-// Size returns how many of n voters make a majority; of none, one, which
-// cannot be reached.
+// Size returns how many of n voters make a majority. For n = 0 it is one, which cannot
+// be reached.
 func Size(n int) int { return n/2 + 1 }
 
-// Index returns the highest value that a majority has reached, given one value
-// for each voter. It sorts values in place. Without voters it is zero.
+// Index returns the highest value that a majority has reached, given one value per
+// voter, or zero without voters. It sorts values in place.
 func Index(values []uint64) uint64 {
 	if len(values) == 0 {
 		return 0
@@ -17,11 +17,11 @@
 	return values[len(values)-Size(len(values))]
 }
 
-// Result is the state of an election.
+// Result is the state of a vote count.
 type Result uint8
 
 const (
-	// Pending: the votes that are out decide.
+	// Pending: the outcome depends on missing votes.
 	Pending Result = iota
 	// Won: a majority granted its vote.
 	Won
@@ -29,7 +29,7 @@
 	Lost
 )
 
-// Tally returns the state of an election among n voters.
+// Tally returns the state of a vote count among n voters.
 func Tally(n, granted, rejected int) Result {
 	switch {
 	case granted >= Size(n):
--- a/coord/replog/reads.go
+++ b/coord/replog/reads.go
@@ -7,8 +7,8 @@
 	"github.com/gullhaven/gullhaven/coord/replog/tracker"
 )
 
-// pendingRead waits for a majority to answer a round that began after it came
-// in, or, with round zero, for the first commit of the term.
+// pendingRead waits for a majority to answer a round that began after the read arrived,
+// or, with round zero, for the first commit of the term.
 type pendingRead struct {
 	from         Member
 	id           uint64
@@ -17,13 +17,13 @@
 
 // ReadIndex implements Log.
 //
-// A read is linearizable at the commit index if this node was the leader at
-// some time after the read came in, and has committed in its term. A lease that
-// holds now says so; else a majority has to answer a round of heartbeats that
-// begins after now. A round that began before would not do: the answers may
-// have been given before a successor committed more.
+// A read is linearizable at the commit index if this node was the leader at some time
+// after the read arrived, and has committed in its term. A lease in force shows that;
+// otherwise a majority has to answer a heartbeat round that begins after now. A round
+// that began before would not do: its answers may have been given before a successor
+// committed more.
 func (n *Node) ReadIndex(now time.Time, id uint64) error {
-	n.clock(now)
+	n.advanceClock(now)
 	if n.role == Leader {
 		n.beginRead(pendingRead{from: n.opts.Self, id: id})
 		return nil
@@ -38,11 +38,11 @@
 
 func (n *Node) beginRead(r pendingRead) {
 	switch {
-	case !n.leads():
+	case !n.hasCommittedInTerm():
 		n.lead.reads = append(n.lead.reads, r)
 	case n.lead.transferee == (Member{}) && n.now.Before(n.leaseEnd()):
 		r.index = n.log.commit
-		n.answerRead(r)
+		n.completeRead(r)
 	default:
 		r.index, r.round = n.log.commit, n.lead.round+1
 		n.lead.roundDue = true
@@ -50,7 +50,7 @@
 	}
 }
 
-// startReads begins the reads that waited for the first commit of the term.
+// startReads starts the reads that waited for the first commit of the term.
 func (n *Node) startReads() {
 	reads := n.lead.reads
 	n.lead.reads = nil
@@ -63,7 +63,7 @@
 	}
 }
 
-// confirmReads answers the reads whose round a majority has answered.
+// confirmReads completes the reads whose round a majority has answered.
 func (n *Node) confirmReads() {
 	if len(n.lead.reads) == 0 {
 		return
@@ -74,15 +74,15 @@
 	n.lead.reads = nil
 	for _, r := range reads {
 		if r.round > 0 && r.round <= done {
-			n.answerRead(r)
+			n.completeRead(r)
 		} else {
 			n.lead.reads = append(n.lead.reads, r)
 		}
 	}
 }
 
-// forgetReads drops reads that a leader did not answer in time.
-func (n *Node) forgetReads() {
+// expireReads drops reads that the leader did not answer within an election timeout.
+func (n *Node) expireReads() {
 	for id, at := range n.readsSent {
 		if n.now.Sub(at) > n.opts.ElectionTimeout {
 			delete(n.readsSent, id)
@@ -90,7 +90,7 @@
 	}
 }
 
-func (n *Node) answerRead(r pendingRead) {
+func (n *Node) completeRead(r pendingRead) {
 	if r.from == n.opts.Self {
 		n.out.reads = append(n.out.reads, ReadState{ID: r.id, Index: r.index})
 		return
@@ -98,8 +98,8 @@
 	n.send(Message{Kind: MsgReadIndexResp, To: r.from, ReadID: r.id, Index: r.index})
 }
 
-// handleReadIndex serves a read of another member. Reads that reach a node
-// that does not lead are dropped; their hosts ask again.
+// handleReadIndex starts a read of another member. At a node that is not the leader the
+// read is dropped; its host retries.
 func (n *Node) handleReadIndex(m Message) {
 	if n.role == Leader && n.lead.peers[m.From] != nil {
 		n.beginRead(pendingRead{from: m.From, id: m.ReadID})
--- a/coord/replog/repair_test.go
+++ b/coord/replog/repair_test.go
@@ -11,43 +11,44 @@
 	"github.com/gullhaven/gullhaven/coord/replog/quorum"
 )
 
-// steady returns a group of voters that serves, without loss of messages.
-func steady(t *testing.T, seed uint64, voters int) *sim {
+// newServingSim returns a group of voters that serves, on a network without message
+// loss.
+func newServingSim(t *testing.T, seed uint64, voters int) *sim {
 	s := newSim(seed, voters, 0, t.Fatalf)
 	s.lossy = false
-	s.run(10*simElection, s.work)
-	if s.leading() == nil || len(s.committed) < 3 {
+	s.run(10*simElection, s.generateLoad)
+	if s.currentLeader() == nil || len(s.committed) < 3 {
 		t.Fatalf("seed %d: no leader, or %d entries only", seed, len(s.committed))
 	}
 	return s
 }
 
 func (s *sim) follower() string {
-	l := s.leading()
+	l := s.currentLeader()
 	i := slices.IndexFunc(s.ids, func(id string) bool { return s.hosts[id] != l })
 	return s.ids[i]
 }
 
-// Symptom: an acknowledged entry is gone after two repairs in a row.
-// Events: a voter loses its disk and is readmitted; the moment its promotion is
-// in force, another voter (the leader too) loses its disk.
-// Cause: the emptied voter was counted before it held the log.
+// Guards against losing an acknowledged entry after two repairs in a row: a voter loses
+// its disk and is readmitted; as soon as its promotion is in force, another voter
+// (possibly the leader) loses its disk. The first one must not count before it holds
+// the log.
 func TestSecondLossRightAfterRepair(t *testing.T) {
 	for seed := range uint64(40) {
-		s := steady(t, seed, 3)
+		s := newServingSim(t, seed, 3)
 		for range 3 {
 			id := s.follower()
 			if s.rng.IntN(2) == 0 {
-				id = s.leading().disk.self.ID
+				id = s.currentLeader().disk.self.ID
 			}
-			before := s.wiped
-			s.lose(id)
-			if s.wiped == before {
+			before := s.wipes
+			s.wipeAndRestart(id)
+			if s.wipes == before {
 				t.Fatalf("seed %d: the group is not whole: %v", seed, s.config)
 			}
 			repaired := func() bool { return s.config.IsVoter(s.hosts[id].disk.self) }
 			for i := 0; !repaired() && i < 1000; i++ {
-				s.run(simStep, s.work)
+				s.run(simStep, s.generateLoad)
 			}
 			if !repaired() {
 				t.Fatalf("seed %d: %v is not readmitted: %v", seed, s.hosts[id].disk.self, s.config)
@@ -57,21 +58,20 @@
 	}
 }
 
-// Symptom: entries that two of three voters acknowledged are replaced.
-// Events: the third voter was cut off while they were written; one of the two
-// loses its disk, the other one is stopped. The emptied voter and the one that
-// was cut off can reach each other.
-// Cause: the emptied voter votes or acknowledges under its old place.
-func TestEmptiedVoterDoesNotCount(t *testing.T) {
+// Guards against replacing entries that two of three voters acknowledged. The third
+// voter was partitioned off while they were written; one of the two loses its disk, the
+// other one is stopped. The empty voter, which can reach the third one, must not vote
+// or acknowledge in place of its old incarnation.
+func TestEmptyVoterDoesNotCount(t *testing.T) {
 	for seed := range uint64(20) {
-		s := steady(t, seed, 3)
-		leader, behind := s.leading().disk.self.ID, s.follower()
+		s := newServingSim(t, seed, 3)
+		leader, behind := s.currentLeader().disk.self.ID, s.follower()
 		for _, id := range s.ids {
 			s.cut[[2]string{id, behind}], s.cut[[2]string{behind, id}] = true, true
 		}
-		s.run(5*simElection, s.work)
+		s.run(5*simElection, s.generateLoad)
 		other := s.ids[slices.IndexFunc(s.ids, func(id string) bool { return id != leader && id != behind })]
-		s.lose(other)
+		s.wipeAndRestart(other)
 		s.crash(leader)
 		clear(s.cut)
 		commit, terms := s.commit, len(s.leaders)
@@ -83,15 +83,15 @@
 	}
 }
 
-// Symptom: two groups answer under one name, and what one committed is lost.
-// Events: disks are lost while the group is formed, and then the founder's.
-// Cause: an emptied founder takes itself for one that starts for the first time.
+// Guards against two groups under one name, of which one loses what it committed. Disks
+// are lost while the group forms, and then the founder's; the empty founder must not
+// act as at a first start.
 func TestFormingWithLostDisks(t *testing.T) {
 	formed := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]int{2, 3, 5}).Draw(t, "voters"), 0, t.Fatalf)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			s.run(simStep*rapid.SampledFrom([]time.Duration{1, 2, 5, 20, 80}).Draw(t, "pause"), s.work)
+			s.run(simStep*rapid.SampledFrom([]time.Duration{1, 2, 5, 20, 80}).Draw(t, "pause"), s.generateLoad)
 			id := rapid.SampledFrom(s.ids).Draw(t, "host")
 			if rapid.Bool().Draw(t, "founder") {
 				id = s.ids[0]
@@ -103,10 +103,10 @@
 				s.crash(id)
 				s.wipe(id)
 			default:
-				s.lose(id)
+				s.wipeAndRestart(id)
 			}
 		}
-		s.run(20*simElection, s.work)
+		s.run(20*simElection, s.generateLoad)
 		if s.commit > 0 {
 			formed++
 		}
@@ -116,18 +116,17 @@
 	}
 }
 
-// Symptom: a leader that was stopped for long serves reads and sends orders.
-// Events: it is frozen for three election timeouts; the others elect a
-// successor; it wakes up with its old belief and its old messages.
-// Cause: a lease or a leadership that does not end by the holder's own clock.
+// Guards against a leader that serves reads or holds a lease after a long stop. It is
+// frozen for three election timeouts while the others elect a successor, and resumes
+// with its old state and messages. Its lease must end by its own clock.
 func TestFrozenLeaderWakesWithoutLease(t *testing.T) {
 	for seed := range uint64(20) {
-		s := steady(t, seed, 3)
-		h := s.leading()
+		s := newServingSim(t, seed, 3)
+		h := s.currentLeader()
 		s.freeze(h)
-		h.thaw = s.now + 3*simElection
+		h.thawAt = s.now + 3*simElection
 		s.run(3*simElection-simStep, nil)
-		if s.leading() == nil || s.leading() == h {
+		if s.currentLeader() == nil || s.currentLeader() == h {
 			t.Fatalf("seed %d: no successor", seed)
 		}
 		now := s.local(h)
@@ -144,9 +143,8 @@
 	}
 }
 
-// Symptom: two configurations decide apart from each other.
-// Events: any change of any configuration.
-// Cause: a change after which some majority shares no voter with one before.
+// Guards against two configurations that decide independently: after any change of any
+// configuration, each new majority must share a voter with each old one.
 func TestNeighbouringMajoritiesOverlap(t *testing.T) {
 	member := rapid.Custom(func(t *rapid.T) Member {
 		return Member{ID: rapid.StringMatching("[a-f]").Draw(t, "id"), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "inc")}
--- a/coord/replog/replicate.go
+++ b/coord/replog/replicate.go
@@ -10,13 +10,13 @@
 	"github.com/gullhaven/gullhaven/coord/replog/tracker"
 )
 
-// snapshotPatience is after how many election timeouts an unanswered snapshot
-// is sent again.
-const snapshotPatience = 4
+// snapshotElectionTimeouts is after how many election timeouts an unanswered snapshot
+// may be sent again.
+const snapshotElectionTimeouts = 4
 
 // Propose implements Log.
 func (n *Node) Propose(now time.Time, data []byte) (Position, error) {
-	n.clock(now)
+	n.advanceClock(now)
 	if len(data) == 0 {
 		return Position{}, ErrEmpty
 	}
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// appendEntry gives the entry its place and sends it out.
+// appendEntry assigns the next position to the entry, appends it and returns the
+// position.
 func (n *Node) appendEntry(e Entry) Position {
 	e.Term, e.Index = n.hs.Term, n.log.last()+1
 	n.log.append(e)
@@ -51,8 +52,8 @@
 	return Position{Term: e.Term, Index: e.Index}
 }
 
-// trackPeers gives each other member of the configuration in force a progress,
-// and forgets those that left. New ones are tried from next on.
+// trackPeers creates a progress for each new member of the configuration in force,
+// starting at next, and drops those of removed members.
 func (n *Node) trackPeers(next uint64) {
 	peers := make(map[Member]*tracker.Progress)
 	for _, m := range n.log.config().config.Members() {
@@ -67,7 +68,7 @@
 	n.lead.peers = peers
 }
 
-// eachPeer visits the other members in the order of the configuration.
+// eachPeer calls visit for each other member in the order of the configuration.
 func (n *Node) eachPeer(visit func(Member, *tracker.Progress)) {
 	for _, m := range n.log.config().config.Members() {
 		if p := n.lead.peers[m]; p != nil {
@@ -76,8 +77,8 @@
 	}
 }
 
-// perVoter returns a value for each voter of the configuration in force: own for
-// this node, which must lead, and of's for the others.
+// perVoter returns a value for each voter of the configuration in force: own for this
+// node, which must be the leader, and of's result for the others.
 func perVoter[T any](n *Node, own T, of func(*tracker.Progress) T) []T {
 	voters := n.log.config().config.Voters
 	values := make([]T, 0, len(voters))
@@ -91,7 +92,7 @@
 	return values
 }
 
-// sendAppends fills the windows of all peers.
+// sendAppends sends entries to all peers whose inflight window has room.
 func (n *Node) sendAppends() {
 	n.eachPeer(func(m Member, p *tracker.Progress) {
 		for p.Next <= n.log.last() && p.CanSend(n.opts.MaxInflight) {
@@ -100,8 +101,7 @@
 	})
 }
 
-// sendAppend sends the entries from p.Next on, or the snapshot if they are
-// compacted.
+// sendAppend sends the entries from p.Next on, or the snapshot if they are compacted.
 func (n *Node) sendAppend(to Member, p *tracker.Progress) {
 	prev := p.Next - 1
 	term, ok := n.log.term(prev)
@@ -118,7 +118,7 @@
 	})
 }
 
-// dataBytes is the length of the entries' data.
+// dataBytes returns the length of the entries' data in bytes.
 func dataBytes(entries []Entry) (sum int) {
 	for _, e := range entries {
 		sum += len(e.Data)
@@ -132,7 +132,7 @@
 	n.sendAsLeader(Message{Kind: MsgSnapshot, To: to, Index: s.Index, LogTerm: s.Term, Snapshot: &s})
 }
 
-// sendCommits tells peers that have nothing under way of a new commit index.
+// sendCommits sends a new commit index to peers to which no append will carry it.
 func (n *Node) sendCommits() {
 	n.eachPeer(func(m Member, p *tracker.Progress) {
 		if min(p.Match, n.log.commit) > p.SentCommit {
@@ -141,10 +141,10 @@
 	})
 }
 
-// handleAppend takes in entries behind a place where the logs agree.
+// handleAppend appends entries after a position at which the logs agree.
 func (n *Node) handleAppend(m Message) {
 	if m.Index < n.log.commit {
-		// What is committed here agrees with any leader's log.
+		// Committed entries agree with any leader's log.
 		n.send(Message{Kind: MsgAppendResp, To: m.From, Index: n.log.commit})
 		return
 	}
@@ -166,9 +166,9 @@
 	n.send(Message{Kind: MsgAppendResp, To: m.From, Index: last})
 }
 
-// rejectAppend names the highest place at which the logs can agree: an entry of
-// a term above the leader's one at that place can't, so each answer skips a
-// whole term rather than one entry.
+// rejectAppend answers with the highest position at which the logs can agree: an entry
+// of a term above the leader's at that position cannot, so each answer skips a whole
+// term rather than one entry.
 func (n *Node) rejectAppend(m Message) {
 	hint, term := n.lastWithin(min(m.Index, n.log.last()), m.LogTerm)
 	n.send(Message{
@@ -177,8 +177,7 @@
 	})
 }
 
-// lastWithin returns the highest place at or below index whose term is at most
-// term.
+// lastWithin returns the highest position at or below index whose term is at most term.
 func (n *Node) lastWithin(index, term uint64) (uint64, uint64) {
 	for {
 		t, ok := n.log.term(index)
@@ -192,8 +191,8 @@
 	}
 }
 
-// handleSnapshot replaces the log if the snapshot reaches beyond what is
-// committed here.
+// handleSnapshot replaces the log if the snapshot reaches beyond what is committed
+// here.
 func (n *Node) handleSnapshot(m Message) {
 	s := *m.Snapshot
 	if s.Index > n.log.commit && n.log.matches(s.Index, s.Term) {
@@ -212,9 +211,9 @@
 	n.out.truncated(index)
 }
 
-// handleAnswer takes in a peer's answer. One of an incarnation that the
-// configuration does not hold has no progress here and counts for nothing.
-func (n *Node) handleAnswer(m Message) {
+// handlePeerResp handles a response of a peer. An incarnation that the configuration
+// does not hold has no progress here and is ignored.
+func (n *Node) handlePeerResp(m Message) {
 	if n.role != Leader {
 		return
 	}
@@ -223,10 +222,10 @@
 		return
 	}
 	p.Active = n.now
-	delete(n.lead.strangers, m.From.ID)
+	delete(n.lead.otherIncarnations, m.From.ID)
 	switch {
 	case m.Kind == MsgHeartbeatResp:
-		mayAppend := p.HandleHeartbeatResp(n.now, n.opts.MaxInflight, snapshotPatience*n.opts.ElectionTimeout)
+		mayAppend := p.HandleHeartbeatResp(n.now, n.opts.MaxInflight, snapshotElectionTimeouts*n.opts.ElectionTimeout)
 		n.ackRound(p, m.Round)
 		if p.Match < n.log.last() && mayAppend {
 			n.sendAppend(m.From, p)
@@ -244,10 +243,10 @@
 	n.out.appendDue = true
 }
 
-// maybeCommit commits what a majority of the configuration in force has synced,
-// if the newest of it is of this term. An entry of an earlier term that a
-// majority holds can still be replaced by a leader that does not have it
-// (figure 8 of the Raft paper); behind an entry of this term it can't.
+// maybeCommit commits what a majority of the configuration in force has synced, if the
+// last such entry is of this term. An entry of an earlier term that a majority holds
+// can still be replaced by a leader that does not have it (figure 8 of the Raft paper);
+// followed by an entry of this term it cannot.
 func (n *Node) maybeCommit() {
 	if n.role != Leader {
 		return
@@ -260,7 +259,8 @@
 	}
 }
 
-// commitTo raises the commit index; entries beyond the log wait for an append.
+// commitTo raises the commit index, at most to the end of the log; the rest waits for
+// an append.
 func (n *Node) commitTo(index uint64) {
 	index = min(index, n.log.last())
 	if index <= n.log.commit {
@@ -277,7 +277,7 @@
 
 // TransferLeader implements Log.
 func (n *Node) TransferLeader(now time.Time, id string) error {
-	n.clock(now)
+	n.advanceClock(now)
 	if err := n.mayPropose(); err != nil {
 		return err
 	}
@@ -293,9 +293,9 @@
 
 // maybeTransfer lets the transferee campaign once it holds the whole log.
 //
-// The message can come late, and the voters then break the promise that a lease
-// rests on. So this node steps down as it sends it and can lead, and hold a
-// lease, in a later term only, in which the message counts for nothing.
+// The message can arrive late, and the voters then break the promise that a lease
+// depends on. So this node steps down when it sends the message and can lead, and hold
+// a lease, only in a later term, in which the message has no effect.
 func (n *Node) maybeTransfer() {
 	to := n.lead.transferee
 	if n.role != Leader || to == (Member{}) {
@@ -305,7 +305,7 @@
 		return
 	}
 	n.send(Message{Kind: MsgTimeoutNow, To: to})
-	n.leaseGiven = time.Time{}
+	n.returnedLeaseEnd = time.Time{}
 	n.becomeFollower(n.hs.Term, Member{})
 }
 
--- a/coord/replog/replog_test.go
+++ b/coord/replog/replog_test.go
@@ -12,21 +12,21 @@
 	"github.com/gullhaven/gullhaven/coord/replog/quorum"
 )
 
-// disturb does one random thing to the group.
-func (s *sim) disturb(t *rapid.T) {
+// injectFault injects one random fault or change.
+func (s *sim) injectFault(t *rapid.T) {
 	id := rapid.SampledFrom(s.ids).Draw(t, "host")
 	h := s.hosts[id]
 	switch rapid.SampledFrom([]string{
 		"crash", "crash leader", "freeze", "freeze leader", "cut", "cut one way", "cut pair", "heal", "wipe", "wipe leader", "transfer", "change", "quiet",
 	}).Draw(t, "fault") {
 	case "crash leader":
-		if l := s.leading(); l != nil {
+		if l := s.currentLeader(); l != nil {
 			s.crash(l.disk.self.ID)
 		}
 	case "crash":
 		s.crash(id)
 	case "freeze leader":
-		if l := s.leading(); l != nil {
+		if l := s.currentLeader(); l != nil {
 			s.freeze(l)
 		}
 	case "freeze":
@@ -45,13 +45,13 @@
 	case "heal":
 		clear(s.cut)
 	case "wipe leader":
-		if l := s.leading(); l != nil {
-			s.lose(l.disk.self.ID)
+		if l := s.currentLeader(); l != nil {
+			s.wipeAndRestart(l.disk.self.ID)
 		}
 	case "wipe":
-		s.lose(id)
+		s.wipeAndRestart(id)
 	case "transfer":
-		if l := s.leading(); l != nil {
+		if l := s.currentLeader(); l != nil {
 			l.leaseEnd = 0
 			_ = l.node.TransferLeader(s.local(l), id)
 		}
@@ -61,15 +61,15 @@
 }
 
 func (s *sim) freeze(h *host) {
-	if h.node != nil && h.thaw == 0 {
+	if h.node != nil && h.thawAt == 0 {
 		h.frozenAt = s.local(h)
-		h.thaw = s.now + time.Duration(s.rng.Int64N(int64(4*simElection)))
+		h.thawAt = s.now + time.Duration(s.rng.Int64N(int64(4*simElection)))
 	}
 }
 
-// bears reports whether the configuration can bear the loss of one more disk: a
-// majority of its voters still has theirs after it.
-func (s *sim) bears(c Config) bool {
+// toleratesLoss reports whether the configuration tolerates the loss of one more disk:
+// a majority of its voters still has theirs after it.
+func (s *sim) toleratesLoss(c Config) bool {
 	lost := 1
 	for _, v := range c.Voters {
 		if s.hosts[v.ID].disk.self != v {
@@ -79,33 +79,33 @@
 	return len(c.Voters)-lost >= quorum.Size(len(c.Voters))
 }
 
-// lose wipes a disk where the group can bear it, by the newest committed
+// wipeAndRestart wipes a disk if the group tolerates it, by the newest committed
 // configuration and by those that nodes already count by.
-func (s *sim) lose(id string) {
-	if !s.bears(s.config) {
+func (s *sim) wipeAndRestart(id string) {
+	if !s.toleratesLoss(s.config) {
 		return
 	}
 	for _, h := range s.hosts {
-		if h.node != nil && h.node.log.config().index >= s.configIndex && !s.bears(h.node.log.config().config) {
+		if h.node != nil && h.node.log.config().index >= s.configIndex && !s.toleratesLoss(h.node.log.config().config) {
 			return
 		}
 	}
 	s.crash(id)
 	s.wipe(id)
 	s.start(id)
-	s.wiped++
+	s.wipes++
 }
 
 func (s *sim) change(kind confchange.Kind, id string) {
-	l := s.leading()
-	if l == nil || (kind == confchange.Remove && (len(s.config.Voters) < 4 || !s.bears(s.config))) {
+	l := s.currentLeader()
+	if l == nil || (kind == confchange.Remove && (len(s.config.Voters) < 4 || !s.toleratesLoss(s.config))) {
 		return
 	}
 	_, _ = l.node.ProposeConfChange(s.local(l), ConfChange{Kind: kind, Member: s.hosts[id].disk.self})
 }
 
-// work proposes and reads at random nodes, and starts stopped hosts.
-func (s *sim) work() {
+// generateLoad proposes and reads at random nodes, and starts stopped hosts.
+func (s *sim) generateLoad() {
 	for _, id := range s.ids {
 		h := s.hosts[id]
 		switch {
@@ -113,8 +113,8 @@
 			if s.rng.IntN(60) == 0 {
 				s.start(id)
 			}
-		case s.now < h.thaw:
-		case s.rng.IntN(s.idle) == 0:
+		case s.now < h.thawAt:
+		case s.rng.IntN(s.meanProposalSteps) == 0:
 			s.proposed++
 			_, _ = h.node.Propose(s.local(h), fmt.Appendf(nil, "%s-%d", id, s.proposed))
 		case s.rng.IntN(6) == 0:
@@ -125,11 +125,11 @@
 	}
 }
 
-// converge ends all faults and expects the group to serve again with all that
-// was acknowledged.
+// converge ends all faults and checks that the group serves again with all that was
+// acknowledged.
 func (s *sim) converge() {
 	clear(s.cut)
-	s.lossy, s.idle = false, 6
+	s.lossy, s.meanProposalSteps = false, 6
 	for _, id := range s.ids {
 		if s.hosts[id].node == nil {
 			s.start(id)
@@ -137,7 +137,7 @@
 	}
 	s.run(40*simElection, nil)
 	before := len(s.committed)
-	s.run(10*simElection, s.work)
+	s.run(10*simElection, s.generateLoad)
 	s.run(5*simElection, nil)
 	if len(s.committed) <= before {
 		s.fail("nothing is committed after all faults ended: config %v", s.config)
@@ -150,27 +150,26 @@
 	}
 }
 
-// Symptom: two leaders, differing logs, a lost acknowledged entry, overlapping
-// leases, a stale read, an emptied voter that counts.
-// Events: loss, delay, repetition and reordering of messages, stops that lose
-// what was not synced, lost disks, frozen processes, cuts, clocks that drift
-// within the bound, transfers and changes of the configuration, in any order.
-// Cause: any rule of the log that is left out.
+// Guards against two leaders, differing logs, a lost acknowledged entry, overlapping
+// leases, a stale read and an empty voter that counts, under any sequence of message
+// loss, delay, repetition and reordering, crashes that lose what was not synced, lost
+// disks, frozen processes, partitions, clocks that drift within the bound, leader
+// transfers and configuration changes.
 func TestGroupUnderFaults(t *testing.T) {
 	var wiped, served, leases, changes, committed int
 	rapid.Check(t, func(t *rapid.T) {
 		voters := rapid.SampledFrom([]int{1, 3, 3, 5}).Draw(t, "voters")
 		learners := rapid.IntRange(0, 1).Draw(t, "learners")
 		s := newSim(rapid.Uint64().Draw(t, "seed"), voters, learners, t.Fatalf)
-		s.idle = rapid.SampledFrom([]int{6, 40, 400}).Draw(t, "idle")
-		s.run(5*simElection, s.work)
+		s.meanProposalSteps = rapid.SampledFrom([]int{6, 40, 400}).Draw(t, "idle")
+		s.run(5*simElection, s.generateLoad)
 		for range rapid.IntRange(5, 40).Draw(t, "faults") {
-			s.disturb(t)
-			s.run(simElection*time.Duration(rapid.IntRange(0, 6).Draw(t, "pause"))/2, s.work)
+			s.injectFault(t)
+			s.run(simElection*time.Duration(rapid.IntRange(0, 6).Draw(t, "pause"))/2, s.generateLoad)
 		}
 		s.converge()
-		wiped, served, leases = wiped+s.wiped, served+s.served, leases+s.leases
-		changes, committed = changes+s.changes, committed+len(s.committed)
+		wiped, served, leases = wiped+s.wipes, served+s.readsServed, leases+s.leaseChecks
+		changes, committed = changes+s.configChanges, committed+len(s.committed)
 	})
 	t.Logf("%d entries, %d configurations, %d lost disks, %d reads, %d times a lease", committed, changes, wiped, served, leases)
 	if wiped == 0 || served == 0 || leases == 0 || changes == 0 {
--- a/coord/replog/rules_test.go
+++ b/coord/replog/rules_test.go
@@ -21,9 +21,9 @@
 	ruleTerm  = 7
 )
 
-// ruleNode returns node a of a group as it starts from its disk: the first
+// newRestartedNode returns node a of a group as it starts from its disk: the first
 // configuration, and one entry of the newest term.
-func ruleNode(t *testing.T, now time.Time, conf Config) *Node {
+func newRestartedNode(t *testing.T, now time.Time, conf Config) *Node {
 	n, err := New(now, Options{Self: ma, ElectionTimeout: simElection, HeartbeatInterval: simElection / 10, MaxDrift: simDrift}, State{
 		HardState: HardState{Group: ruleGroup, Term: ruleTerm},
 		Entries: []Entry{
@@ -37,8 +37,8 @@
 	return n
 }
 
-// settle does all that the node wants and returns its messages and reads.
-func settle(n *Node) (out []Message, reads []ReadState) {
+// drainReady completes all Readys of the node and returns its messages and reads.
+func drainReady(n *Node) (out []Message, reads []ReadState) {
 	for n.HasReady() {
 		r := n.Ready()
 		out = append(append(out, r.Immediate...), r.Messages...)
@@ -55,41 +55,40 @@
 	}
 }
 
-// elect makes a leader of a at the given time.
+// elect makes a the leader at the given time.
 func elect(t *testing.T, n *Node, now time.Time) {
 	n.Tick(now)
-	settle(n)
+	drainReady(n)
 	for _, kind := range []MessageKind{MsgPreVoteResp, MsgVoteResp} {
 		step(t, n, now, Message{Kind: kind, From: mb, Term: ruleTerm + 1})
-		settle(n)
+		drainReady(n)
 	}
 	if s := n.Status(); s.Role != Leader || s.Term != ruleTerm+1 {
 		t.Fatalf("not elected: %+v", s)
 	}
 }
 
-// Symptom: a second leader while a lease is held.
-// Events: a vote is asked for while this node's promise binds it: after a
-// heartbeat, after a start that may have forgotten one, while it leads, and
-// after it stepped down with a lease given out.
-// Cause: a promise that ends too early. The last column is when it ends.
+// Guards against a second leader while a lease is held: a vote is requested while this
+// node's promise binds it, after a heartbeat, after a start that may have forgotten
+// one, while it leads, and after it stepped down with a lease returned. bound is when
+// the promise ends.
 func TestPromiseBindsVotes(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
-	stretched := simElection + simElection/10 + 1
+	voterTimeout := simElection + simElection/10 + 1
 	lease := simElection - simElection/10
 	for _, c := range []struct {
 		name    string
 		prepare func(*testing.T) *Node
 		bound   time.Duration
 	}{
-		{"start", func(t *testing.T) *Node { return ruleNode(t, epoch, conf) }, stretched},
+		{"start", func(t *testing.T) *Node { return newRestartedNode(t, epoch, conf) }, voterTimeout},
 		{"heartbeat", func(t *testing.T) *Node {
-			n := ruleNode(t, longAgo, conf)
+			n := newRestartedNode(t, longAgo, conf)
 			step(t, n, epoch, Message{Kind: MsgHeartbeat, From: mb, Term: ruleTerm, Round: 1})
 			return n
-		}, stretched},
-		{"lease given out", func(t *testing.T) *Node {
-			n := ruleNode(t, longAgo, conf)
+		}, voterTimeout},
+		{"lease returned", func(t *testing.T) *Node {
+			n := newRestartedNode(t, longAgo, conf)
 			elect(t, n, epoch)
 			late := epoch.Add(simElection / 20)
 			step(t, n, late, Message{Kind: MsgHeartbeatResp, From: mb, Term: ruleTerm + 1, Round: 1})
@@ -107,66 +106,65 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := c.prepare(t)
-			settle(n)
+			drainReady(n)
 			vote := Message{Kind: MsgVote, From: mc, Term: 99, Index: 99, LogTerm: 99}
 			step(t, n, epoch.Add(c.bound-1), vote)
-			if out, _ := settle(n); len(out) > 0 || n.Status().Term == vote.Term {
+			if out, _ := drainReady(n); len(out) > 0 || n.Status().Term == vote.Term {
 				t.Fatalf("answers %v in term %d while bound", out, n.Status().Term)
 			}
 			step(t, n, epoch.Add(c.bound), vote)
-			if out, _ := settle(n); len(out) != 1 || out[0].Reject {
+			if out, _ := drainReady(n); len(out) != 1 || out[0].Reject {
 				t.Fatalf("answers %v when free", out)
 			}
 		})
 	}
 }
 
-// Symptom: a committed entry is replaced (figure 8 of the Raft paper).
-// Events: a leader brings an entry of an earlier term to a majority, commits it
-// and is lost; a node with a later entry of another term is elected.
-// Cause: an entry of an earlier term counted as committed by itself.
+// Guards against replacing a committed entry (figure 8 of the Raft paper). A leader
+// brings an entry of an earlier term to a majority, commits it and is lost; a node with
+// a later entry of another term is elected. An entry of an earlier term must not count
+// as committed by itself.
 func TestOldTermIsCommittedOnlyBehindOwn(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
-	n := ruleNode(t, longAgo, conf)
+	n := newRestartedNode(t, longAgo, conf)
 	elect(t, n, epoch)
 	for index, want := range []uint64{0, 0, 0, 3} {
 		step(t, n, epoch, Message{Kind: MsgAppendResp, From: mb, Term: ruleTerm + 1, Index: uint64(index)})
-		settle(n)
+		drainReady(n)
 		if got := n.Status().Commit; got != want {
 			t.Fatalf("commit %d with %d acknowledged", got, index)
 		}
 	}
 }
 
-// Symptom: a read misses what a successor committed.
-// Events: the lease has ended; a read comes in; the answer to a round sent
-// before the read arrives after it.
-// Cause: that answer may be older than the successor's commit.
+// Guards against a read that misses what a successor committed. After the lease has
+// ended a read arrives, and then the answer to a round sent before the read. That
+// answer may be older than the successor's commit.
 func TestReadNeedsARoundBegunAfterIt(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
-	n := ruleNode(t, longAgo, conf)
+	n := newRestartedNode(t, longAgo, conf)
 	elect(t, n, epoch)
 	step(t, n, epoch, Message{Kind: MsgAppendResp, From: mb, Term: ruleTerm + 1, Index: 3})
-	settle(n)
+	drainReady(n)
 	later := epoch.Add(simElection - 1)
 	if err := n.ReadIndex(later, 1); err != nil {
 		t.Fatal(err)
 	}
 	for round, want := range []int{0, 0, 1} {
 		step(t, n, later, Message{Kind: MsgHeartbeatResp, From: mb, Term: ruleTerm + 1, Round: uint64(round)})
-		if _, reads := settle(n); len(reads) != want {
+		if _, reads := drainReady(n); len(reads) != want {
 			t.Fatalf("%v served after an answer to round %d", reads, round)
 		}
 	}
 }
 
-// Symptom: a lone voter sends two different entries of one place.
-// Events: it elects itself, sends a proposal to a learner, and stops before its
-// new term is synced; it starts again and uses the same term once more.
-// Cause: a leader's messages that do not wait for its term.
+// Guards against a single voter that sends two different entries for one position. It
+// elects itself, sends a proposal to a learner, stops before its new term is synced,
+// restarts and uses the same term again. A leader's messages must wait until its term
+// is synced.
 func TestLoneVoterSyncsItsTermFirst(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma}, []Member{mb})
-	n := ruleNode(t, longAgo, conf)
+	n := newRestartedNode(t, longAgo, conf)
 	n.Tick(epoch)
 	if _, err := n.Propose(epoch, []byte("x")); err != nil {
 		t.Fatal(err)
@@ -176,18 +174,17 @@
 	}
 }
 
-// Symptom: two leases overlap after two changes of the configuration.
-// Events: a lease rests on c's answer; c is removed, and b has not answered a
-// heartbeat for a while; a further change is asked for.
-// Cause: majorities of the next configuration and of the first one need not
-// overlap.
+// Guards against overlapping leases after two changes of the configuration. A lease
+// depends on c's answer; c is removed, and b has not answered a heartbeat for a while;
+// then another change is proposed. Majorities of that configuration and of the first
+// one need not overlap.
 func TestChangeWaitsUntilTheLeaseIsCovered(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
-	n := ruleNode(t, longAgo, conf)
+	n := newRestartedNode(t, longAgo, conf)
 	elect(t, n, epoch)
 	answer := func(from Member, kind MessageKind, index, round uint64) {
 		step(t, n, epoch, Message{Kind: kind, From: from, Term: ruleTerm + 1, Index: index, Round: round})
-		settle(n)
+		drainReady(n)
 	}
 	answer(mb, MsgAppendResp, 3, 0)
 	answer(mc, MsgHeartbeatResp, 0, 1)
@@ -201,7 +198,7 @@
 	if _, err := n.ProposeConfChange(epoch, add); !errors.Is(err, ErrConfPending) {
 		t.Fatalf("a change before the last one is applied: %v", err)
 	}
-	settle(n)
+	drainReady(n)
 	answer(mb, MsgAppendResp, 4, 0)
 	if s := n.Status(); s.Applied != 4 {
 		t.Fatalf("the removal is not applied: %+v", s)
@@ -214,17 +211,16 @@
 		t.Fatal(err)
 	}
 	promote := ConfChange{Kind: confchange.Promote, Member: add.Member}
-	settle(n)
+	drainReady(n)
 	answer(mb, MsgAppendResp, 5, 0)
 	if _, err := n.ProposeConfChange(epoch, promote); !errors.Is(err, ErrNotCaughtUp) {
 		t.Fatalf("a learner without the log is promoted: %v", err)
 	}
 }
 
-// Symptom: entries that were never committed follow a snapshot.
-// Events: a node installs a snapshot over a log that had left the leader's; it
-// stops after the snapshot is written and before the log is dropped.
-// Cause: what is left of the old log is taken for the continuation.
+// Guards against uncommitted entries after a snapshot. A node installs a snapshot over
+// a log that diverged from the leader's, and stops after the snapshot is written and
+// before the log is dropped. The rest of the old log must not continue the snapshot.
 func TestSnapshotEndsAnotherLog(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
 	s := State{
@@ -244,27 +240,27 @@
 	}
 }
 
-// Symptom: logs differ before a place at which they agree; or a log that
-// differs in a thousand entries needs a thousand answers to be mended.
-// Events: a node that holds entries of a term that won no majority gets an
-// append behind a place where the new leader has another entry.
-// Cause: entries taken in without the match; or a back-off of one entry a time.
+// Guards against two faults: logs that differ before a position at which they agree,
+// from appending without the match; and a log that differs in a thousand entries and
+// needs a thousand answers, from backing off one entry at a time. A node with entries
+// of a term that won no majority gets an append after a position at which the new
+// leader has another entry.
 func TestAppendNeedsTheMatchAndSkipsTerms(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
-	n := ruleNode(t, epoch, conf)
+	n := newRestartedNode(t, epoch, conf)
 	const more = 1000
 	lost := make([]Entry, more)
 	for i := range lost {
 		lost[i] = Entry{Term: ruleTerm, Index: uint64(3 + i), Data: []byte("lost")}
 	}
 	step(t, n, epoch, Message{Kind: MsgAppend, From: mb, Term: ruleTerm, Index: 2, LogTerm: ruleTerm, Entries: lost})
-	settle(n)
+	drainReady(n)
 	last := uint64(2 + more)
 	step(t, n, epoch, Message{
 		Kind: MsgAppend, From: mc, Term: 9, Index: last, LogTerm: ruleTerm - 1,
 		Entries: []Entry{{Term: 9, Index: last + 1, Data: []byte("x")}},
 	})
-	out, _ := settle(n)
+	out, _ := drainReady(n)
 	if len(out) != 1 || !out[0].Reject || out[0].Hint != 1 || out[0].HintTerm != 1 {
 		t.Fatalf("answers %+v", out)
 	}
@@ -273,13 +269,12 @@
 	}
 }
 
-// Symptom: an acknowledged entry is not on the disk that acknowledged it.
-// Events: while a host writes entries, a new leader replaces them.
-// Cause: Advance, which is about the old entries, counts for the new ones of the
-// same indexes.
+// Guards against acknowledging an entry that is not on disk. While a host writes
+// entries, a new leader replaces them; Advance, which concerns the old entries, must
+// not count for the new ones of the same indexes.
 func TestReplacedEntriesAreWrittenAgain(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
-	n := ruleNode(t, epoch, conf)
+	n := newRestartedNode(t, epoch, conf)
 	entry := func(term uint64) []Entry { return []Entry{{Term: term, Index: 3, Data: []byte{byte(term)}}} }
 	step(t, n, epoch, Message{Kind: MsgAppend, From: mb, Term: ruleTerm, Index: 2, LogTerm: ruleTerm, Entries: entry(ruleTerm)})
 	if r := n.Ready(); len(r.Entries) != 1 {
@@ -293,14 +288,11 @@
 	}
 }
 
-// Symptom: a node takes in what it cannot place, or starts from a log that
-// has a gap.
-// Events: malformed messages come in; a state with a gap, a falling term or a
-// term above the one on disk is read at the start.
-// Cause: messages and states used before they are checked.
+// Guards against using messages and states before they are checked: malformed messages,
+// and states with a gap, a falling term or a term above the one on disk.
 func TestBadInputIsRefused(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
-	n := ruleNode(t, epoch, conf)
+	n := newRestartedNode(t, epoch, conf)
 	for _, m := range []Message{
 		{},
 		{Kind: MsgVote, From: mb, To: mc, Group: ruleGroup},
@@ -309,7 +301,7 @@
 		{Kind: MsgAppend, From: mb, To: ma, Group: ruleGroup, Term: 99, Index: 2, Entries: []Entry{{Index: 3, Kind: EntryConfig}}},
 	} {
 		if err := n.Step(epoch, m); err == nil {
-			t.Fatalf("%+v is taken in", m)
+			t.Fatalf("%+v is accepted", m)
 		}
 	}
 	if n.Status().Term != ruleTerm {
@@ -324,7 +316,7 @@
 		{HardState: hs, Snapshot: &Snapshot{Index: 3, Term: 2, Config: conf}, Entries: []Entry{{Index: 5, Term: 2}}},
 	} {
 		if _, err := New(epoch, Options{Self: ma}, s); err == nil {
-			t.Fatalf("%+v is taken in", s)
+			t.Fatalf("%+v is accepted", s)
 		}
 	}
 	if err := n.TransferLeader(epoch, "b"); !errors.Is(err, ErrNotLeader) {
--- a/coord/replog/sim_test.go
+++ b/coord/replog/sim_test.go
@@ -14,7 +14,7 @@
 	simDrift    = 0.1
 )
 
-// disk is what a node has synced. A lost disk is a new one.
+// disk holds what a node has synced. A lost disk is replaced by a new one.
 type disk struct {
 	self     Member
 	hs       HardState
@@ -22,7 +22,7 @@
 	entries  []Entry
 }
 
-// holds reports whether the place is synced here.
+// holds reports whether the position is synced here.
 func (d *disk) holds(p Position) bool {
 	if d.snapshot != nil && p.Index <= d.snapshot.Index {
 		return true
@@ -31,21 +31,21 @@
 	return ok && d.entries[i].Term == p.Term
 }
 
-// writeParts is the number of steps in which a Ready reaches the disk.
-const writeParts = 4
+// writeSteps is the number of steps in which a Ready reaches the disk.
+const writeSteps = 4
 
-// write does the first parts of a Ready's writing.
-func (d *disk) write(r Ready, parts int) {
-	if parts > 0 && r.HardState != nil {
+// write carries out the first steps of writing a Ready.
+func (d *disk) write(r Ready, steps int) {
+	if steps > 0 && r.HardState != nil {
 		d.hs = *r.HardState
 	}
-	if parts > 1 && r.Snapshot != nil {
+	if steps > 1 && r.Snapshot != nil {
 		d.snapshot = r.Snapshot
 	}
-	if parts > 2 && r.Snapshot != nil {
+	if steps > 2 && r.Snapshot != nil {
 		d.entries = nil
 	}
-	if parts > 3 && len(r.Entries) > 0 {
+	if steps > 3 && len(r.Entries) > 0 {
 		i, _ := slices.BinarySearchFunc(d.entries, r.Entries[0].Index, func(e Entry, x uint64) int { return int(e.Index) - int(x) })
 		d.entries = append(slices.Clip(d.entries[:i]), r.Entries...)
 	}
@@ -56,7 +56,7 @@
 	disk     *disk
 	node     *Node
 	rate     float64
-	thaw     time.Duration
+	thawAt   time.Duration
 	frozenAt time.Time
 	inbox    []Message
 	ready    *Ready
@@ -89,51 +89,51 @@
 	return x
 }
 
-// groupTerm and groupPlace tell the groups apart that lost disks can leave
-// behind while a group forms. Committed entries are not told apart.
+// groupTerm and groupPosition keep apart the groups that lost disks can leave behind
+// while a group forms. Committed entries are not kept apart.
 type groupTerm struct{ group, term uint64 }
 
-type groupPlace struct {
-	group uint64
-	place Position
+type groupPosition struct {
+	group    uint64
+	position Position
 }
 
-// sim runs hosts over a network in true time and sees all that they do.
+// sim runs hosts over a simulated network in true time and observes all that they do.
 type sim struct {
-	fail  func(format string, args ...any)
-	rng   *rand.Rand
-	ids   []string
-	hosts map[string]*host
-	boot  Bootstrap
-	opts  Options
-	net   flights
-	seq   int
-	now   time.Duration
-	cut   map[[2]string]bool
-	drop  func(Message) bool
-	lossy bool
-	// idle is the mean number of steps between two proposals at a node.
-	idle  int
-	count func(Message)
-	// delay, if set, is how long a message takes on its way.
+	fail     func(format string, args ...any)
+	rng      *rand.Rand
+	ids      []string
+	hosts    map[string]*host
+	boot     Bootstrap
+	opts     Options
+	net      flights
+	sequence int
+	now      time.Duration
+	cut      map[[2]string]bool
+	drop     func(Message) bool
+	lossy    bool
+	// meanProposalSteps is the mean number of steps between two proposals at a node.
+	meanProposalSteps int
+	count             func(Message)
+	// delay, if set, returns a message's delay in transit.
 	delay func(Message) time.Duration
 
-	// What was ever seen, for the invariants.
+	// Everything ever observed, for the invariants.
 	disks     map[Member]*disk
 	leaders   map[groupTerm]Member
 	votes     map[Member]map[uint64]Member
-	entries   map[groupPlace]uint64
+	entries   map[groupPosition]uint64
 	committed []Entry
 	chains    []uint64
 	config    Config
 	commit    uint64
-	// configIndex is where config stands.
-	configIndex uint64
-	proposed    int
-	served      int
-	wiped       int
-	leases      int
-	changes     int
+	// configIndex is the index of config.
+	configIndex   uint64
+	proposed      int
+	readsServed   int
+	wipes         int
+	leaseChecks   int
+	configChanges int
 }
 
 func newSim(seed uint64, voters, learners int, fail func(string, ...any)) *sim {
@@ -141,14 +141,14 @@
 		HeartbeatInterval: simElection / 10, ElectionTimeout: simElection, MaxDrift: simDrift,
 		MaxInflight: 4, MaxAppendBytes: 64,
 	}
-	return newSimOf(o, seed, voters, learners, fail)
+	return newSimWithOptions(o, seed, voters, learners, fail)
 }
 
-func newSimOf(o Options, seed uint64, voters, learners int, fail func(string, ...any)) *sim {
+func newSimWithOptions(o Options, seed uint64, voters, learners int, fail func(string, ...any)) *sim {
 	s := &sim{
 		fail: fail, rng: rand.New(rand.NewPCG(seed, 7)), hosts: map[string]*host{}, cut: map[[2]string]bool{},
 		disks: map[Member]*disk{}, leaders: map[groupTerm]Member{}, votes: map[Member]map[uint64]Member{},
-		entries: map[groupPlace]uint64{}, chains: []uint64{0}, lossy: true, idle: 6,
+		entries: map[groupPosition]uint64{}, chains: []uint64{0}, lossy: true, meanProposalSteps: 6,
 		opts: o,
 	}
 	for i := range voters + learners {
@@ -170,7 +170,7 @@
 	s.hosts[id].disk = d
 }
 
-// local is the host's monotonic clock.
+// local returns the time of the host's monotonic clock.
 func (s *sim) local(h *host) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(float64(s.now) * h.rate))
 }
@@ -185,21 +185,21 @@
 		return
 	}
 	h.node, h.inbox, h.ready, h.reads = n, nil, nil, map[uint64]uint64{}
-	h.applied, h.chain, h.thaw, h.lastTerm = 0, 0, 0, 0
+	h.applied, h.chain, h.thawAt, h.lastTerm = 0, 0, 0, 0
 	if h.disk.snapshot != nil {
 		s.restore(h, h.disk.snapshot)
 	}
 }
 
-// crash stops a host; of an unsynced Ready any leading part reaches the disk.
-// Its lease ends with it.
+// crash stops a host; any leading part of an unsynced Ready may reach the disk. The
+// host's lease ends.
 func (s *sim) crash(id string) {
 	h := s.hosts[id]
 	if h.ready != nil {
-		parts := s.rng.IntN(writeParts + 1)
+		parts := s.rng.IntN(writeSteps + 1)
 		h.disk.write(*h.ready, parts)
 		s.checkVote(h)
-		if parts == writeParts {
+		if parts == writeSteps {
 			s.checkEntries(h, h.ready.Entries)
 		}
 	}
@@ -223,13 +223,13 @@
 			if s.lossy && s.rng.IntN(30) == 0 {
 				delay = time.Duration(s.rng.Int64N(int64(5 * simElection)))
 			}
-			s.seq++
-			heap.Push(&s.net, flight{s.now + delay, s.seq, m})
+			s.sequence++
+			heap.Push(&s.net, flight{s.now + delay, s.sequence, m})
 		}
 	}
 }
 
-// run lets true time pass; between is called at each step.
+// run advances true time; between is called at each step.
 func (s *sim) run(d time.Duration, between func()) {
 	for end := s.now + d; s.now < end; {
 		s.now += simStep
@@ -248,15 +248,15 @@
 	}
 }
 
-// drive is one turn of a host's loop. A host that was frozen had read its clock
-// before it stopped and goes on with that.
+// drive runs one iteration of a host's loop. A host that was frozen had read its clock
+// before it stopped and continues with that time.
 func (s *sim) drive(h *host) {
-	if h.node == nil || s.now < h.thaw {
+	if h.node == nil || s.now < h.thawAt {
 		return
 	}
 	now := s.local(h)
-	if h.thaw > 0 {
-		now, h.thaw = h.frozenAt, 0
+	if h.thawAt > 0 {
+		now, h.thawAt = h.frozenAt, 0
 	}
 	for _, m := range h.inbox {
 		if err := h.node.Step(now, m); err != nil {
@@ -275,17 +275,17 @@
 	s.checkLeader(h)
 	for range 4 {
 		if h.ready == nil {
-			s.take(h)
+			s.beginReady(h)
 		}
 		if h.ready == nil || s.now < h.syncAt {
 			return
 		}
-		s.finish(h)
+		s.finishReady(h)
 	}
 }
 
-// take begins a Ready: what may go at once goes, the sync takes a while.
-func (s *sim) take(h *host) {
+// beginReady starts a Ready: Immediate is sent, and the sync takes a while.
+func (s *sim) beginReady(h *host) {
 	if !h.node.HasReady() {
 		return
 	}
@@ -300,10 +300,10 @@
 	}
 }
 
-func (s *sim) finish(h *host) {
+func (s *sim) finishReady(h *host) {
 	r := *h.ready
 	h.ready = nil
-	h.disk.write(r, writeParts)
+	h.disk.write(r, writeSteps)
 	s.checkVote(h)
 	s.checkEntries(h, r.Entries)
 	s.send(r.Messages)
@@ -318,7 +318,7 @@
 			s.fail("stale read at %v: index %d, but %d was acknowledged before it began", h.disk.self, rs.Index, want)
 		}
 		delete(h.reads, rs.ID)
-		s.served++
+		s.readsServed++
 	}
 	h.node.Advance()
 	s.checkCommit(h)
@@ -330,7 +330,7 @@
 func (s *sim) compact(h *host) {
 	snap, err := h.node.MakeSnapshot(h.applied, fmt.Appendf(nil, "%d", h.chain))
 	if err != nil {
-		return // The newest snapshot is this one already.
+		return // The newest snapshot already covers this index.
 	}
 	h.disk.snapshot = &snap
 	h.disk.entries = slices.DeleteFunc(slices.Clone(h.disk.entries), func(e Entry) bool { return e.Index+5 <= snap.Index })
@@ -346,12 +346,13 @@
 	}
 }
 
-// leading returns a node that believes to lead, the newest term first.
-func (s *sim) leading() *host {
+// currentLeader returns the node with the newest term among those that take themselves
+// for the leader.
+func (s *sim) currentLeader() *host {
 	var best *host
 	for _, id := range s.ids {
 		h := s.hosts[id]
-		if h.node != nil && s.now >= h.thaw && h.node.role == Leader && (best == nil || h.node.hs.Term > best.node.hs.Term) {
+		if h.node != nil && s.now >= h.thawAt && h.node.role == Leader && (best == nil || h.node.hs.Term > best.node.hs.Term) {
 			best = h
 		}
 	}
--- a/coord/replog/tracker/tracker.go
+++ b/coord/replog/tracker/tracker.go
@@ -1,16 +1,16 @@
-// Package tracker holds what a leader knows of the log of each other member.
+// Package tracker holds a leader's view of the log of each other member.
 package tracker
 
 import "time"
 
-// State says how a leader sends entries to a peer.
+// State is the way in which a leader sends entries to a peer.
 type State uint8
 
 const (
-	// Probe sends one append at a time until the place where the logs agree is
+	// Probe sends one append at a time until the position at which the logs agree is
 	// found.
 	Probe State = iota
-	// Replicate sends appends ahead of their answers.
+	// Replicate sends appends without waiting for their responses.
 	Replicate
 	// Snapshot waits until a snapshot has arrived.
 	Snapshot
@@ -26,72 +26,73 @@
 	Next uint64
 	// SentCommit is the highest commit index sent.
 	SentCommit uint64
-	// Active is the time of the last answer in this term.
+	// Active is the time of the last response in this term.
 	Active time.Time
-	// Round is the newest heartbeat round that was answered, and LeaseFrom the
+	// Round is the newest heartbeat round that the peer answered, and LeaseFrom the
 	// time at which that round was sent.
 	Round     uint64
 	LeaseFrom time.Time
 
-	// inflight are the appends, or the snapshot, that were not answered yet.
-	inflight []appended
-	waiting  bool
-	// overtaken says that the peer rejected an append that reached it before an earlier one.
-	overtaken bool
-	// resent counts appends that were taken as lost since the peer last took one.
-	resent int
+	// inflight are the unanswered appends, or the unanswered snapshot.
+	inflight  []inflightAppend
+	probeSent bool
+	// outOfOrder is true if the peer rejected an append that arrived before an earlier
+	// one.
+	outOfOrder bool
+	// resends counts appends that were assumed lost since the peer last accepted one.
+	resends int
 }
 
-// appended is an append that was not answered yet.
-type appended struct {
-	// prev and last are the places before and of its last entry.
+// inflightAppend is an append that was not answered yet.
+type inflightAppend struct {
+	// prev and last are the indexes before the first and of the last entry.
 	prev, last uint64
 	bytes      int
 	at         time.Time
 }
 
-// slowest is the rate in bytes a second below which an append under way is taken as lost.
+// minBytesPerSecond is the rate below which an inflight append is assumed lost.
 //
-// What goes wrong without it: a long append takes longer than a heartbeat, whose answer lets
-// a short append go out. The transport may let short messages overtake long ones, the peer
-// rejects it for the lack of the entries before, and the long one is sent again while the
-// first is still on its way, with each heartbeat. One would notice links between members
-// that are full of one entry.
-const slowest = 256 << 10
-
-// maxResent bounds how often the wait for an append doubles: a peer that takes less than a
-// sixteenth of the slowest rate does not keep up with anything.
-const maxResent = 4
-
-// lost reports whether an append must be taken as lost: a peer of the slowest rate would
-// have answered. Each one that is sent again is given twice the time, so that any rate will
-// do in the end.
-func (p *Progress) lost(now time.Time, a appended) bool {
-	patience := time.Duration(a.bytes) * time.Second / slowest
-	return now.Sub(a.at) >= patience<<min(p.resent, maxResent)
+// Without it, an append that takes longer than a heartbeat is sent again and again: the
+// answer to the heartbeat lets a short append go out, which the transport may deliver
+// before the long one. The peer rejects it, as it lacks the entries before, and the
+// long one is sent again with each heartbeat while the first is still on its way. The
+// links between members fill up with copies of one entry.
+const minBytesPerSecond = 256 << 10
+
+// maxResends bounds how often the wait for an append doubles: a peer slower than a
+// sixteenth of the minimum rate cannot keep up anyway.
+const maxResends = 4
+
+// timedOut reports whether an append must be assumed lost: a peer at the minimum rate
+// would have answered. Each resend doubles the time, so that slower rates succeed in
+// the end.
+func (p *Progress) timedOut(now time.Time, a inflightAppend) bool {
+	timeout := time.Duration(a.bytes) * time.Second / minBytesPerSecond
+	return now.Sub(a.at) >= timeout<<min(p.resends, maxResends)
 }
 
-// New returns the state at an election: nothing is known, and the first guess
-// is that the peer holds all before next.
+// New returns the state at an election, when nothing is known of the peer. The first
+// append assumes that it holds all entries before next.
 func New(next uint64, now time.Time) *Progress { return &Progress{Next: next, Active: now} }
 
-// MaySend reports whether an append may go out now, with at most limit in
-// flight.
+// CanSend reports whether an append may be sent now, with at most limit in flight.
 func (p *Progress) CanSend(limit int) bool {
 	switch p.State {
 	case Probe:
-		return !p.waiting
+		return !p.probeSent
 	case Replicate:
 		return len(p.inflight) < limit
 	}
 	return false
 }
 
-// Sent notes an append whose last entry is last; n entries with so many bytes went out.
+// RecordAppend records that an append of n entries with bytes of data was sent, whose
+// last entry is last.
 func (p *Progress) RecordAppend(now time.Time, last uint64, n, bytes int) {
-	a := appended{prev: last - uint64(n), last: last, bytes: bytes, at: now}
+	a := inflightAppend{prev: last - uint64(n), last: last, bytes: bytes, at: now}
 	if p.State == Probe {
-		p.waiting, p.inflight = true, []appended{a}
+		p.probeSent, p.inflight = true, []inflightAppend{a}
 		return
 	}
 	if n == 0 {
@@ -101,75 +102,76 @@
 	p.Next = last + 1
 }
 
-// SentSnapshot notes a snapshot of so many bytes.
+// RecordSnapshot records that the snapshot at index with bytes of data was sent.
 func (p *Progress) RecordSnapshot(now time.Time, index uint64, bytes int) {
-	p.State, p.Next, p.overtaken = Snapshot, index+1, false
-	p.inflight = []appended{{last: index, bytes: bytes, at: now}}
+	p.State, p.Next, p.outOfOrder = Snapshot, index+1, false
+	p.inflight = []inflightAppend{{last: index, bytes: bytes, at: now}}
 }
 
-// Ack notes that the peer holds all up to index, and reports whether that is
-// news.
+// Ack records that the peer holds all entries up to index, and reports whether that
+// raised Match.
 func (p *Progress) Ack(index uint64) bool {
-	news := index > p.Match
+	advanced := index > p.Match
 	p.Match = max(p.Match, index)
 	p.Next = max(p.Next, p.Match+1)
-	p.waiting = false
+	p.probeSent = false
 	for len(p.inflight) > 0 && p.inflight[0].last <= index {
 		p.inflight = p.inflight[1:]
 	}
-	if news {
-		p.resent = 0
+	if advanced {
+		p.resends = 0
 	}
-	// What the peer rejected because it came too early is sent again.
-	again := p.overtaken && news
-	if p.State == Probe || again || (p.State == Snapshot && p.Match+1 >= p.Next) {
-		p.State, p.inflight, p.Next, p.overtaken = Replicate, nil, p.Match+1, false
+	// An append that was rejected because it arrived too early is sent again.
+	resend := p.outOfOrder && advanced
+	if p.State == Probe || resend || (p.State == Snapshot && p.Match+1 >= p.Next) {
+		p.State, p.inflight, p.Next, p.outOfOrder = Replicate, nil, p.Match+1, false
 	}
-	return news
+	return advanced
 }
 
-// Reject notes that the peer lacks the entry at index, and that the logs can
-// agree at agree at most. It reports whether that was news: an answer that was
-// overtaken is not, and neither is one to an append that came before an earlier one which
-// is still on its way.
-func (p *Progress) Reject(now time.Time, index, agree uint64) bool {
+// Reject records that the peer lacks the entry at index, and that the logs agree up to
+// maxMatch at most. It reports whether the peer is to be probed: not for an outdated
+// response, nor for one to an append that arrived before an earlier one still in
+// flight.
+func (p *Progress) Reject(now time.Time, index, maxMatch uint64) bool {
 	if index <= p.Match || p.State == Snapshot || (p.State == Probe && index != p.Next-1) {
 		return false
 	}
-	if p.State == Replicate && len(p.inflight) > 0 && index > p.inflight[0].prev && !p.lost(now, p.inflight[0]) {
-		p.overtaken = true
+	if p.State == Replicate && len(p.inflight) > 0 && index > p.inflight[0].prev && !p.timedOut(now, p.inflight[0]) {
+		p.outOfOrder = true
 		return false
 	}
-	p.probe(min(index, agree+1))
+	p.probe(min(index, maxMatch+1))
 	return true
 }
 
-// probe looks for the place where the logs agree, from next on downwards.
+// probe searches for the position at which the logs agree, from next on downwards.
 func (p *Progress) probe(next uint64) {
-	p.State, p.inflight, p.waiting, p.overtaken = Probe, nil, false, false
+	p.State, p.inflight, p.probeSent, p.outOfOrder = Probe, nil, false, false
 	p.Next = max(p.Match+1, next)
 }
 
-// Heard takes in an answer to a heartbeat. It lets one more append go out where those under
-// way must be taken as lost: the next one is rejected and the peer probed again. A snapshot
-// is given patience at least, as the peer has to write it.
-func (p *Progress) HandleHeartbeatResp(now time.Time, limit int, patience time.Duration) (mayAppend bool) {
-	if len(p.inflight) > 0 && !p.lost(now, p.inflight[0]) {
+// HandleHeartbeatResp handles a heartbeat response, and reports whether an append may
+// be sent. It lets one more append go out if those in flight must be assumed lost: that
+// append is rejected and the peer probed again. A snapshot is given minTimeout at
+// least, as the peer has to write it.
+func (p *Progress) HandleHeartbeatResp(now time.Time, limit int, minTimeout time.Duration) (mayAppend bool) {
+	if len(p.inflight) > 0 && !p.timedOut(now, p.inflight[0]) {
 		return false
 	}
-	if p.State == Snapshot && now.Sub(p.inflight[0].at) <= patience {
+	if p.State == Snapshot && now.Sub(p.inflight[0].at) <= minTimeout {
 		return false
 	}
 	if len(p.inflight) > 0 && p.inflight[0].bytes > 0 {
-		p.resent++
+		p.resends++
 	}
 	if p.State == Snapshot {
 		p.probe(p.Match + 1)
 	}
-	if p.overtaken {
+	if p.outOfOrder {
 		p.probe(p.Match + 1)
 	}
-	p.waiting = false
+	p.probeSent = false
 	if len(p.inflight) >= limit {
 		p.inflight = p.inflight[1:]
 	}
--- a/coord/replog/tracker/tracker_test.go
+++ b/coord/replog/tracker/tracker_test.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// A member with an empty disk was sent a snapshot of megabytes over a link that takes longer
-// for it than a fixed patience. It was taken as lost and sent again, behind the first one,
-// and so on: the member never caught up. A snapshot has the time that a slow member needs,
-// and twice as long after each one that is sent again.
+// Guards against a large snapshot that is sent again while the first copy is still on
+// its way, so that a member with an empty disk never catches up. A snapshot gets the
+// time that a slow member needs, doubled with each resend.
 func TestLargeSnapshotIsGivenItsTime(t *testing.T) {
-	const patience, bytes = time.Second, 8 * slowest
+	const minTimeout, bytes = time.Second, 8 * minBytesPerSecond
 	now := time.Unix(1000, 0)
 	p := New(1, now)
 	for _, want := range []time.Duration{8 * time.Second, 16 * time.Second, 32 * time.Second} {
 		p.RecordSnapshot(now, 100, bytes)
 		begun := now
-		for !p.HandleHeartbeatResp(now, 32, patience) {
+		for !p.HandleHeartbeatResp(now, 32, minTimeout) {
 			now = now.Add(100 * time.Millisecond)
 		}
 		if got := now.Sub(begun); got != want {
@@ -28,7 +27,7 @@
 		t.Fatalf("after the snapshot: %+v", p)
 	}
 	p.RecordSnapshot(now, 200, 1)
-	if p.HandleHeartbeatResp(now.Add(patience), 32, patience) || !p.HandleHeartbeatResp(now.Add(patience+1), 32, patience) {
-		t.Error("a small snapshot has another patience")
+	if p.HandleHeartbeatResp(now.Add(minTimeout), 32, minTimeout) || !p.HandleHeartbeatResp(now.Add(minTimeout+1), 32, minTimeout) {
+		t.Error("a small snapshot has another timeout")
 	}
 }
