--- a/coord/registry/table.go
+++ b/coord/registry/table.go
@@ -13,7 +13,7 @@
 type Entry struct {
 	Name string `cbor:"1,keyasint"`
 	// Answer is the answer to the group that holds the name.
-	Answer Result `cbor:"2,keyasint"`
+	Result Result `cbor:"2,keyasint"`
 	// Replaced are the numbers that held the name before, oldest first.
 	Replaced []uint64 `cbor:"3,keyasint,omitempty"`
 }
@@ -44,7 +44,7 @@
 
 // Observe notes a lifetime that comes in force. All replicas must call it at
 // the same place of the log. It is bounded by MaxLifetime.
-func (t *Table) Observe(lifetime time.Duration) {
+func (t *Table) ObserveLifetime(lifetime time.Duration) {
 	lifetime = min(max(lifetime, 0), MaxLifetime)
 	t.longest = max(t.longest, uint32((lifetime+time.Second-1)/time.Second))
 }
@@ -78,32 +78,32 @@
 func (t *Table) register(r Register) Result {
 	e, known := t.groups[r.Name]
 	switch {
-	case known && e.Answer.Group == r.Group:
-		return e.Answer
+	case known && e.Result.Group == r.Group:
+		return e.Result
 	case known && slices.Contains(e.Replaced, r.Group):
 		// A question of the lost group that was long under way. Granted, it
 		// would count its successor, which may serve, as lost.
-		return Result{Reply: Replaced, Group: e.Answer.Group, Losses: e.Answer.Losses}
+		return Result{Reply: Replaced, Group: e.Result.Group, Losses: e.Result.Losses}
 	case known:
 		e = t.replace(e, r.Group)
 	case len(t.groups) >= MaxGroups:
 		return Result{Reply: Full}
 	default:
-		e = Entry{Name: r.Name, Answer: Result{Reply: Granted, Group: r.Group}}
+		e = Entry{Name: r.Name, Result: Result{Reply: Granted, Group: r.Group}}
 	}
 	t.groups[r.Name] = e
-	return e.Answer
+	return e.Result
 }
 
 // replace hands a name to a new group after the longest lifetime.
 func (t *Table) replace(e Entry, group uint64) Entry {
-	lost := e.Answer.Group
+	lost := e.Result.Group
 	replaced := append(slices.Clone(e.Replaced), lost)
 	e.Replaced = replaced[max(0, len(replaced)-MaxReplaced):]
-	e.Answer = Result{
+	e.Result = Result{
 		Reply: Granted, Group: group, Lost: lost, WaitSeconds: t.longest,
 		BlockedUntil: t.clock + int64(t.longest)*time.Second.Milliseconds(),
-		Losses:       e.Answer.Losses + 1,
+		Losses:       e.Result.Losses + 1,
 	}
 	return e
 }
@@ -131,7 +131,7 @@
 	t := New()
 	t.clock, t.applied, t.longest = im.Clock, im.Applied, im.Longest
 	for _, e := range im.Entries {
-		if _, twice := t.groups[e.Name]; twice || e.Answer.Group == 0 {
+		if _, twice := t.groups[e.Name]; twice || e.Result.Group == 0 {
 			return nil, errors.NotValidf("snapshot of the registry: group %q", e.Name)
 		}
 		t.groups[e.Name] = e
--- a/coord/registry/table_test.go
+++ b/coord/registry/table_test.go
@@ -123,7 +123,7 @@
 func (w *world) bundle(t *rapid.T) {
 	seconds := rapid.SampledFrom([]uint32{1, 10, 40, 100}).Draw(t, "lifetime")
 	w.longest = max(w.longest, seconds)
-	w.table.Observe(time.Duration(seconds) * time.Second)
+	w.table.ObserveLifetime(time.Duration(seconds) * time.Second)
 }
 
 // restart goes through a snapshot, and reads a part of the log again.
@@ -174,7 +174,7 @@
 	table := registry.New()
 	bad := [][]byte{nil, {registry.Tag}, {0xa0}, {registry.Tag, 0xff}}
 	for _, r := range []registry.Register{
-		{Group: 1}, {Name: "a"}, {Name: string(make([]byte, registry.MaxName+1)), Group: 1},
+		{Group: 1}, {Name: "a"}, {Name: string(make([]byte, registry.MaxNameBytes+1)), Group: 1},
 		{Name: "a", Group: 1, LifetimeSeconds: 1 << 31},
 	} {
 		entry, err := registry.Encode(r)
--- a/coord/registry/types.go
+++ b/coord/registry/types.go
@@ -15,7 +15,7 @@
 	// MaxGroups bounds the names that are remembered.
 	MaxGroups = 1 << 12
 	// MaxName bounds a name, in bytes.
-	MaxName = 256
+	MaxNameBytes = 256
 	// MaxReplaced bounds the replaced numbers that are remembered for a name. A
 	// number that was forgotten counts as a new one, which has to wait.
 	MaxReplaced = 64
@@ -106,7 +106,7 @@
 }
 
 func (r *Register) check() error {
-	if r.Name == "" || len(r.Name) > MaxName {
+	if r.Name == "" || len(r.Name) > MaxNameBytes {
 		return errors.NotValidf("name of %d bytes", len(r.Name))
 	}
 	if r.Group == 0 {
--- a/coord/replhost/calls.go
+++ b/coord/replhost/calls.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		for _, c := range waiting {
-			c.end(outcome{err: failure(verdict.MayHaveRun, CodeUnknown, "its place was skipped by a snapshot", nil)})
+			c.end(outcome{err: failure(verdict.MayHaveRun, CodeUnknownResult, "its place was skipped by a snapshot", nil)})
 		}
 		delete(cs.proposals, at)
 	}
--- a/coord/replhost/errors.go
+++ b/coord/replhost/errors.go
@@ -17,11 +17,11 @@
 	// CodeOverloaded: a queue is full, or too much waits for a majority.
 	CodeOverloaded verdict.Code = "overloaded"
 	// CodeTooLarge: the proposal is empty or larger than MaxProposalBytes.
-	CodeTooLarge verdict.Code = "invalid_size"
+	CodeInvalidSize verdict.Code = "invalid_size"
 	// CodeSuperseded: another leader's entry took its place in the log.
 	CodeSuperseded verdict.Code = "superseded"
 	// CodeUnknown: its place was skipped by a snapshot of another node.
-	CodeUnknown verdict.Code = "unknown_result"
+	CodeUnknownResult verdict.Code = "unknown_result"
 	// CodeTimeout: the context ended.
 	CodeTimeout verdict.Code = "timeout"
 	// CodeStopped: the node was stopped or failed; see Status.
--- a/coord/replhost/loop.go
+++ b/coord/replhost/loop.go
@@ -214,6 +214,6 @@
 	n := l.node
 	return Status{
 		Core: l.core.Status(), Applied: n.applied.Load(),
-		New: n.rec.New, Torn: n.rec.Torn, Counters: n.count(),
+		New: n.rec.New, Truncated: n.rec.Truncated, Counters: n.count(),
 	}
 }
--- a/coord/replhost/node.go
+++ b/coord/replhost/node.go
@@ -40,8 +40,8 @@
 	Applied uint64
 	// New says that the folder was new at Open; Torn is the tail that Open has
 	// cut, or nil. See coord/wal.
-	New  bool
-	Torn *wal.Torn
+	New       bool
+	Truncated *wal.TruncatedTail
 	// Counters since Open.
 	Counters Counters
 }
@@ -109,8 +109,8 @@
 	}
 	n := &Node{
 		opts: o, rec: rec, calls: newCalls(), log: st.log,
-		inbox:    ring.New[payload](o.Queue),
-		requests: ring.New[request](o.Queue),
+		inbox:    ring.New[payload](o.QueueLength),
+		requests: ring.New[request](o.QueueLength),
 		events:   ring.New[event](eventQueue),
 		disk:     ring.New[diskJob](diskQueue),
 		apply:    ring.New[applyJob](applyQueue),
@@ -166,7 +166,7 @@
 }
 
 // Ended returns a channel that is closed when the node is no longer Running.
-func (n *Node) Ended() <-chan struct{} { return n.ended }
+func (n *Node) Done() <-chan struct{} { return n.ended }
 
 // count returns the counters now.
 func (n *Node) count() Counters {
--- a/coord/replhost/options.go
+++ b/coord/replhost/options.go
@@ -17,7 +17,7 @@
 	DefaultSnapshotEntries  = 10_000
 	DefaultKeepEntries      = 1_000
 	DefaultMaxProposalBytes = 1 << 20
-	DefaultQueue            = 1024
+	DefaultQueueLength      = 1024
 )
 
 // Bounds of the rings between the goroutines, in items.
@@ -101,7 +101,7 @@
 	MaxProposalBytes int
 	// Queue bounds the messages and the calls that wait for the core; default
 	// 1024 each.
-	Queue int
+	QueueLength int
 	// Repair lets a leader readmit lost disks and promote learners by itself.
 	Repair bool
 	// Promote says which learners Repair makes voters; by default the voters of
@@ -134,7 +134,7 @@
 	o.SnapshotEntries = orDefault(o.SnapshotEntries, DefaultSnapshotEntries)
 	o.KeepEntries = orDefault(o.KeepEntries, DefaultKeepEntries)
 	o.MaxProposalBytes = orDefault(o.MaxProposalBytes, DefaultMaxProposalBytes)
-	o.Queue = orDefault(o.Queue, DefaultQueue)
+	o.QueueLength = orDefault(o.QueueLength, DefaultQueueLength)
 	return nil
 }
 
--- a/coord/replhost/replhost_test.go
+++ b/coord/replhost/replhost_test.go
@@ -87,7 +87,7 @@
 	c.loss, c.cut = 0, map[string]bool{}
 	c.mu.Unlock()
 	for _, id := range ids {
-		c.disks[id].Mend()
+		c.disks[id].ClearFaults()
 	}
 	// A node that met its planted fault just before has to be seen as failed.
 	time.Sleep(time.Second)
--- a/coord/replhost/requests.go
+++ b/coord/replhost/requests.go
@@ -43,7 +43,7 @@
 // anywhere, with MayHaveRun it may have taken or may still take effect.
 func (n *Node) Propose(ctx context.Context, data []byte) ([]byte, error) {
 	if len(data) == 0 || len(data) > n.opts.MaxProposalBytes {
-		return nil, failure(verdict.NotRun, CodeTooLarge,
+		return nil, failure(verdict.NotRun, CodeInvalidSize,
 			fmt.Sprintf("%d bytes; from 1 to %d can be proposed", len(data), n.opts.MaxProposalBytes), nil)
 	}
 	c := newCall()
@@ -62,7 +62,7 @@
 
 // Change replicates a change of the configuration and returns once it's
 // applied. The error is a *verdict.Error.
-func (n *Node) Change(ctx context.Context, ch replog.ConfChange) error {
+func (n *Node) ChangeConfig(ctx context.Context, ch replog.ConfChange) error {
 	c := newCall()
 	_, err := n.await(ctx, c, change{call: c, ch: ch})
 	return err
@@ -70,7 +70,7 @@
 
 // Transfer begins to hand leadership to another voter. Ends of the lease that
 // LeaseUntil returned are void from the call on. The error is a *verdict.Error.
-func (n *Node) Transfer(ctx context.Context, to string) error {
+func (n *Node) TransferLeader(ctx context.Context, to string) error {
 	c := newCall()
 	_, err := n.await(ctx, c, transfer{call: c, to: to})
 	return err
--- a/coord/wal/damage_test.go
+++ b/coord/wal/damage_test.go
@@ -80,8 +80,8 @@
 	if lost == 0 {
 		return
 	}
-	if !unmarked || rec.Torn == nil || lost > 4 {
-		t.Fatalf("%d acknowledged records lost, unmarked %v, torn %v", lost, unmarked, rec.Torn)
+	if !unmarked || rec.Truncated == nil || lost > 4 {
+		t.Fatalf("%d acknowledged records lost, unmarked %v, torn %v", lost, unmarked, rec.Truncated)
 	}
 }
 
--- a/coord/wal/example_test.go
+++ b/coord/wal/example_test.go
@@ -29,7 +29,7 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println("new:", found.New, "torn:", found.Torn != nil)
+	fmt.Println("new:", found.New, "torn:", found.Truncated != nil)
 	for _, r := range found.Records {
 		fmt.Printf("%d %s\n", r.Type, r.Data)
 	}
--- a/coord/wal/faultfs/faultfs.go
+++ b/coord/wal/faultfs/faultfs.go
@@ -116,7 +116,7 @@
 }
 
 // Mend removes the planted faults that have not come to pass.
-func (f *FS) Mend() {
+func (f *FS) ClearFaults() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.mend()
--- a/coord/wal/recover.go
+++ b/coord/wal/recover.go
@@ -23,11 +23,11 @@
 	Records []Record
 	// Torn is the tail that was cut, or nil. See the package text on what it
 	// may hide.
-	Torn *Torn
+	Truncated *TruncatedTail
 }
 
 // Torn is a tail that was never marked as synced and can't be read.
-type Torn struct {
+type TruncatedTail struct {
 	// File and Offset say where it begins.
 	File   string
 	Offset int64
@@ -152,7 +152,7 @@
 			Reason: fmt.Sprintf("the log ends with batch %d, but the snapshot was saved after batch %d", s.seq, l.snapshot.Seq)}
 	}
 	if tail := int64(len(s.content)) - s.end; tail > 0 {
-		rec.Torn = &Torn{File: l.segmentPath(s.segment), Offset: s.end, Bytes: tail}
+		rec.Truncated = &TruncatedTail{File: l.segmentPath(s.segment), Offset: s.end, Bytes: tail}
 	}
 	for _, name := range f.temps {
 		if err := l.remove(filepath.Join(l.dir, name)); err != nil {
--- a/coord/wal/wal_test.go
+++ b/coord/wal/wal_test.go
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	_, rec, err = wal.Open(wal.OS{}, folder, wal.Options{})
-	if err != nil || rec.New || rec.Incarnation != opt.Incarnation || len(rec.Records) != 2 || rec.Torn != nil {
+	if err != nil || rec.New || rec.Incarnation != opt.Incarnation || len(rec.Records) != 2 || rec.Truncated != nil {
 		t.Fatal(rec, err)
 	}
 }
@@ -267,7 +267,7 @@
 	})
 	for start := range 3 {
 		_, rec, err := wal.Open(fs, dir, wal.Options{})
-		if err != nil || len(rec.Records) != 1 || (rec.Torn != nil) != (start == 0) {
+		if err != nil || len(rec.Records) != 1 || (rec.Truncated != nil) != (start == 0) {
 			t.Fatalf("start %d: %+v, %v", start, rec, err)
 		}
 		fs.Kill()
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -298,7 +298,7 @@
 		if !p.Voter || !p.CaughtUp {
 			continue
 		}
-		if err := i.node.Transfer(ctx, p.Member.ID); err != nil {
+		if err := i.node.TransferLeader(ctx, p.Member.ID); err != nil {
 			i.log.Warn("leadership was not handed over", zap.String("to", p.Member.ID), zap.Error(err))
 			continue
 		}
@@ -336,7 +336,7 @@
 
 // Ended is closed when the log has failed; the process should end then, so that
 // it is started anew on its disk.
-func (i *Instance) Ended() <-chan struct{} { return i.node.Ended() }
+func (i *Instance) Ended() <-chan struct{} { return i.node.Done() }
 
 // watchNode logs changes of the leader and the failure of the log.
 func (i *Instance) watchNode(ctx context.Context) {
@@ -347,7 +347,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-i.node.Ended():
+		case <-i.node.Done():
 			i.log.Error("the log has ended", zap.Error(i.node.Status().Err))
 			return
 		case <-tick.C:
--- a/node/control/joining.go
+++ b/node/control/joining.go
@@ -203,6 +203,6 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTime)
 	defer cancel()
-	err := i.node.Change(ctx, change)
+	err := i.node.ChangeConfig(ctx, change)
 	i.log.Info("group changed", zap.Stringer("kind", change.Kind), zap.Stringer("member", change.Member), zap.Error(err))
 }
--- a/node/control/kept_test.go
+++ b/node/control/kept_test.go
@@ -42,7 +42,7 @@
 			So(k.write(stateOf(1, "one")), ShouldBeNil)
 			fs.CrashAfter(budget)
 			err := k.write(stateOf(2, "two"))
-			fs.Mend()
+			fs.ClearFaults()
 			fs.PowerLoss(rng.IntN)
 			s, readErr := newKeptOn(fs).read()
 			So(readErr, ShouldBeNil)
--- a/node/groups.go
+++ b/node/groups.go
@@ -76,7 +76,7 @@
 // watchGroup tells when a replicated log of this instance fails: the instance
 // serves on without it, and only its log says so.
 func (n *Node) watchGroup(m *group.Member, name string) {
-	<-m.Node.Ended()
+	<-m.Node.Done()
 	if s := m.Node.Status(); s.State == replhost.Failed {
 		n.log.Error("replicated log failed", zap.String("group", name), zap.Error(s.Err))
 	}
--- a/node/rollout/machine.go
+++ b/node/rollout/machine.go
@@ -84,7 +84,7 @@
 		}
 	}
 	if m.machine.Identity() != before {
-		m.groups.Observe(claimLifetime(m.machine.InForce()))
+		m.groups.ObserveLifetime(claimLifetime(m.machine.InForce()))
 		m.onAccepted(m.machine.InForce())
 	}
 	return encodeResult(result)
--- a/node/rollout/snapshot.go
+++ b/node/rollout/snapshot.go
@@ -79,7 +79,7 @@
 	}
 	groups := registry.New()
 	if s := machine.InForce(); s != nil {
-		groups.Observe(claimLifetime(s))
+		groups.ObserveLifetime(claimLifetime(s))
 	}
 	return machine, groups, nil
 }
