--- a/coord/replhost/apply.go
+++ b/coord/replhost/apply.go
@@ -8,8 +8,8 @@
 	"github.com/gullhaven/gullhaven/coord/replog"
 )
 
-// applyJob is one task of the apply goroutine: first the snapshot, then the
-// entries, then the reads.
+// applyJob is one task of the apply goroutine: the snapshot first, then the entries,
+// then the reads.
 type applyJob struct {
 	snapshot  *replog.Snapshot
 	committed []replog.Entry
@@ -24,23 +24,23 @@
 type applier struct {
 	node *Node
 	// snapshotAt is the index of the newest snapshot, made or restored.
-	snapshotAt uint64
-	index      uint64
-	waiting    []replog.ReadState
+	snapshotAt   uint64
+	index        uint64
+	pendingReads []replog.ReadState
 }
 
 func (a *applier) run(ctx context.Context) {
 	n := a.node
 	for {
-		job, err := n.apply.Pop(ctx)
+		job, err := n.applyJobs.Pop(ctx)
 		if err != nil {
 			return
 		}
 		e := event{applied: true}
-		if err := a.carryOut(job); err != nil {
+		if err := a.runJob(job); err != nil {
 			e = event{failed: errors.Annotate(err, "state machine")}
 		} else if a.index-a.snapshotAt >= n.opts.SnapshotEntries {
-			e.made = a.makeSnapshot()
+			e.state = a.makeSnapshot()
 		}
 		if n.events.Push(ctx, e) != nil || e.failed != nil {
 			return
@@ -48,19 +48,19 @@
 	}
 }
 
-func (a *applier) carryOut(job applyJob) error {
+func (a *applier) runJob(job applyJob) error {
 	if s := job.snapshot; s != nil {
 		if err := a.node.opts.StateMachine.Restore(s.Data); err != nil {
 			return errors.Annotatef(err, "restore the snapshot at %d", s.Index)
 		}
-		a.reached(s.Index)
-		a.node.calls.skipped(s.Index)
+		a.setApplied(s.Index)
+		a.node.calls.endCovered(s.Index)
 	}
 	for _, e := range job.committed {
 		a.applyEntry(e)
 	}
-	a.waiting = append(a.waiting, job.reads...)
-	a.answerReads()
+	a.pendingReads = append(a.pendingReads, job.reads...)
+	a.completeReads()
 	return nil
 }
 
@@ -71,36 +71,36 @@
 	}
 	a.index = e.Index
 	a.node.applied.Store(e.Index)
-	a.node.calls.applied(e, result)
+	a.node.calls.endApplied(e, result)
 }
 
-// reached notes that the state machine stands at a snapshot.
-func (a *applier) reached(index uint64) {
+// setApplied records that the state machine was restored from a snapshot at index.
+func (a *applier) setApplied(index uint64) {
 	a.index, a.snapshotAt = index, index
 	a.node.applied.Store(index)
 }
 
-// answerReads ends the reads whose index is applied.
-func (a *applier) answerReads() {
-	rest := a.waiting[:0]
-	for _, r := range a.waiting {
+// completeReads completes the reads whose index is applied.
+func (a *applier) completeReads() {
+	rest := a.pendingReads[:0]
+	for _, r := range a.pendingReads {
 		if r.Index <= a.index {
-			a.node.calls.readDone(r.ID)
+			a.node.calls.endRead(r.ID)
 		} else {
 			rest = append(rest, r)
 		}
 	}
-	a.waiting = rest
+	a.pendingReads = rest
 }
 
-// makeSnapshot returns nil if the state machine can't give one; the next try
-// is after as many entries again.
-func (a *applier) makeSnapshot() *madeSnapshot {
+// makeSnapshot returns nil if the state machine fails to create one; the next attempt
+// is after another SnapshotEntries entries.
+func (a *applier) makeSnapshot() *stateSnapshot {
 	a.snapshotAt = a.index
 	data, err := a.node.opts.StateMachine.Snapshot()
 	if err != nil {
 		a.node.counters.snapshotErrors.Add(1)
 		return nil
 	}
-	return &madeSnapshot{index: a.index, data: data}
+	return &stateSnapshot{index: a.index, data: data}
 }
--- a/coord/replhost/bench_test.go
+++ b/coord/replhost/bench_test.go
@@ -15,25 +15,25 @@
 
 const benchProposalBytes = 256
 
-// nothing is a state machine without a state.
-type nothing struct{}
+// emptyMachine is a state machine without state.
+type emptyMachine struct{}
 
-func (nothing) Apply(uint64, []byte) []byte { return nil }
-func (nothing) Snapshot() ([]byte, error)   { return []byte{0}, nil }
-func (nothing) Restore([]byte) error        { return nil }
+func (emptyMachine) Apply(uint64, []byte) []byte { return nil }
+func (emptyMachine) Snapshot() ([]byte, error)   { return []byte{0}, nil }
+func (emptyMachine) Restore([]byte) error        { return nil }
 
-// wires joins nodes of one process.
-type wires struct {
+// benchNetwork connects nodes of one process.
+type benchNetwork struct {
 	mu    sync.RWMutex
 	nodes map[string]*replhost.Node
 }
 
-type wire struct {
-	w    *wires
+type benchTransport struct {
+	w    *benchNetwork
 	self string
 }
 
-func (p wire) Send(to string, payload []byte) {
+func (p benchTransport) Send(to string, payload []byte) {
 	p.w.mu.RLock()
 	n := p.w.nodes[to]
 	p.w.mu.RUnlock()
@@ -44,12 +44,12 @@
 
 func benchGroup(b *testing.B) (leader *replhost.Node) {
 	b.Helper()
-	w := &wires{nodes: map[string]*replhost.Node{}}
+	w := &benchNetwork{nodes: map[string]*replhost.Node{}}
 	folder := b.TempDir()
 	for _, id := range ids {
 		n, err := replhost.Open(replhost.Options{
 			Core: replog.Options{Self: replog.Member{ID: id}, Bootstrap: &replog.Bootstrap{Voters: ids}},
-			Dir:  filepath.Join(folder, id), Transport: wire{w, id}, StateMachine: nothing{},
+			Dir:  filepath.Join(folder, id), Transport: benchTransport{w, id}, StateMachine: emptyMachine{},
 		})
 		if err != nil {
 			b.Fatal(err)
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// BenchmarkPropose measures proposals of 256 bytes at the leader of three nodes
-// on one real disk, without a network, by the number that wait at a time.
+// BenchmarkPropose measures proposals of 256 bytes at the leader of three nodes on one
+// real disk, without a network, by the number of concurrent proposers.
 func BenchmarkPropose(b *testing.B) {
 	for _, waiting := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
--- a/coord/replhost/calls.go
+++ b/coord/replhost/calls.go
@@ -8,7 +8,7 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// outcome ends a call.
+// outcome is the result of a call.
 type outcome struct {
 	result []byte
 	err    *verdict.Error
@@ -16,32 +16,34 @@
 
 const (
 	callQueued uint32 = iota
-	callTaken
+	callAccepted
 	callAbandoned
 )
 
-// call is a proposal or a read whose caller waits.
+// call is a request whose caller waits.
 type call struct {
-	// state decides between the caller who gives up and the core that takes
+	// state settles the race between a caller that gives up and the core that accepts
 	// the call: a proposal that was abandoned while queued has not run.
 	state atomic.Uint32
-	done  chan outcome // holds one
+	done  chan outcome // capacity 1
 
-	// The rest is guarded by calls.mu.
-	place   replog.Position
-	readID  uint64
-	dropped bool
+	// The fields below are guarded by calls.mu.
+	position  replog.Position
+	readID    uint64
+	forgotten bool
 }
 
 func newCall() *call { return &call{done: make(chan outcome, 1)} }
 
-// take reports whether the caller still waits.
-func (c *call) take() bool { return c.state.CompareAndSwap(callQueued, callTaken) }
+// accept marks the call as accepted by the core and reports whether the caller still
+// waits.
+func (c *call) accept() bool { return c.state.CompareAndSwap(callQueued, callAccepted) }
 
-// abandon reports whether the core had not taken the call.
+// abandon marks the call as abandoned by its caller and reports whether the core had
+// not accepted it.
 func (c *call) abandon() bool { return c.state.CompareAndSwap(callQueued, callAbandoned) }
 
-// end wakes the caller. Only the first outcome counts.
+// end wakes the caller. Only the first outcome takes effect.
 func (c *call) end(o outcome) {
 	select {
 	case c.done <- o:
@@ -49,8 +51,8 @@
 	}
 }
 
-// calls holds the calls that the core has taken. Two proposals can wait at one
-// index, if this node led in two terms.
+// calls holds the calls that the core has accepted. Two proposals can wait at one index
+// if this node led in two terms.
 type calls struct {
 	mu        sync.Mutex
 	proposals map[uint64][]*call
@@ -64,8 +66,8 @@
 func (cs *calls) addProposal(c *call, p replog.Position) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if !c.dropped {
-		c.place = p
+	if !c.forgotten {
+		c.position = p
 		cs.proposals[p.Index] = append(cs.proposals[p.Index], c)
 	}
 }
@@ -73,22 +75,22 @@
 func (cs *calls) addRead(c *call, id uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if !c.dropped {
+	if !c.forgotten {
 		c.readID = id
 		cs.reads[id] = c
 	}
 }
 
-// drop forgets a call whose caller has given up.
-func (cs *calls) drop(c *call) {
+// forget removes a call whose caller has given up.
+func (cs *calls) forget(c *call) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	c.dropped = true
+	c.forgotten = true
 	delete(cs.reads, c.readID)
-	waiting := cs.proposals[c.place.Index]
+	waiting := cs.proposals[c.position.Index]
 	for i, other := range waiting {
 		if other == c {
-			cs.setProposals(c.place.Index, append(waiting[:i:i], waiting[i+1:]...))
+			cs.setProposals(c.position.Index, append(waiting[:i:i], waiting[i+1:]...))
 			return
 		}
 	}
@@ -102,23 +104,23 @@
 	cs.proposals[index] = waiting
 }
 
-// applied ends the proposals at an index, of which at most one is the entry
-// that was committed there. The others can't be committed any more.
-func (cs *calls) applied(e replog.Entry, result []byte) {
+// endApplied ends the proposals at an index, of which at most one is the entry that was
+// committed there. The others can no longer be committed.
+func (cs *calls) endApplied(e replog.Entry, result []byte) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for _, c := range cs.proposals[e.Index] {
-		if c.place.Term == e.Term {
+		if c.position.Term == e.Term {
 			c.end(outcome{result: result})
 			continue
 		}
-		c.end(outcome{err: failure(verdict.NotRun, CodeSuperseded, "another entry took its place", nil)})
+		c.end(outcome{err: newError(verdict.NotRun, CodeSuperseded, "another entry took its place", nil)})
 	}
 	delete(cs.proposals, e.Index)
 }
 
-// skipped ends the proposals that a snapshot from elsewhere covers.
-func (cs *calls) skipped(index uint64) {
+// endCovered ends the proposals that another node's snapshot covers.
+func (cs *calls) endCovered(index uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for at, waiting := range cs.proposals {
@@ -126,13 +128,13 @@
 			continue
 		}
 		for _, c := range waiting {
-			c.end(outcome{err: failure(verdict.MayHaveRun, CodeUnknownResult, "its place was skipped by a snapshot", nil)})
+			c.end(outcome{err: newError(verdict.MayHaveRun, CodeUnknownResult, "its place was skipped by a snapshot", nil)})
 		}
 		delete(cs.proposals, at)
 	}
 }
 
-func (cs *calls) readDone(id uint64) {
+func (cs *calls) endRead(id uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if c := cs.reads[id]; c != nil {
--- a/coord/replhost/cluster_test.go
+++ b/coord/replhost/cluster_test.go
@@ -20,57 +20,57 @@
 
 var ids = []string{"a", "b", "c"}
 
-// list is a state machine that keeps what it was given.
-type list struct {
+// listMachine is a state machine that keeps the entries applied to it.
+type listMachine struct {
 	mu    sync.Mutex
 	items []string
 }
 
-func (l *list) Apply(_ uint64, data []byte) []byte {
+func (l *listMachine) Apply(_ uint64, data []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.items = append(l.items, string(data))
 	return data
 }
 
-func (l *list) Snapshot() ([]byte, error) {
+func (l *listMachine) Snapshot() ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return json.Marshal(l.items)
 }
 
-func (l *list) Restore(data []byte) error {
+func (l *listMachine) Restore(data []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.items = nil
 	return json.Unmarshal(data, &l.items)
 }
 
-func (l *list) get() []string {
+func (l *listMachine) get() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.items)
 }
 
-// cluster is three nodes over a network in memory and disks that fail. It runs
-// in a synctest bubble, whose time passes only while all goroutines wait.
+// cluster is three nodes on a network in memory and disks with injected faults. It runs
+// in a synctest bubble, where time advances only while all goroutines wait.
 type cluster struct {
-	mu       sync.Mutex
-	nodes    map[string]*replhost.Node
-	lists    map[string]*list
-	disks    map[string]*faultfs.FS
-	cut      map[string]bool
-	rng      *rand.Rand
-	loss     int // messages in a hundred
-	next     int
-	acked    []string
-	notRun   map[string]bool
-	failures []string
+	mu          sync.Mutex
+	nodes       map[string]*replhost.Node
+	lists       map[string]*listMachine
+	disks       map[string]*faultfs.FS
+	cut         map[string]bool
+	rng         *rand.Rand
+	lossPercent int
+	nextItem    int
+	acked       []string
+	notRun      map[string]bool
+	failures    []string
 }
 
 func newCluster(seed uint64) *cluster {
 	c := &cluster{
-		nodes: map[string]*replhost.Node{}, lists: map[string]*list{}, disks: map[string]*faultfs.FS{},
+		nodes: map[string]*replhost.Node{}, lists: map[string]*listMachine{}, disks: map[string]*faultfs.FS{},
 		cut: map[string]bool{}, notRun: map[string]bool{}, rng: rand.New(rand.NewPCG(seed, 1)),
 	}
 	for _, id := range ids {
@@ -79,15 +79,15 @@
 	return c
 }
 
-// formed returns a cluster whose nodes are all up and vote. It ends with t.
-func formed(t *testing.T, seed uint64) *cluster {
+// newFormedCluster returns a cluster whose nodes all run and vote. It ends with t.
+func newFormedCluster(t *testing.T, seed uint64) *cluster {
 	t.Helper()
 	c := newCluster(seed)
 	t.Cleanup(c.close)
 	for _, id := range ids {
 		c.up(id)
 	}
-	if !c.waitWhole() {
+	if !c.waitHealthy() {
 		t.Fatal("the group didn't form")
 	}
 	return c
@@ -107,18 +107,18 @@
 
 func (c *cluster) choose(n int) int { return int(c.random() % uint64(n)) }
 
-// port is one node's transport.
-type port struct {
+// clusterTransport is one node's transport.
+type clusterTransport struct {
 	c    *cluster
 	self string
 }
 
-func (p port) Send(to string, payload []byte) {
+func (p clusterTransport) Send(to string, payload []byte) {
 	c := p.c
 	roll := c.choose(100)
 	c.mu.Lock()
 	node := c.nodes[to]
-	lost := roll < c.loss || c.cut[to] || c.cut[p.self]
+	lost := roll < c.lossPercent || c.cut[to] || c.cut[p.self]
 	c.mu.Unlock()
 	if node != nil && !lost {
 		node.Receive(p.self, payload)
@@ -129,14 +129,14 @@
 	if c.node(id) != nil {
 		return
 	}
-	l := &list{}
+	l := &listMachine{}
 	n, err := replhost.Open(replhost.Options{
 		Core: replog.Options{
 			Self:      replog.Member{ID: id},
 			Bootstrap: &replog.Bootstrap{Voters: ids},
 		},
 		FS: c.disks[id], Dir: "/data", SegmentBytes: 4096,
-		Transport: port{c: c, self: id}, StateMachine: l, Random: c.random,
+		Transport: clusterTransport{c: c, self: id}, StateMachine: l, Random: c.random,
 		SnapshotEntries: 20, KeepEntries: 5, Repair: true,
 	})
 	if errors.Is(err, errDisk) || errors.Is(err, faultfs.ErrCrashed) {
@@ -152,7 +152,7 @@
 	c.nodes[id], c.lists[id] = n, l
 }
 
-// down ends a node as kill -9 or a power loss does.
+// down ends a node, as kill -9 does, or with power as a power loss does.
 func (c *cluster) down(id string, power bool) {
 	n := c.node(id)
 	if n == nil {
@@ -173,7 +173,7 @@
 func (c *cluster) setLoss(loss int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.loss = loss
+	c.lossPercent = loss
 }
 
 func (c *cluster) node(id string) *replhost.Node {
@@ -182,7 +182,7 @@
 	return c.nodes[id]
 }
 
-// leader returns a node that holds a lease, waiting for one for some time.
+// leader returns a node that holds a lease, waiting for one up to wait.
 func (c *cluster) leader(wait time.Duration) *replhost.Node {
 	for range int(wait / (50 * time.Millisecond)) {
 		for _, id := range ids {
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// whole reports whether all nodes run and vote under their present disks.
-func (c *cluster) whole() bool {
+// healthy reports whether all nodes run and vote under their current disks.
+func (c *cluster) healthy() bool {
 	n := c.leader(50 * time.Millisecond)
 	if n == nil {
 		return false
@@ -211,9 +211,9 @@
 	return s.Applied >= s.ConfigIndex
 }
 
-func (c *cluster) waitWhole() bool {
+func (c *cluster) waitHealthy() bool {
 	for range 400 {
-		if c.whole() {
+		if c.healthy() {
 			return true
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -221,7 +221,7 @@
 	return false
 }
 
-// states lists the nodes for a failure's text.
+// states describes the nodes for a failure message.
 func (c *cluster) states() string {
 	var b strings.Builder
 	for _, id := range ids {
@@ -234,11 +234,11 @@
 	return b.String()
 }
 
-// propose sends one proposal to a node and notes the verdict.
+// propose sends one proposal to a node and records the verdict.
 func (c *cluster) propose(n *replhost.Node) error {
 	c.mu.Lock()
-	c.next++
-	data := fmt.Sprintf("item %d", c.next)
+	c.nextItem++
+	data := fmt.Sprintf("item %d", c.nextItem)
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -259,7 +259,7 @@
 	return err
 }
 
-// burst proposes at all nodes at once.
+// burst proposes at all nodes concurrently.
 func (c *cluster) burst(size int) {
 	var wait sync.WaitGroup
 	for _, id := range ids {
@@ -278,9 +278,9 @@
 	return n.Read(ctx)
 }
 
-// flush gets one more proposal through. Entries that nobody was answered about
-// may wait in the leader's log; with this one they are committed too, so that
-// reads at two nodes can be compared.
+// flush commits one more proposal. Entries that nobody was answered about may wait in
+// the leader's log; with this one they are committed too, so that reads at two nodes
+// can be compared.
 func (c *cluster) flush() bool {
 	for range 100 {
 		if n := c.leader(time.Second); n != nil && c.propose(n) == nil {
@@ -290,8 +290,8 @@
 	return false
 }
 
-// check compares the state machines with what callers were told, after a read
-// barrier at each node.
+// check compares the state machines with what callers were told, after a read at each
+// node.
 func (c *cluster) check() {
 	if !c.flush() {
 		c.fail("no proposal went through: %s", c.states())
--- a/coord/replhost/codec.go
+++ b/coord/replhost/codec.go
@@ -14,7 +14,7 @@
 	recordEntry     uint8 = 2
 )
 
-// maxElements bounds the lists in a message or record.
+// maxElements bounds the array lengths in a message or record.
 const maxElements = 1 << 20
 
 var decoding = mustMode(cbor.DecOptions{MaxArrayElements: maxElements}.DecMode())
@@ -26,21 +26,21 @@
 	return m
 }
 
-// packBytes bounds the entries that are packed with other messages into one payload. A
-// longer message goes alone: heartbeats that were packed with it would wait behind it at a
-// transport that lets short payloads overtake long ones.
-const packBytes = 12 << 10
+// maxPackedBytes bounds the entry data that is packed with other messages into one
+// payload. A longer message is sent alone: heartbeats packed with it would be delayed
+// at a transport that lets short payloads overtake long ones.
+const maxPackedBytes = 12 << 10
 
-// parcel is what goes to one node in one payload.
-type parcel struct {
+// messageBatch is one payload's messages to a node.
+type messageBatch struct {
 	to       string
 	messages []replog.Message
 	bytes    int
 }
 
-// payloads packs messages by receiver, in their order.
-func payloads(messages []replog.Message, send func(to string, payload []byte)) error {
-	for _, p := range pack(messages) {
+// sendMessages packs messages by receiver, in order, and sends the payloads.
+func sendMessages(messages []replog.Message, send func(to string, payload []byte)) error {
+	for _, p := range packMessages(messages) {
 		b, err := cbor.Marshal(p.messages)
 		if err != nil {
 			return errors.Annotate(err, "encode messages")
@@ -50,14 +50,14 @@
 	return nil
 }
 
-func pack(messages []replog.Message) []*parcel {
-	var out []*parcel
-	open := map[string]*parcel{}
+func packMessages(messages []replog.Message) []*messageBatch {
+	var out []*messageBatch
+	open := map[string]*messageBatch{}
 	for _, m := range messages {
 		n := dataBytes(&m)
 		p := open[m.To.ID]
-		if p == nil || p.bytes > 0 && p.bytes+n > packBytes || n > packBytes && len(p.messages) > 0 {
-			p = &parcel{to: m.To.ID}
+		if p == nil || p.bytes > 0 && p.bytes+n > maxPackedBytes || n > maxPackedBytes && len(p.messages) > 0 {
+			p = &messageBatch{to: m.To.ID}
 			open[m.To.ID] = p
 			out = append(out, p)
 		}
@@ -67,7 +67,7 @@
 	return out
 }
 
-// dataBytes is the length of what a message carries.
+// dataBytes returns the length of a message's entries and snapshot, in bytes.
 func dataBytes(m *replog.Message) int {
 	n := 0
 	for i := range m.Entries {
--- a/coord/replhost/codec_test.go
+++ b/coord/replhost/codec_test.go
@@ -6,9 +6,9 @@
 	"github.com/gullhaven/gullhaven/coord/replog"
 )
 
-// A heartbeat that is packed with a long append waits until that has passed the link, and an
-// election begins meanwhile. Long messages go alone, short ones together, and all messages to
-// a node in their order.
+// Guards against packing a heartbeat with a long append: it is delayed behind the
+// append on the link, and an election begins meanwhile. Long messages are sent alone,
+// short ones together, and all messages to a node in order.
 func TestHeartbeatsAreNotPackedWithLongMessages(t *testing.T) {
 	to := func(id string, kind replog.MessageKind, bytes int) replog.Message {
 		m := replog.Message{Kind: kind, To: replog.Member{ID: id}}
@@ -18,25 +18,25 @@
 		return m
 	}
 	long := to("b", replog.MsgSnapshot, 0)
-	long.Snapshot = &replog.Snapshot{Data: make([]byte, 2*packBytes)}
-	parcels := pack([]replog.Message{
+	long.Snapshot = &replog.Snapshot{Data: make([]byte, 2*maxPackedBytes)}
+	batches := packMessages([]replog.Message{
 		to("a", replog.MsgHeartbeat, 0), to("b", replog.MsgHeartbeat, 0),
-		to("a", replog.MsgAppend, 2*packBytes), to("a", replog.MsgHeartbeat, 0), to("a", replog.MsgAppend, 1),
+		to("a", replog.MsgAppend, 2*maxPackedBytes), to("a", replog.MsgHeartbeat, 0), to("a", replog.MsgAppend, 1),
 		long, to("b", replog.MsgHeartbeat, 0),
-		to("c", replog.MsgAppend, packBytes/2), to("c", replog.MsgAppend, packBytes/2), to("c", replog.MsgAppend, 1),
+		to("c", replog.MsgAppend, maxPackedBytes/2), to("c", replog.MsgAppend, maxPackedBytes/2), to("c", replog.MsgAppend, 1),
 	})
 	sent := map[string][]int{}
-	for _, p := range parcels {
+	for _, p := range batches {
 		sent[p.to] = append(sent[p.to], len(p.messages))
 		for _, m := range p.messages {
-			if dataBytes(&m) > packBytes && len(p.messages) > 1 {
+			if dataBytes(&m) > maxPackedBytes && len(p.messages) > 1 {
 				t.Errorf("a message of %d bytes to %s goes with %d others", dataBytes(&m), p.to, len(p.messages)-1)
 			}
 		}
 	}
 	for id, want := range map[string][]int{"a": {1, 1, 2}, "b": {1, 1, 1}, "c": {2, 1}} {
 		if len(sent[id]) != len(want) {
-			t.Errorf("%s: parcels of %v messages, want %v", id, sent[id], want)
+			t.Errorf("%s: batches of %v messages, want %v", id, sent[id], want)
 		}
 	}
 }
--- a/coord/replhost/disk.go
+++ b/coord/replhost/disk.go
@@ -8,27 +8,27 @@
 	"github.com/gullhaven/gullhaven/coord/replog"
 )
 
-// diskJob is one task of the disk goroutine: a Ready or a snapshot of this
-// node's own state machine.
+// diskJob is one task of the disk goroutine: a Ready, or a snapshot of this node's own
+// state machine.
 type diskJob struct {
 	ready    *replog.Ready
 	snapshot *replog.Snapshot
 }
 
-// runDisk carries out jobs until the first failure. A job can be durable and
-// the log have failed right behind it, at the mark of the batch: the job counts
-// then, but the node ends at once, and not only when it has more to write.
+// runDisk runs jobs until the first failure. A job can be durable although the log
+// failed right after it, when writing the batch's mark: the job then counts, but the
+// node ends at once instead of at its next write.
 func runDisk(ctx context.Context, n *Node, st *store) {
 	for {
-		job, err := n.disk.Pop(ctx)
+		job, err := n.diskJobs.Pop(ctx)
 		if err != nil {
 			return
 		}
-		if err := n.carryOut(st, job); err != nil {
+		if err := n.runDiskJob(st, job); err != nil {
 			_ = n.events.Push(ctx, event{failed: errors.Annotate(err, "disk")})
 			return
 		}
-		if n.events.Push(ctx, event{synced: job.ready, saved: job.snapshot}) != nil {
+		if n.events.Push(ctx, event{synced: job.ready, savedSnapshot: job.snapshot}) != nil {
 			return
 		}
 		if err := st.log.Err(); err != nil {
@@ -38,9 +38,9 @@
 	}
 }
 
-func (n *Node) carryOut(st *store, job diskJob) error {
+func (n *Node) runDiskJob(st *store, job diskJob) error {
 	if job.snapshot != nil {
-		if err := st.save(*job.snapshot); err != nil {
+		if err := st.saveSnapshot(*job.snapshot); err != nil {
 			return err
 		}
 		n.counters.snapshots.Add(1)
--- a/coord/replhost/errors.go
+++ b/coord/replhost/errors.go
@@ -9,29 +9,29 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Codes of the errors of Propose, Read and the other calls. The verdict says
-// for each error whether the proposal may take or have taken effect.
+// Codes of the errors that the Node's calls return. The verdict of each error says
+// whether the proposal may take or may have taken effect.
 const (
-	// CodeNotLeader: another node may take it; see NotLeaderError.
+	// CodeNotLeader: another node may accept it; see NotLeaderError.
 	CodeNotLeader verdict.Code = "not_leader"
-	// CodeOverloaded: a queue is full, or too much waits for a majority.
+	// CodeOverloaded: a queue is full, or too many bytes wait for a majority.
 	CodeOverloaded verdict.Code = "overloaded"
-	// CodeTooLarge: the proposal is empty or larger than MaxProposalBytes.
+	// CodeInvalidSize: the proposal is empty or larger than MaxProposalBytes.
 	CodeInvalidSize verdict.Code = "invalid_size"
-	// CodeSuperseded: another leader's entry took its place in the log.
+	// CodeSuperseded: another leader's entry was committed at its index.
 	CodeSuperseded verdict.Code = "superseded"
-	// CodeUnknown: its place was skipped by a snapshot of another node.
+	// CodeUnknownResult: a snapshot from another node covers its index.
 	CodeUnknownResult verdict.Code = "unknown_result"
 	// CodeTimeout: the context ended.
 	CodeTimeout verdict.Code = "timeout"
 	// CodeStopped: the node was stopped or failed; see Status.
 	CodeStopped verdict.Code = "stopped"
-	// CodeRefused: the core refused a change of the configuration or a
-	// transfer; Err says why.
+	// CodeRefused: the core rejected a configuration change or a transfer; Err says
+	// why.
 	CodeRefused verdict.Code = "refused"
 )
 
-// NotLeaderError carries the leader that a follower knows of.
+// NotLeaderError names the leader that a follower knows of.
 type NotLeaderError struct {
 	// Leader is a node id, empty if none is known.
 	Leader string
@@ -40,20 +40,20 @@
 // Error names the leader.
 func (e *NotLeaderError) Error() string { return fmt.Sprintf("the leader is %q", e.Leader) }
 
-func failure(v verdict.Verdict, code verdict.Code, message string, err error) *verdict.Error {
+func newError(v verdict.Verdict, code verdict.Code, message string, err error) *verdict.Error {
 	e := verdict.New(v, code, message)
 	e.Err = err
 	return e
 }
 
-// refusal turns an error of the core into one for the caller. The core takes
-// nothing in when it returns an error, so the verdict is not run.
-func refusal(err error, leader string) *verdict.Error {
+// coreError converts an error of the core into one for the caller. The core changes
+// nothing when it returns an error, so the verdict is NotRun.
+func coreError(err error, leader string) *verdict.Error {
 	switch {
 	case errors.Is(err, replog.ErrNotLeader), errors.Is(err, replog.ErrTransferring):
-		return failure(verdict.NotRun, CodeNotLeader, err.Error(), &NotLeaderError{Leader: leader})
+		return newError(verdict.NotRun, CodeNotLeader, err.Error(), &NotLeaderError{Leader: leader})
 	case errors.Is(err, replog.ErrOverloaded):
-		return failure(verdict.NotRun, CodeOverloaded, err.Error(), err)
+		return newError(verdict.NotRun, CodeOverloaded, err.Error(), err)
 	}
-	return failure(verdict.NotRun, CodeRefused, err.Error(), err)
+	return newError(verdict.NotRun, CodeRefused, err.Error(), err)
 }
--- a/coord/replhost/loop.go
+++ b/coord/replhost/loop.go
@@ -7,24 +7,23 @@
 	"github.com/gullhaven/gullhaven/coord/replog"
 )
 
-// maxBatch bounds the payloads and calls that are taken in between two looks
-// at what the core wants done.
+// maxBatch bounds the payloads and calls handled between two checks for a Ready.
 const maxBatch = 256
 
-// event is what the other goroutines tell the core goroutine.
+// event is a report of another goroutine to the core goroutine.
 type event struct {
-	// synced is the Ready that was written; saved the own snapshot that was.
-	synced *replog.Ready
-	saved  *replog.Snapshot
-	// applied says that the apply goroutine has room again.
+	// synced is a Ready that was written and synced.
+	synced        *replog.Ready
+	savedSnapshot *replog.Snapshot
+	// applied says that the apply queue has room again.
 	applied bool
-	made    *madeSnapshot
-	// failed ends the node.
+	state   *stateSnapshot
+	// failed is the error that ends the node.
 	failed error
 }
 
-// madeSnapshot is the state machine's state at an index.
-type madeSnapshot struct {
+// stateSnapshot is the state machine's state at an index.
+type stateSnapshot struct {
 	index uint64
 	data  []byte
 }
@@ -33,12 +32,12 @@
 type loop struct {
 	node *Node
 	core replog.Log
-	// held is the job that the apply goroutine had no room for. The Ready that
-	// it's from is not advanced meanwhile.
-	held *applyJob
-	// saving says that a snapshot is on its way to the disk.
-	saving bool
-	err    error
+	// pendingApply is the job for which the apply queue had no room. The core is not
+	// advanced past its Ready meanwhile.
+	pendingApply *applyJob
+	// snapshotPending says that a snapshot is being written to the disk.
+	snapshotPending bool
+	err             error
 }
 
 func (l *loop) run(ctx context.Context) {
@@ -52,10 +51,10 @@
 		l.wait(ctx, ticks)
 		l.drain()
 	}
-	l.end()
+	l.terminate()
 }
 
-// wait takes in one thing.
+// wait handles one input.
 func (l *loop) wait(ctx context.Context, ticks <-chan time.Time) {
 	n := l.node
 	select {
@@ -71,7 +70,7 @@
 	}
 }
 
-// drain takes in what is there already, so that it shares a sync.
+// drain handles the inputs that are already there, so that they share a sync.
 func (l *loop) drain() {
 	n := l.node
 	for range maxBatch {
@@ -91,7 +90,8 @@
 	}
 }
 
-// now is read after the event that it belongs to, as the core asks for.
+// now returns the time. It must be read after the event that it is passed with, as the
+// core requires.
 func (l *loop) now() time.Time { return l.node.opts.Clock.Now() }
 
 func (l *loop) tick() {
@@ -101,8 +101,8 @@
 		return
 	}
 	if ch, ok := l.core.NextRepair(now, l.node.opts.Promote); ok {
-		// Refused if leadership or configuration is in motion; the next tick
-		// tries again.
+		// Rejected while leadership or configuration changes; the next tick tries
+		// again.
 		_, _ = l.core.ProposeConfChange(now, ch)
 	}
 }
@@ -121,21 +121,20 @@
 	}
 }
 
-// advance starts the next Ready unless one is under way.
+// advance starts the next Ready unless one is in progress.
 func (l *loop) advance() {
-	for l.held == nil && l.core.HasReady() {
+	for l.pendingApply == nil && l.core.HasReady() {
 		r := l.core.Ready()
 		if r.Empty() {
 			return
 		}
 		l.send(r.Immediate)
 		if r.MustSync {
-			// At most one Ready and one snapshot are on their way, so there
-			// is room.
-			l.node.disk.TryPush(diskJob{ready: &r})
+			// At most one Ready and one snapshot are in progress, so there is room.
+			l.node.diskJobs.TryPush(diskJob{ready: &r})
 			return
 		}
-		l.finish(&r)
+		l.finishReady(&r)
 	}
 }
 
@@ -144,76 +143,76 @@
 	case e.failed != nil:
 		l.err = e.failed
 	case e.synced != nil:
-		l.finish(e.synced)
-	case e.saved != nil:
-		l.saving = false
-		// An error says that a leader's snapshot has overtaken this one.
-		_ = l.core.Compact(*e.saved, l.node.opts.KeepEntries)
+		l.finishReady(e.synced)
+	case e.savedSnapshot != nil:
+		l.snapshotPending = false
+		// An error means that a leader's snapshot has superseded this one.
+		_ = l.core.Compact(*e.savedSnapshot, l.node.opts.KeepEntries)
 	}
-	if e.made != nil {
-		l.save(e.made)
+	if e.state != nil {
+		l.save(e.state)
 	}
 	if e.applied {
-		l.release()
+		l.submitApply()
 	}
 }
 
-// finish goes on with a Ready that is durable.
-func (l *loop) finish(r *replog.Ready) {
+// finishReady continues with a Ready that is durable.
+func (l *loop) finishReady(r *replog.Ready) {
 	l.send(r.Messages)
 	job := applyJob{snapshot: r.Snapshot, committed: r.Committed, reads: r.ReadStates}
 	if job.empty() {
 		l.core.Advance()
 		return
 	}
-	l.held = &job
-	l.release()
+	l.pendingApply = &job
+	l.submitApply()
 }
 
-// release hands the held job over as soon as there is room.
-func (l *loop) release() {
-	if l.held != nil && l.node.apply.TryPush(*l.held) {
-		l.held = nil
+// submitApply passes the pending job to the apply goroutine once there is room.
+func (l *loop) submitApply() {
+	if l.pendingApply != nil && l.node.applyJobs.TryPush(*l.pendingApply) {
+		l.pendingApply = nil
 		l.core.Advance()
 	}
 }
 
-func (l *loop) save(m *madeSnapshot) {
-	if l.saving {
+func (l *loop) save(m *stateSnapshot) {
+	if l.snapshotPending {
 		return
 	}
 	s, err := l.core.MakeSnapshot(m.index, m.data)
-	if err != nil { // overtaken by a leader's snapshot
+	if err != nil { // superseded by a leader's snapshot
 		return
 	}
-	l.saving = l.node.disk.TryPush(diskJob{snapshot: &s})
+	l.snapshotPending = l.node.diskJobs.TryPush(diskJob{snapshot: &s})
 }
 
 func (l *loop) send(messages []replog.Message) {
 	if len(messages) == 0 || l.err != nil {
 		return
 	}
-	if err := payloads(messages, l.node.opts.Transport.Send); err != nil {
+	if err := sendMessages(messages, l.node.opts.Transport.Send); err != nil {
 		l.err = err
 	}
 }
 
-// end publishes the last status and wakes all callers.
-func (l *loop) end() {
+// terminate publishes the last status and wakes all callers.
+func (l *loop) terminate() {
 	n := l.node
 	n.final = l.status()
 	n.final.State = Stopped
 	if l.err != nil {
 		n.final.State, n.final.Err = Failed, l.err
 	}
-	n.stop()
-	close(n.ended)
+	n.cancel()
+	close(n.done)
 }
 
 func (l *loop) status() Status {
 	n := l.node
 	return Status{
 		Core: l.core.Status(), Applied: n.applied.Load(),
-		New: n.rec.New, Truncated: n.rec.Truncated, Counters: n.count(),
+		New: n.rec.New, Truncated: n.rec.Truncated, Counters: n.readCounters(),
 	}
 }
--- a/coord/replhost/node.go
+++ b/coord/replhost/node.go
@@ -12,11 +12,11 @@
 	"github.com/gullhaven/gullhaven/coord/wal"
 )
 
-// State says whether a Node works.
+// State says whether a Node runs.
 type State uint8
 
 const (
-	// Running: it takes part in the group.
+	// Running: the node takes part in the group.
 	Running State = iota
 	// Stopped: Stop was called.
 	Stopped
@@ -26,39 +26,39 @@
 
 var stateNames = [...]string{Running: "running", Stopped: "stopped", Failed: "failed"}
 
-// String returns the name for logs.
+// String returns the name used in logs.
 func (s State) String() string { return stateNames[min(s, Failed)] }
 
-// Status is what a node tells of itself.
+// Status is a node's state for reporting.
 type Status struct {
 	State State
-	// Err is the failure, for Failed.
+	// Err is the cause of Failed.
 	Err error
-	// Core is the core's state; the last one if the node isn't Running.
+	// Core is the core's state; the last one if the node is not Running.
 	Core replog.Status
 	// Applied is the index that the state machine has reached.
 	Applied uint64
-	// New says that the folder was new at Open; Torn is the tail that Open has
-	// cut, or nil. See coord/wal.
+	// New says that the folder was new at Open. Truncated is the tail that Open
+	// removed, or nil. See coord/wal.
 	New       bool
 	Truncated *wal.TruncatedTail
-	// Counters since Open.
+	// Counters are the events since Open.
 	Counters Counters
 }
 
 // Counters count events since Open.
 type Counters struct {
-	// Syncs is the number of sync batches, SyncedEntries of the entries in them.
+	// Syncs is the number of sync batches, SyncedEntries the number of entries in them.
 	Syncs, SyncedEntries uint64
-	// Snapshots is the number of snapshots saved, SnapshotErrors of those that
-	// the state machine didn't give.
+	// Snapshots is the number of snapshots saved, SnapshotErrors the number that the
+	// state machine failed to create.
 	Snapshots, SnapshotErrors uint64
-	// Malformed is the number of payloads or messages that were refused,
-	// Dropped of those that found the inbox full.
+	// Malformed is the number of payloads or messages that were rejected, Dropped the
+	// number of payloads that found the inbox full.
 	Malformed, Dropped uint64
 }
 
-// counters are the live form of Counters.
+// counters holds the live values of Counters.
 type counters struct {
 	syncs, syncedEntries      atomic.Uint64
 	snapshots, snapshotErrors atomic.Uint64
@@ -72,33 +72,33 @@
 	self  replog.Member
 	calls *calls
 
-	inbox    *ring.Ring[payload]
-	requests *ring.Ring[request]
-	events   *ring.Ring[event]
-	disk     *ring.Ring[diskJob]
-	apply    *ring.Ring[applyJob]
+	inbox     *ring.Ring[payload]
+	requests  *ring.Ring[request]
+	events    *ring.Ring[event]
+	diskJobs  *ring.Ring[diskJob]
+	applyJobs *ring.Ring[applyJob]
 
 	applied  atomic.Uint64
 	counters counters
 
-	life    context.Context // ends with the node
-	stop    context.CancelFunc
-	workers sync.WaitGroup
-	ended   chan struct{} // closed when the core goroutine has ended
-	final   Status        // set before ended is closed
-	log     *wal.Log
-	closing sync.Once
-	closed  error
+	ctx      context.Context // cancelled when the node ends
+	cancel   context.CancelFunc
+	workers  sync.WaitGroup
+	done     chan struct{} // closed when the core goroutine ended
+	final    Status        // set before done is closed
+	log      *wal.Log
+	stopOnce sync.Once
+	stopErr  error
 }
 
-// payload is what the transport has brought.
+// payload is data received from the transport.
 type payload struct {
 	from string
 	data []byte
 }
 
-// Open recovers the node from its folder and starts it. The errors are those of
-// wal.Open, of the state machine's Restore, and of bad options.
+// Open recovers the node from its folder and starts it. It returns an error for invalid
+// options, and those of wal.Open and of the state machine's Restore.
 func Open(o Options) (*Node, error) {
 	if err := o.complete(); err != nil {
 		return nil, err
@@ -109,12 +109,12 @@
 	}
 	n := &Node{
 		opts: o, rec: rec, calls: newCalls(), log: st.log,
-		inbox:    ring.New[payload](o.QueueLength),
-		requests: ring.New[request](o.QueueLength),
-		events:   ring.New[event](eventQueue),
-		disk:     ring.New[diskJob](diskQueue),
-		apply:    ring.New[applyJob](applyQueue),
-		ended:    make(chan struct{}),
+		inbox:     ring.New[payload](o.QueueLength),
+		requests:  ring.New[request](o.QueueLength),
+		events:    ring.New[event](eventQueue),
+		diskJobs:  ring.New[diskJob](diskQueue),
+		applyJobs: ring.New[applyJob](applyQueue),
+		done:      make(chan struct{}),
 	}
 	if err := n.start(st, state); err != nil {
 		_ = st.log.Close()
@@ -124,7 +124,7 @@
 }
 
 func (n *Node) start(st *store, state replog.State) error {
-	n.opts.Core.Self.Incarnation = memberNumber(n.rec.Incarnation)
+	n.opts.Core.Self.Incarnation = coreIncarnation(n.rec.Incarnation)
 	n.self = n.opts.Core.Self
 	core, err := replog.New(n.opts.Clock.Now(), n.opts.Core, state)
 	if err != nil {
@@ -135,19 +135,19 @@
 		if err := n.opts.StateMachine.Restore(s.Data); err != nil {
 			return errors.Annotatef(err, "restore the snapshot at %d", s.Index)
 		}
-		a.reached(s.Index)
+		a.setApplied(s.Index)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n.life, n.stop = ctx, stop
+	n.ctx, n.cancel = ctx, stop
 	n.workers.Go(func() { runDisk(ctx, n, st) })
 	n.workers.Go(func() { a.run(ctx) })
 	n.workers.Go(func() { (&loop{node: n, core: core}).run(ctx) })
 	return nil
 }
 
-// Receive takes in a payload that another node's Transport was given. It never
-// blocks; a payload that finds the queue full is dropped and counted. from is
-// the sender as the transport has authenticated it.
+// Receive accepts a payload that another node's Transport sent. It never blocks; a
+// payload that finds the queue full is dropped and counted. from is the sender's id,
+// which the transport must have authenticated.
 func (n *Node) Receive(from string, data []byte) {
 	n.inbox.TryPush(payload{from: from, data: data})
 }
@@ -155,21 +155,21 @@
 // Member returns the node's id and the incarnation of its folder.
 func (n *Node) Member() replog.Member { return n.self }
 
-// Stop ends the node and releases its folder. The error is of the release.
+// Stop ends the node and releases its folder. It returns the error of the release.
 func (n *Node) Stop() error {
-	n.closing.Do(func() {
-		n.stop()
+	n.stopOnce.Do(func() {
+		n.cancel()
 		n.workers.Wait()
-		n.closed = n.log.Close()
+		n.stopErr = n.log.Close()
 	})
-	return n.closed
+	return n.stopErr
 }
 
-// Ended returns a channel that is closed when the node is no longer Running.
-func (n *Node) Done() <-chan struct{} { return n.ended }
+// Done returns a channel that is closed when the node is no longer Running.
+func (n *Node) Done() <-chan struct{} { return n.done }
 
-// count returns the counters now.
-func (n *Node) count() Counters {
+// readCounters returns the current counters.
+func (n *Node) readCounters() Counters {
 	c := &n.counters
 	return Counters{
 		Syncs: c.syncs.Load(), SyncedEntries: c.syncedEntries.Load(),
--- a/coord/replhost/options.go
+++ b/coord/replhost/options.go
@@ -20,47 +20,47 @@
 	DefaultQueueLength      = 1024
 )
 
-// Bounds of the rings between the goroutines, in items.
+// Bounds of the queues between the goroutines, in items.
 const (
 	eventQueue = 64
 	diskQueue  = 4
 	applyQueue = 16
 )
 
-// StateMachine is what the log drives. The apply goroutine alone calls it.
+// StateMachine is driven by the log. Only the apply goroutine calls it.
 type StateMachine interface {
-	// Apply carries out the entry at index and returns the result for its
-	// proposer. Same entries in the same order must give same states.
+	// Apply applies the entry at index and returns the result for its proposer. It must
+	// be deterministic: the same entries in the same order give the same state.
 	Apply(index uint64, data []byte) []byte
-	// Snapshot returns the whole state. It must not share memory with it.
+	// Snapshot returns the whole state. The result must not share memory with it.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by that of a Snapshot.
+	// Restore replaces the state with that of a Snapshot.
 	Restore(data []byte) error
 }
 
-// Transport carries payloads to other nodes. It may lose, delay, repeat and
-// reorder them.
+// Transport sends payloads to other nodes. It may lose, delay, repeat and reorder them.
 //
-// A node that lags behind what others keep, or whose disk was lost, gets the
-// state machine's whole Snapshot in one payload. Where the transport refuses
-// payloads of that length such a node never catches up: its applied index stays
-// behind in Status, and a lost disk stays a learner. So the transport's bound
-// must lie above the longest Snapshot.
+// A node that lags behind the entries that others keep, or whose disk was lost, gets
+// the state machine's whole Snapshot in one payload. If the transport refuses payloads
+// of that length, the node never catches up: its applied index stays behind in Status,
+// and a lost disk stays a learner. So the transport's size limit must be above the
+// longest Snapshot.
 type Transport interface {
-	// Send must not block for long, as the core goroutine calls it, and must not
-	// change payload.
+	// Send sends payload to the node with id to. It must not block for long, as the
+	// core goroutine calls it, and must not change payload.
 	Send(to string, payload []byte)
 }
 
 // Clock is the node's monotonic clock.
 type Clock interface {
-	// Now returns the time; see the package text on stopped processes.
+	// Now returns the time; see the package comment on stopped processes.
 	Now() time.Time
-	// Tick sends at each interval, and drops what isn't taken. stop ends it.
+	// Tick sends the time on c at each interval and drops ticks that are not received.
+	// stop ends it.
 	Tick(interval time.Duration) (c <-chan time.Time, stop func())
 }
 
-// SystemClock is the clock of the process.
+// SystemClock is the process's monotonic clock.
 type SystemClock struct{}
 
 // Now returns time.Now, which carries the monotonic time.
@@ -72,40 +72,40 @@
 	return t.C, t.Stop
 }
 
-// Options are the settings of a Node. Zero values take the defaults, but
-// Core.Self.ID, Dir, Transport and StateMachine are required.
+// Options configure a Node. Zero values take the defaults, but Core.Self.ID, Dir,
+// Transport and StateMachine are required.
 type Options struct {
-	// Core is passed to the core. Self.Incarnation is that of the folder; a
-	// zero Seed is drawn from Random.
+	// Core is passed to the core. Self.Incarnation is set to that of the folder; a zero
+	// Seed is drawn from Random.
 	Core replog.Options
-	// FS and Dir say where the log lies; FS is wal.OS by default.
+	// FS and Dir are the file system and folder of the log; FS is wal.OS by default.
 	FS  wal.FS
 	Dir string
-	// SegmentBytes is passed to the log.
+	// SegmentBytes is passed to the log; see wal.Options.
 	SegmentBytes int64
 
 	Transport    Transport
 	StateMachine StateMachine
 	// Clock is SystemClock by default.
 	Clock Clock
-	// Random returns random numbers for the incarnation of a new folder and for
-	// reads; crypto/rand by default. A folder that gets an incarnation a second
-	// time defeats the detection of lost disks.
+	// Random returns random numbers for the incarnation of a new folder and for read
+	// ids; crypto/rand by default. If a folder gets the same incarnation twice, a lost
+	// disk is not detected.
 	Random func() uint64
 
-	// SnapshotEntries is the number of applied entries between snapshots,
-	// default 10000; KeepEntries of those before a snapshot that stay in memory
+	// SnapshotEntries is the number of applied entries between snapshots, default
+	// 10000. KeepEntries is the number of entries before a snapshot that stay in memory
 	// for peers that lag, default 1000.
 	SnapshotEntries, KeepEntries uint64
 	// MaxProposalBytes bounds the data of one proposal; default 1 MiB.
 	MaxProposalBytes int
-	// Queue bounds the messages and the calls that wait for the core; default
+	// QueueLength bounds the messages and the calls that wait for the core; default
 	// 1024 each.
 	QueueLength int
-	// Repair lets a leader readmit lost disks and promote learners by itself.
+	// Repair lets a leader readmit lost disks and promote learners automatically.
 	Repair bool
-	// Promote says which learners Repair makes voters; by default the voters of
-	// Core.Bootstrap.
+	// Promote reports whether Repair may make a learner a voter; by default, whether it
+	// is among the voters of Core.Bootstrap.
 	Promote func(replog.Member) bool
 }
 
@@ -151,19 +151,19 @@
 
 func systemRandom() uint64 {
 	var b [8]byte
-	_, _ = crand.Read(b[:]) // never fails; it ends the process instead
+	_, _ = crand.Read(b[:]) // never returns an error; it ends the process instead
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// drawIncarnation returns an incarnation whose number for the core isn't zero.
-func drawIncarnation(random func() uint64) wal.Incarnation {
+// newIncarnation returns a random incarnation whose number for the core is not zero.
+func newIncarnation(random func() uint64) wal.Incarnation {
 	var id wal.Incarnation
-	for memberNumber(id) == 0 {
+	for coreIncarnation(id) == 0 {
 		binary.LittleEndian.PutUint64(id[:], random())
 	}
 	binary.LittleEndian.PutUint64(id[8:], random())
 	return id
 }
 
-// memberNumber is the part of an incarnation by which the core tells members.
-func memberNumber(id wal.Incarnation) uint64 { return binary.LittleEndian.Uint64(id[:]) }
+// coreIncarnation returns the part of an incarnation that the core uses.
+func coreIncarnation(id wal.Incarnation) uint64 { return binary.LittleEndian.Uint64(id[:]) }
--- a/coord/replhost/readme_test.go
+++ b/coord/replhost/readme_test.go
@@ -13,10 +13,8 @@
 	link    = regexp.MustCompile(`\]\(([^)]+)\)`)
 )
 
-// Symptom: the code of the module's README does not compile, or a link of it
-// leads nowhere.
-// Events: a package changes, and the README does not.
-// Cause: nothing compiles a page. Here the code has to stand in the example.
+// Guards against a README whose code does not compile or whose links are broken after a
+// package changed: the code must occur in the example, which is compiled.
 func TestReadmeShowsTheExample(t *testing.T) {
 	page := read(t, "../README.md")
 	example := read(t, "example_test.go")
--- a/coord/replhost/replhost_test.go
+++ b/coord/replhost/replhost_test.go
@@ -15,11 +15,11 @@
 	"github.com/gullhaven/gullhaven/coord/wal/faultfs"
 )
 
-var errDisk = errors.New("planted fault of the disk")
+var errDisk = errors.New("injected disk fault")
 
-// step is one event of a plan. Plans are drawn outside of the bubble, as rapid
-// ends a draw by a panic.
-type step struct {
+// faultStep is one event of a plan. Plans are drawn outside of the synctest bubble, as
+// rapid ends a draw by a panic.
+type faultStep struct {
 	kind, node, size int
 	power            bool
 }
@@ -27,7 +27,7 @@
 const (
 	stepBurst = iota
 	stepCrash
-	stepDisk
+	stepDiskFault
 	stepDown
 	stepUp
 	stepCut
@@ -36,9 +36,9 @@
 	stepKinds
 )
 
-func drawPlan(t *rapid.T) []step {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
-		return step{
+func drawPlan(t *rapid.T) []faultStep {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) faultStep {
+		return faultStep{
 			kind:  rapid.IntRange(0, stepKinds-1).Draw(t, "kind"),
 			node:  rapid.IntRange(0, len(ids)-1).Draw(t, "node"),
 			size:  rapid.IntRange(0, 12).Draw(t, "size"),
@@ -47,7 +47,7 @@
 	}), 1, 14).Draw(t, "plan")
 }
 
-func (c *cluster) run(s step) {
+func (c *cluster) run(s faultStep) {
 	id := ids[s.node]
 	switch s.kind {
 	case stepBurst:
@@ -56,7 +56,7 @@
 		c.disks[id].CrashAfter(s.size * s.size * 40)
 		c.burst(s.size)
 		c.down(id, s.power)
-	case stepDisk:
+	case stepDiskFault:
 		op := []faultfs.Op{faultfs.OpWrite, faultfs.OpSync, faultfs.OpSyncDir, faultfs.OpRename}[s.size%4]
 		c.disks[id].Fail(op, s.size, errDisk)
 		c.burst(s.size)
@@ -69,9 +69,9 @@
 		c.cut[id] = !c.cut[id]
 		c.mu.Unlock()
 	case stepWipe:
-		// A second lost disk before the first is repaired takes a majority's
-		// memory, which no log can bear.
-		if c.whole() {
+		// A second lost disk before the first is repaired loses a majority's state,
+		// which no log can tolerate.
+		if c.healthy() {
 			c.down(id, true)
 			c.disks[id].Wipe()
 			c.up(id)
@@ -81,15 +81,15 @@
 	}
 }
 
-// mend ends all faults and waits until each node votes again.
-func (c *cluster) mend() {
+// endFaults ends all faults and waits until each node votes again.
+func (c *cluster) endFaults() {
 	c.mu.Lock()
-	c.loss, c.cut = 0, map[string]bool{}
+	c.lossPercent, c.cut = 0, map[string]bool{}
 	c.mu.Unlock()
 	for _, id := range ids {
 		c.disks[id].ClearFaults()
 	}
-	// A node that met its planted fault just before has to be seen as failed.
+	// A node that hit its injected fault just before has to be seen as failed.
 	time.Sleep(time.Second)
 	for _, id := range ids {
 		if n := c.node(id); n != nil && n.Status().State == replhost.Failed {
@@ -97,17 +97,16 @@
 		}
 		c.up(id)
 	}
-	if len(c.failures) == 0 && !c.waitWhole() {
+	if len(c.failures) == 0 && !c.waitHealthy() {
 		c.fail("the group didn't come back: %s", c.states())
 	}
 }
 
-// Symptom: a proposal that was acknowledged is gone, one that was told not to
-// have run is there, or two nodes differ.
-// Events: bursts of proposals at all nodes; crashes at any byte, failing disks,
-// nodes down and up, cut off, with wiped disks; lost messages.
-// Cause: a message sent before the sync that it rests on, a lost disk counted,
-// a verdict that says less than what can have happened.
+// Guards against an acknowledged proposal that is lost, one reported as not run that is
+// there, and nodes that differ, under bursts of proposals at all nodes with crashes at
+// any byte, failing disks, restarts, partitions, wiped disks and lost messages. Causes
+// would be a message sent before the sync that it depends on, a lost disk that is
+// counted, or a wrong verdict.
 func TestNoAcknowledgedProposalIsLost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawPlan(rt)
@@ -119,14 +118,14 @@
 			for _, id := range ids {
 				c.up(id)
 			}
-			if !c.waitWhole() {
+			if !c.waitHealthy() {
 				c.fail("the group didn't form")
 			}
 			c.setLoss(loss)
 			for _, s := range plan {
 				c.run(s)
 			}
-			c.mend()
+			c.endFaults()
 			if len(c.failures) == 0 {
 				c.check()
 			}
@@ -138,29 +137,27 @@
 	})
 }
 
-// Symptom: an acknowledged proposal is lost after a second failure right after
-// the first.
-// Events: c comes back with an empty disk while b is down; later, c readmitted,
-// b is lost for good.
-// Cause: an emptied voter that counts before it was readmitted and caught up.
+// Guards against losing an acknowledged proposal after two failures in a row: c comes
+// back with an empty disk while b is down; later, with c readmitted, b is lost for
+// good. An empty voter must not count before it is readmitted and has caught up.
 func TestWipedDiskCountsOnlyOnceReadmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := formed(t, 1)
+		c := newFormedCluster(t, 1)
 		c.burst(30)
 		c.down("b", true)
 		c.down("c", true)
 		c.disks["c"].Wipe()
 		c.up("c")
-		time.Sleep(3 * time.Second) // a lease of before may last until here
+		time.Sleep(3 * time.Second) // an earlier lease may last until here
 		if !c.node("c").Status().New || c.leader(10*time.Second) != nil {
-			t.Fatal("one voter and an emptied one made a majority")
+			t.Fatal("one voter and an empty one made a majority")
 		}
 		if c.propose(c.node("a")) == nil || c.read(c.node("a")) == nil {
-			t.Fatal("a proposal or read went through with one voter and an emptied one")
+			t.Fatal("a proposal or read went through with one voter and an empty one")
 		}
 		c.up("b")
-		if !c.waitWhole() {
-			t.Fatal("the emptied voter was not readmitted")
+		if !c.waitHealthy() {
+			t.Fatal("the empty voter was not readmitted")
 		}
 		c.down("b", true)
 		if n := c.leader(10 * time.Second); n == nil || c.propose(n) != nil {
@@ -174,12 +171,11 @@
 	})
 }
 
-// Symptom: a leader goes on answering although its disk keeps nothing.
-// Events: a sync fails once at the leader.
-// Cause: a host that tries again, or sends messages after the failure.
+// Guards against a leader that answers although its disk keeps nothing: a sync fails
+// once at the leader. The host must neither retry nor send messages after the failure.
 func TestFailedDiskEndsTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := formed(t, 2)
+		c := newFormedCluster(t, 2)
 		old := c.leader(time.Second)
 		c.disks[old.Member().ID].Fail(faultfs.OpSync, 0, errDisk)
 		var v *verdict.Error
@@ -197,7 +193,7 @@
 		if n := c.leader(10 * time.Second); n == nil || n == old || c.propose(n) != nil {
 			t.Fatal("no other leader took over")
 		}
-		c.mend()
+		c.endFaults()
 		c.check()
 		if len(c.failures) > 0 {
 			t.Fatal(c.failures)
@@ -205,15 +201,15 @@
 	})
 }
 
-// Symptom: a node whose disk has failed leads on until the next proposal.
-// Events: the batch is synced, the write of the mark behind it fails.
-// Cause: a failure that is kept by the log and not asked for.
+// Guards against a node that leads on after a disk failure until the next proposal: the
+// batch is synced, and writing the mark after it fails. The log keeps that failure, and
+// the host must ask for it.
 func TestFailureBehindADurableBatchEndsTheNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := formed(t, 3)
+		c := newFormedCluster(t, 3)
 		old := c.leader(time.Second)
 		c.disks[old.Member().ID].Fail(faultfs.OpWrite, 1, errDisk)
-		// The leader may end before the group's answer is there.
+		// The leader may end before the group's answer arrives.
 		var v *verdict.Error
 		if err := c.propose(old); err != nil && (!errors.As(err, &v) || v.Verdict != verdict.MayHaveRun) {
 			t.Fatalf("the proposal ended with %v", err)
@@ -222,7 +218,7 @@
 		if s := old.Status(); s.State != replhost.Failed || !errors.Is(s.Err, errDisk) {
 			t.Fatalf("%v, %v", s.State, s.Err)
 		}
-		c.mend()
+		c.endFaults()
 		c.check()
 		if len(c.failures) > 0 {
 			t.Fatal(c.failures)
--- a/coord/replhost/requests.go
+++ b/coord/replhost/requests.go
@@ -10,7 +10,7 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// request is served by the core goroutine.
+// request is handled by the core goroutine.
 type request interface {
 	serve(l *loop, now time.Time)
 }
@@ -20,7 +20,7 @@
 	data []byte
 }
 
-type barrier struct{ call *call }
+type readBarrier struct{ call *call }
 
 type change struct {
 	call *call
@@ -32,44 +32,44 @@
 	to   string
 }
 
-// query asks for something that the core goroutine knows; answer holds one.
+// query reads state of the core goroutine; answer has a capacity of one.
 type query[T any] struct {
-	ask    func(l *loop, now time.Time) T
+	run    func(l *loop, now time.Time) T
 	answer chan T
 }
 
-// Propose replicates data and returns the state machine's result once this node
-// has applied it. The error is a *verdict.Error: with NotRun it takes no effect
-// anywhere, with MayHaveRun it may have taken or may still take effect.
+// Propose replicates data and returns the state machine's result once this node has
+// applied it. data must have 1 to MaxProposalBytes bytes. The error is a
+// *verdict.Error: with NotRun the proposal takes no effect anywhere, with MayHaveRun it
+// may have taken effect or may still do so.
 func (n *Node) Propose(ctx context.Context, data []byte) ([]byte, error) {
 	if len(data) == 0 || len(data) > n.opts.MaxProposalBytes {
-		return nil, failure(verdict.NotRun, CodeInvalidSize,
+		return nil, newError(verdict.NotRun, CodeInvalidSize,
 			fmt.Sprintf("%d bytes; from 1 to %d can be proposed", len(data), n.opts.MaxProposalBytes), nil)
 	}
 	c := newCall()
 	return n.await(ctx, c, proposal{call: c, data: slices.Clone(data)})
 }
 
-// Read returns nil once the state machine holds everything that was answered to
-// any proposer of the group before the call. A leader that is
-// known but doesn't answer makes it wait until ctx ends. The error is a
-// *verdict.Error.
+// Read returns nil once the state machine holds everything that was answered to any
+// proposer of the group before the call. If the known leader does not answer, it waits
+// until ctx ends. The error is a *verdict.Error.
 func (n *Node) Read(ctx context.Context) error {
 	c := newCall()
-	_, err := n.await(ctx, c, barrier{call: c})
+	_, err := n.await(ctx, c, readBarrier{call: c})
 	return err
 }
 
-// Change replicates a change of the configuration and returns once it's
-// applied. The error is a *verdict.Error.
+// ChangeConfig replicates a configuration change and returns once it is applied. The
+// error is a *verdict.Error.
 func (n *Node) ChangeConfig(ctx context.Context, ch replog.ConfChange) error {
 	c := newCall()
 	_, err := n.await(ctx, c, change{call: c, ch: ch})
 	return err
 }
 
-// Transfer begins to hand leadership to another voter. Ends of the lease that
-// LeaseUntil returned are void from the call on. The error is a *verdict.Error.
+// TransferLeader starts handing leadership to another voter. Lease ends that LeaseUntil
+// returned before are void from the call on. The error is a *verdict.Error.
 func (n *Node) TransferLeader(ctx context.Context, to string) error {
 	c := newCall()
 	_, err := n.await(ctx, c, transfer{call: c, to: to})
@@ -78,47 +78,47 @@
 
 // Status returns the node's state.
 func (n *Node) Status() Status {
-	s, ok := ask(n, func(l *loop, _ time.Time) Status { return l.status() })
+	s, ok := runQuery(n, func(l *loop, _ time.Time) Status { return l.status() })
 	if !ok {
 		return n.final
 	}
 	return s
 }
 
-// LeaseUntil returns the end of the leader's lease by the node's Clock; zero if
-// there is none, also if the node is no longer Running.
+// LeaseUntil returns the end of the leader's lease by the node's Clock, or zero if
+// there is none or the node is no longer Running.
 func (n *Node) LeaseUntil() time.Time {
-	until, _ := ask(n, func(l *loop, now time.Time) time.Time { return l.core.LeaseUntil(now) })
+	until, _ := runQuery(n, func(l *loop, now time.Time) time.Time { return l.core.LeaseUntil(now) })
 	return until
 }
 
-// await hands a request over and waits for the end of its call.
+// await submits a request and waits for the end of its call.
 func (n *Node) await(ctx context.Context, c *call, r request) ([]byte, error) {
 	select {
-	case <-n.ended:
-		return nil, n.stopped(verdict.NotRun)
+	case <-n.done:
+		return nil, n.stoppedError(verdict.NotRun)
 	default:
 	}
 	if !n.requests.TryPush(r) {
-		return nil, failure(verdict.NotRun, CodeOverloaded, "too many calls wait", nil)
+		return nil, newError(verdict.NotRun, CodeOverloaded, "too many calls wait", nil)
 	}
 	select {
 	case o := <-c.done:
 		return o.unpack()
 	case <-ctx.Done():
-		return n.giveUp(c, failure(verdict.MayHaveRun, CodeTimeout, "no answer in time", ctx.Err()))
-	case <-n.ended:
-		return n.giveUp(c, n.stopped(verdict.MayHaveRun))
+		return n.giveUp(c, newError(verdict.MayHaveRun, CodeTimeout, "no answer in time", ctx.Err()))
+	case <-n.done:
+		return n.giveUp(c, n.stoppedError(verdict.MayHaveRun))
 	}
 }
 
-// giveUp ends the wait for a call, unless its outcome came at the same time.
+// giveUp ends the wait for a call, unless its outcome arrived at the same time.
 func (n *Node) giveUp(c *call, err *verdict.Error) ([]byte, error) {
 	if c.abandon() {
 		err.Verdict = verdict.NotRun
 		return nil, err
 	}
-	n.calls.drop(c)
+	n.calls.forget(c)
 	select {
 	case o := <-c.done:
 		return o.unpack()
@@ -127,8 +127,8 @@
 	}
 }
 
-func (n *Node) stopped(v verdict.Verdict) *verdict.Error {
-	return failure(v, CodeStopped, "the node is "+n.final.State.String(), n.final.Err)
+func (n *Node) stoppedError(v verdict.Verdict) *verdict.Error {
+	return newError(v, CodeStopped, "the node is "+n.final.State.String(), n.final.Err)
 }
 
 func (o outcome) unpack() ([]byte, error) {
@@ -138,66 +138,66 @@
 	return o.result, nil
 }
 
-// ask queries the core goroutine; false if that has ended.
-func ask[T any](n *Node, f func(l *loop, now time.Time) T) (T, bool) {
-	q := query[T]{ask: f, answer: make(chan T, 1)}
+// runQuery calls f on the core goroutine; it reports false if that has ended.
+func runQuery[T any](n *Node, f func(l *loop, now time.Time) T) (T, bool) {
+	q := query[T]{run: f, answer: make(chan T, 1)}
 	var zero T
-	if n.requests.Push(n.life, q) != nil {
-		<-n.ended
+	if n.requests.Push(n.ctx, q) != nil {
+		<-n.done
 		return zero, false
 	}
 	select {
 	case v := <-q.answer:
 		return v, true
-	case <-n.ended:
+	case <-n.done:
 		return zero, false
 	}
 }
 
-func (q query[T]) serve(l *loop, now time.Time) { q.answer <- q.ask(l, now) }
+func (q query[T]) serve(l *loop, now time.Time) { q.answer <- q.run(l, now) }
 
 func (p proposal) serve(l *loop, now time.Time) {
-	if !p.call.take() {
+	if !p.call.accept() {
 		return
 	}
-	place, err := l.core.Propose(now, p.data)
-	l.placed(p.call, place, err)
+	position, err := l.core.Propose(now, p.data)
+	l.trackProposal(p.call, position, err)
 }
 
 func (c change) serve(l *loop, now time.Time) {
-	if !c.call.take() {
+	if !c.call.accept() {
 		return
 	}
-	place, err := l.core.ProposeConfChange(now, c.ch)
-	l.placed(c.call, place, err)
+	position, err := l.core.ProposeConfChange(now, c.ch)
+	l.trackProposal(c.call, position, err)
 }
 
-func (l *loop) placed(c *call, place replog.Position, err error) {
+func (l *loop) trackProposal(c *call, position replog.Position, err error) {
 	if err != nil {
-		c.end(outcome{err: refusal(err, l.core.Status().Leader.ID)})
+		c.end(outcome{err: coreError(err, l.core.Status().Leader.ID)})
 		return
 	}
-	l.node.calls.addProposal(c, place)
+	l.node.calls.addProposal(c, position)
 }
 
-func (b barrier) serve(l *loop, now time.Time) {
-	if !b.call.take() {
+func (b readBarrier) serve(l *loop, now time.Time) {
+	if !b.call.accept() {
 		return
 	}
 	id := l.node.opts.Random()
 	l.node.calls.addRead(b.call, id)
 	if err := l.core.ReadIndex(now, id); err != nil {
-		l.node.calls.drop(b.call)
-		b.call.end(outcome{err: refusal(err, "")})
+		l.node.calls.forget(b.call)
+		b.call.end(outcome{err: coreError(err, "")})
 	}
 }
 
 func (t transfer) serve(l *loop, now time.Time) {
-	if !t.call.take() {
+	if !t.call.accept() {
 		return
 	}
 	if err := l.core.TransferLeader(now, t.to); err != nil {
-		t.call.end(outcome{err: refusal(err, l.core.Status().Leader.ID)})
+		t.call.end(outcome{err: coreError(err, l.core.Status().Leader.ID)})
 		return
 	}
 	t.call.end(outcome{})
--- a/coord/replhost/store.go
+++ b/coord/replhost/store.go
@@ -10,19 +10,19 @@
 	"github.com/gullhaven/gullhaven/coord/wal"
 )
 
-// store keeps the state of the core in a write-ahead log. After the open, the
-// disk goroutine alone uses it.
+// store keeps the core's state in a write-ahead log. After Open, only the disk
+// goroutine uses it.
 type store struct {
 	log *wal.Log
 	hs  replog.HardState
-	// tail mirrors the entries on disk behind the newest snapshot. Their data
-	// is shared with the core.
-	tail []replog.Entry
+	// entries mirrors the entries on disk after the newest snapshot. Their data is
+	// shared with the core.
+	entries []replog.Entry
 }
 
-// openStore opens the log and reads the state of the core from it.
+// openStore opens the log and reads the core's state from it.
 func openStore(o Options) (*store, replog.State, wal.Recovered, error) {
-	opt := wal.Options{Incarnation: drawIncarnation(o.Random), SegmentBytes: o.SegmentBytes}
+	opt := wal.Options{Incarnation: newIncarnation(o.Random), SegmentBytes: o.SegmentBytes}
 	log, rec, err := wal.Open(o.FS, o.Dir, opt)
 	if err != nil {
 		return nil, replog.State{}, rec, err
@@ -50,9 +50,9 @@
 		}
 	}
 	if state.Snapshot != nil {
-		s.dropTo(state.Snapshot.Index)
+		s.dropThrough(state.Snapshot.Index)
 	}
-	state.HardState, state.Entries = s.hs, slices.Clone(s.tail)
+	state.HardState, state.Entries = s.hs, slices.Clone(s.entries)
 	return state, nil
 }
 
@@ -66,41 +66,41 @@
 		if err := decoding.Unmarshal(r.Data, &e); err != nil {
 			return err
 		}
-		return s.put(e)
+		return s.replaceFrom(e)
 	}
 	return errors.NotValidf("type %d", r.Type)
 }
 
-// put adds an entry to the mirror in place of those at or after its index.
-func (s *store) put(e replog.Entry) error {
-	if len(s.tail) == 0 {
-		s.tail = append(s.tail, e)
+// replaceFrom adds an entry to the mirror in place of those at or after its index.
+func (s *store) replaceFrom(e replog.Entry) error {
+	if len(s.entries) == 0 {
+		s.entries = append(s.entries, e)
 		return nil
 	}
-	first := s.tail[0].Index
-	if e.Index > first+uint64(len(s.tail)) {
-		return errors.NotValidf("entry %d after %d", e.Index, first+uint64(len(s.tail))-1)
+	first := s.entries[0].Index
+	if e.Index > first+uint64(len(s.entries)) {
+		return errors.NotValidf("entry %d after %d", e.Index, first+uint64(len(s.entries))-1)
 	}
 	keep := 0
 	if e.Index > first {
 		keep = int(e.Index - first)
 	}
-	s.tail = append(s.tail[:keep], e)
+	s.entries = append(s.entries[:keep], e)
 	return nil
 }
 
-// dropTo forgets the entries up to index.
-func (s *store) dropTo(index uint64) {
-	for i, e := range s.tail {
+// dropThrough removes the entries up to index from the mirror.
+func (s *store) dropThrough(index uint64) {
+	for i, e := range s.entries {
 		if e.Index > index {
-			s.tail = append([]replog.Entry(nil), s.tail[i:]...)
+			s.entries = append([]replog.Entry(nil), s.entries[i:]...)
 			return
 		}
 	}
-	s.tail = nil
+	s.entries = nil
 }
 
-// write makes what a Ready wants written durable.
+// write makes the state in a Ready durable.
 func (s *store) write(r *replog.Ready) error {
 	if r.HardState != nil {
 		s.hs = *r.HardState
@@ -109,8 +109,8 @@
 		}
 	}
 	if r.Snapshot != nil {
-		s.tail = nil
-		if err := s.save(*r.Snapshot); err != nil {
+		s.entries = nil
+		if err := s.saveSnapshot(*r.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -132,10 +132,10 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := s.put(entries[0]); err != nil {
+	if err := s.replaceFrom(entries[0]); err != nil {
 		return err
 	}
-	s.tail = append(s.tail, entries[1:]...)
+	s.entries = append(s.entries, entries[1:]...)
 	return s.appendRecords(entries)
 }
 
@@ -152,11 +152,11 @@
 	return nil
 }
 
-// save makes a snapshot durable and drops what it covers. The hard state and
-// the entries behind it are written again into the segment that the snapshot
-// begins with. They are one batch: of a part of it, recovery would take the
+// saveSnapshot makes a snapshot durable and drops what it covers. The hard state and
+// the entries after the snapshot are written again, into the segment that the snapshot
+// begins with. They are one batch: if only a part were found, recovery would take the
 // first entry for one that replaces all after it.
-func (s *store) save(snap replog.Snapshot) error {
+func (s *store) saveSnapshot(snap replog.Snapshot) error {
 	b, err := cbor.Marshal(snap)
 	if err != nil {
 		return errors.Annotate(err, "encode snapshot")
@@ -165,11 +165,11 @@
 	if err != nil {
 		return err
 	}
-	s.dropTo(snap.Index)
+	s.dropThrough(snap.Index)
 	if err := s.appendHardState(); err != nil {
 		return err
 	}
-	if err := s.appendRecords(s.tail); err != nil {
+	if err := s.appendRecords(s.entries); err != nil {
 		return err
 	}
 	if err := s.log.SaveSnapshot(base, wal.Snapshot{Index: snap.Index, Data: b}); err != nil {
--- a/coord/replhost/store_test.go
+++ b/coord/replhost/store_test.go
@@ -12,11 +12,11 @@
 	"github.com/gullhaven/gullhaven/coord/wal/faultfs"
 )
 
-// Symptom: a node starts with a log that it never had, or without one it had.
-// Events: hard states, entries that replace others, own snapshots and those of
-// a leader, in any order; a crash in one of them; start.
-// Cause: entries of before a leader's snapshot that are kept, a segment that
-// begins without what its snapshot doesn't cover.
+// Guards against a node that starts with a log that it never had, or without one that
+// it had: hard states, entries that replace others, own snapshots and those of a leader
+// are written in any order, with a crash in one of the writes. Faults would be entries
+// kept from before a leader's snapshot, or a segment that begins without what its
+// snapshot does not cover.
 func TestStoreStartsWithWhatWasWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := faultfs.New()
@@ -43,7 +43,7 @@
 			r, own := drawWrite(t, &after)
 			var err error
 			if own != nil {
-				err = s.save(*own)
+				err = s.saveSnapshot(*own)
 			} else {
 				err = s.write(&r)
 			}
@@ -77,7 +77,7 @@
 	return first(s) - 1
 }
 
-// first is the index behind the snapshot.
+// first returns the index after the snapshot.
 func first(s replog.State) uint64 {
 	if s.Snapshot != nil {
 		return s.Snapshot.Index + 1
@@ -85,8 +85,8 @@
 	return 1
 }
 
-// drawWrite draws one write and carries it out on the state. A crash may leave
-// the state before or after as a whole, so that each draw has one part only.
+// drawWrite draws one write and applies it to the state. After a crash the state must
+// be the one before or after as a whole, so each write has one part only.
 func drawWrite(t *rapid.T, s *replog.State) (r replog.Ready, own *replog.Snapshot) {
 	switch rapid.IntRange(0, 5).Draw(t, "write") {
 	case 0:
@@ -116,20 +116,19 @@
 	return r, nil
 }
 
-// Symptom: a proposer is told that its proposal ran, or didn't, and it's not so.
-// Events: another leader's entry takes its place; a snapshot skips it; its
-// caller gives up before the core takes it.
-// Cause: a place compared by index alone, a verdict that says too little.
+// Guards against a wrong verdict on whether a proposal ran: another leader's entry is
+// committed at its index, a snapshot covers it, or its caller gives up before the core
+// accepts it. Terms must be compared as well as indexes.
 func TestEachEndOfACallHasItsVerdict(t *testing.T) {
 	cs := newCalls()
-	lost, won, skipped, gone := newCall(), newCall(), newCall(), newCall()
+	lost, won, skipped, abandoned := newCall(), newCall(), newCall(), newCall()
 	cs.addProposal(lost, replog.Position{Term: 3, Index: 10})
 	cs.addProposal(won, replog.Position{Term: 5, Index: 10})
 	cs.addProposal(skipped, replog.Position{Term: 5, Index: 12})
-	cs.addProposal(gone, replog.Position{Term: 5, Index: 13})
-	cs.applied(replog.Entry{Term: 5, Index: 10}, []byte("result"))
-	cs.drop(gone)
-	cs.skipped(12)
+	cs.addProposal(abandoned, replog.Position{Term: 5, Index: 13})
+	cs.endApplied(replog.Entry{Term: 5, Index: 10}, []byte("result"))
+	cs.forget(abandoned)
+	cs.endCovered(12)
 	if o := <-lost.done; o.err == nil || o.err.Verdict != verdict.NotRun || o.err.Code != CodeSuperseded {
 		t.Fatalf("the superseded proposal ended with %+v", o)
 	}
@@ -139,11 +138,11 @@
 	if o := <-skipped.done; o.err == nil || o.err.Verdict != verdict.MayHaveRun {
 		t.Fatalf("the skipped proposal ended with %+v", o)
 	}
-	if len(cs.proposals) != 0 || len(gone.done) != 0 {
-		t.Fatalf("%d places still waited for", len(cs.proposals))
+	if len(cs.proposals) != 0 || len(abandoned.done) != 0 {
+		t.Fatalf("%d indexes still waited for", len(cs.proposals))
 	}
 	c := newCall()
-	if !c.abandon() || c.take() || c.abandon() {
-		t.Fatal("an abandoned call was taken")
+	if !c.abandon() || c.accept() || c.abandon() {
+		t.Fatal("an abandoned call was accepted")
 	}
 }
