--- a/coord/wal/bench_test.go
+++ b/coord/wal/bench_test.go
@@ -21,8 +21,8 @@
 	return l
 }
 
-// BenchmarkSync measures one batch from Append to the answer on a real disk, by
-// records of 256 bytes in it.
+// BenchmarkSync measures one batch from Append to the end of Sync on a real disk, by
+// the number of its records of 256 bytes.
 func BenchmarkSync(b *testing.B) {
 	for _, records := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkAppend measures the buffering of one record without any sync.
+// BenchmarkAppend measures buffering one record, without syncs.
 func BenchmarkAppend(b *testing.B) {
 	l := openBench(b, wal.OS{}, b.TempDir())
 	r := benchRecord()
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkRecover measures Open by the number of records, 10 to a batch.
+// BenchmarkRecover measures Open by the number of records, 10 per batch.
 func BenchmarkRecover(b *testing.B) {
 	for _, records := range []int{100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// noSync builds a long log in a short time for a measurement of reading.
+// noSync skips syncs, to build a long log quickly for a measurement of reading.
 type noSync struct{ wal.OS }
 
 type noSyncFile struct{ wal.File }
--- a/coord/wal/damage_test.go
+++ b/coord/wal/damage_test.go
@@ -15,7 +15,7 @@
 	"github.com/gullhaven/gullhaven/coord/wal/faultfs"
 )
 
-// build makes a log of several segments with a snapshot, all acknowledged, and
+// build creates a log of several segments with a snapshot, all acknowledged, and
 // returns its records from the snapshot on.
 func build(t *rapid.T, fs *faultfs.FS) []uint64 {
 	m := &model{t: t, fs: fs, rotated: map[uint64]int{}}
@@ -32,12 +32,12 @@
 	if m.log.Err() != nil {
 		t.Fatal(m.log.Err())
 	}
-	return m.acked[m.rotated[m.base]:]
+	return m.acked[m.rotated[m.snapshotSegment]:]
 }
 
-// Symptom: a voter comes back with other data than it acknowledged.
-// Events: one bit of one file flips while the voter is down.
-// Cause: damage taken for a torn tail, or not seen.
+// Guards against a voter that comes back with other data than it acknowledged: one bit
+// of one file flips while the voter is down. Damage must not be missed or taken for a
+// truncated tail.
 func TestFlippedBitStopsOrLosesAtMostTheUnmarkedLastBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := faultfs.New()
@@ -81,13 +81,13 @@
 		return
 	}
 	if !unmarked || rec.Truncated == nil || lost > 4 {
-		t.Fatalf("%d acknowledged records lost, unmarked %v, torn %v", lost, unmarked, rec.Truncated)
+		t.Fatalf("%d acknowledged records lost, unmarked %v, truncated %v", lost, unmarked, rec.Truncated)
 	}
 }
 
-// Symptom: a voter starts with half of its memory.
-// Events: a file of the folder disappears while the voter is down.
-// Cause: recovery takes what it finds without asking what must be there.
+// Guards against a voter that starts with a part of its state: a file of the folder
+// disappears while the voter is down. Recovery must check that everything needed is
+// there.
 func TestMissingFileIsCorruptAndEmptyFolderIsNew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := faultfs.New()
@@ -101,19 +101,19 @@
 		}
 		slices.Sort(files)
 		segments := slices.DeleteFunc(slices.Clone(files), func(p string) bool { return !strings.HasSuffix(p, ".wal") })
-		gone := rapid.SampledFrom(files).Draw(t, "file")
+		removed := rapid.SampledFrom(files).Draw(t, "file")
 		snapshots := len(files) - len(segments) - 1
-		last := gone == segments[len(segments)-1] && len(segments) > 1
-		if last || strings.HasSuffix(gone, ".snap") || (snapshots > 0 && strings.HasSuffix(gone, ".wal")) {
-			t.Skip("documented as not told apart, or not needed")
+		last := removed == segments[len(segments)-1] && len(segments) > 1
+		if last || strings.HasSuffix(removed, ".snap") || (snapshots > 0 && strings.HasSuffix(removed, ".wal")) {
+			t.Skip("documented as not detectable, or not needed")
 		}
-		if err := fs.Remove(gone); err != nil {
+		if err := fs.Remove(removed); err != nil {
 			t.Fatal(err)
 		}
 		_, _, err := wal.Open(fs, dir, wal.Options{Incarnation: wal.Incarnation{7}})
 		var corrupt *wal.CorruptError
 		if !errors.As(err, &corrupt) || filepath.Dir(corrupt.File) != dir {
-			t.Fatalf("without %s: %v", gone, err)
+			t.Fatalf("without %s: %v", removed, err)
 		}
 		fs.Wipe()
 		_, rec, err := wal.Open(fs, dir, wal.Options{Incarnation: wal.Incarnation{8}})
@@ -123,10 +123,9 @@
 	})
 }
 
-// Symptom: a voter comes back with a mixture of two histories.
-// Events: a folder is copied, both copies are written to, and blocks of one end
-// up in the other.
-// Cause: frames that are valid each, but whose chain is not checked.
+// Guards against a mixture of two histories: a folder is copied, both copies are
+// written to, and blocks of one end up in the other. The frames are valid each; only
+// their chain shows the fault.
 func TestFrameOfAnotherHistoryIsCorrupt(t *testing.T) {
 	histories := make([]map[string][]byte, 2)
 	for i := range histories {
--- a/coord/wal/errors.go
+++ b/coord/wal/errors.go
@@ -7,10 +7,9 @@
 type CorruptError struct {
 	// File is the path of the damaged or missing file.
 	File string
-	// Offset is the first byte, from the start of the file, that can't be
-	// relied on.
+	// Offset is the first byte, from the start of the file, that is not reliable.
 	Offset int64
-	// Reason is for people.
+	// Reason is human-readable.
 	Reason string
 }
 
@@ -19,9 +18,8 @@
 	return fmt.Sprintf("wal: %s is corrupt at offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// PoisonedError says that an operation on the disk failed and that the log
-// takes nothing more. What was not acknowledged before may or may not be found
-// by the next Open.
+// PoisonedError says that a disk operation failed and that the log accepts nothing
+// more. The next Open may or may not find what was not acknowledged.
 type PoisonedError struct {
 	// Op is the operation that failed first, for example "sync".
 	Op string
@@ -39,7 +37,7 @@
 // Unwrap returns the first failure.
 func (e *PoisonedError) Unwrap() error { return e.Err }
 
-// LockedError says that another process holds the folder.
+// LockedError says that another process has the folder open.
 type LockedError struct {
 	// File is the path of the lock file.
 	File string
@@ -55,8 +53,8 @@
 // Unwrap returns the operating system's error.
 func (e *LockedError) Unwrap() error { return e.Err }
 
-// TooLargeError says that records don't fit one batch. None of them was taken,
-// and the log goes on.
+// TooLargeError says that records do not fit into one batch. None of them was buffered,
+// and the log stays usable.
 type TooLargeError struct {
 	// Size is the length of the batch in bytes, Max the bound.
 	Size, Max int
@@ -67,10 +65,10 @@
 	return fmt.Sprintf("wal: a batch of %d bytes is larger than %d", e.Size, e.Max)
 }
 
-// ArgumentError says that a call can't be carried out as asked. Nothing was
-// written, and the log goes on.
+// ArgumentError says that a call's arguments are invalid. Nothing was written, and the
+// log stays usable.
 type ArgumentError struct {
-	// Reason is for people.
+	// Reason is human-readable.
 	Reason string
 }
 
--- a/coord/wal/example_test.go
+++ b/coord/wal/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/gullhaven/gullhaven/coord/wal/faultfs"
 )
 
-// What was synced is found again after a kill of the process, and what was only
-// appended is not. The disk is one in memory; wal.OS{} is the real one.
+// Synced records are found again after a kill of the process; records that were only
+// appended are not. The disk is in memory; wal.OS{} is the real one.
 func Example() {
 	disk := faultfs.New()
 	log, _, err := wal.Open(disk, "data", wal.Options{Incarnation: wal.Incarnation{1}})
@@ -29,11 +29,11 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println("new:", found.New, "torn:", found.Truncated != nil)
+	fmt.Println("new:", found.New, "truncated:", found.Truncated != nil)
 	for _, r := range found.Records {
 		fmt.Printf("%d %s\n", r.Type, r.Data)
 	}
 	// Output:
-	// new: false torn: false
+	// new: false truncated: false
 	// 1 a vote
 }
--- a/coord/wal/faultfs/faultfs.go
+++ b/coord/wal/faultfs/faultfs.go
@@ -1,14 +1,14 @@
-// Package faultfs is a file system in memory for tests of what a crash leaves.
+// Package faultfs is an in-memory file system for tests of crash recovery.
 //
-// It keeps two views: what a process sees, and what is durable. Written bytes
-// become durable by File.Sync alone and folder entries by SyncDir alone. A Kill
-// ends the process and keeps what it saw, as an operating system does that goes
-// on. A PowerLoss keeps what is durable and, of everything else, whatever the
-// caller's choices say: any written range whole, in part or not at all, in any
-// order, and any folder entry or not. Faults are planted in advance: a crash
-// after a number of bytes and steps, a full disk, failing operations, flipped
-// bits. A failed sync behaves as on common systems: the bytes can still be
-// read, but they count as clean, so that a later sync doesn't write them.
+// It keeps two views: what a process sees, and what is durable. Written bytes become
+// durable only by File.Sync and directory entries only by SyncDir. Kill ends the
+// process and keeps what it saw, as when the operating system keeps running. PowerLoss
+// keeps what is durable and, of everything else, what the caller chooses: any written
+// range whole, in part or not at all, in any order, and any directory entry or not.
+// Faults are injected in advance: a crash after a number of bytes and steps, a full
+// disk, failing operations, flipped bits. A failed sync behaves as on common systems:
+// the bytes can still be read, but they count as clean, so that a later sync does not
+// write them.
 package faultfs
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/gullhaven/gullhaven/coord/wal"
 )
 
-// ErrCrashed is returned by each operation after a planted crash.
+// ErrCrashed is returned by each operation after an injected crash.
 var ErrCrashed = errors.New("faultfs: crashed")
 
-// Choose returns a number from 0 to n-1. It decides what a power loss keeps, so
-// a test draws it from its own source of randomness.
+// Choose returns a number from 0 to n-1. It decides what a power loss keeps; a test
+// draws it from its own source of randomness.
 type Choose func(n int) int
 
 // Op is a kind of operation.
@@ -42,20 +42,20 @@
 	OpRead    Op = "read"
 )
 
-// write is a range that was written and not synced yet.
-type write struct {
+// pendingWrite is a range that was written and not synced yet.
+type pendingWrite struct {
 	off  int64
 	data []byte
 }
 
 type inode struct {
-	seen    []byte
+	visible []byte
 	durable []byte
-	pending []write
+	pending []pendingWrite
 }
 
-// change is an entry of a folder that was changed and not synced yet.
-type change struct {
+// dirChange is a directory entry that was changed and not synced yet.
+type dirChange struct {
 	dir     string
 	removed string
 	set     string
@@ -67,75 +67,74 @@
 	err   error
 }
 
-// FS is the file system. It is safe for concurrent use.
+// FS is an in-memory file system. It is safe for concurrent use.
 type FS struct {
-	mu       sync.Mutex
-	seen     map[string]*inode
-	durable  map[string]*inode
-	pending  []change
-	locks    map[string]*lock
-	faults   map[Op]*fault
-	budget   int // bytes and steps until the crash; below 0: none planted
-	capacity int // bytes of all files; below 0: no bound
-	life     int // rises at each crash; files of an earlier life are dead
+	mu         sync.Mutex
+	visible    map[string]*inode
+	durable    map[string]*inode
+	pending    []dirChange
+	locks      map[string]*lock
+	faults     map[Op]*fault
+	budget     int // bytes and steps until the crash; below 0: no crash
+	capacity   int // bytes of all files; below 0: unlimited
+	generation int // incremented at each crash; files of an earlier one are unusable
 }
 
 var _ wal.FS = (*FS)(nil)
 
-// New makes an empty file system without faults.
+// New returns an empty file system without faults.
 func New() *FS {
 	return &FS{
-		seen: map[string]*inode{}, durable: map[string]*inode{},
+		visible: map[string]*inode{}, durable: map[string]*inode{},
 		locks: map[string]*lock{}, faults: map[Op]*fault{}, budget: -1, capacity: -1,
 	}
 }
 
-// CrashAfter plants a crash: each written byte and each other operation takes
-// one from budget, and nothing happens after that but ErrCrashed.
+// CrashAfter injects a crash: each written byte and each other operation uses one unit
+// of budget; after that every operation returns ErrCrashed.
 func (f *FS) CrashAfter(budget int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.budget = budget
 }
 
-// Fail lets one operation of a kind fail with err, after it has succeeded for
-// the given number of times; the ones after it succeed again. With ErrCrashed
-// it plants a crash there.
+// Fail makes one operation of a kind fail with err, after the given number of
+// successes; later ones succeed again. With ErrCrashed it injects a crash there.
 func (f *FS) Fail(op Op, after int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults[op] = &fault{after: after, err: err}
 }
 
-// SetCapacity bounds the bytes of all files; a write beyond it is cut short
-// with ENOSPC. Below 0 there is no bound.
+// SetCapacity bounds the bytes of all files; a write beyond it is cut short with
+// ENOSPC. Below 0 there is no bound.
 func (f *FS) SetCapacity(bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.capacity = bytes
 }
 
-// Mend removes the planted faults that have not come to pass.
+// ClearFaults removes the injected faults that have not occurred yet.
 func (f *FS) ClearFaults() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.mend()
+	f.clearFaults()
 }
 
-func (f *FS) mend() {
+func (f *FS) clearFaults() {
 	f.faults = map[Op]*fault{}
 	f.budget, f.capacity = -1, -1
 }
 
-// Kill ends the process: locks and open files are gone, written bytes stay.
+// Kill ends the process: locks and open files are gone, written bytes remain.
 func (f *FS) Kill() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.restart()
 }
 
-// PowerLoss ends the process and the operating system: choose decides what is
-// left of the bytes and folder entries that were not synced.
+// PowerLoss ends the process and the operating system: choose decides what remains of
+// the bytes and directory entries that were not synced.
 func (f *FS) PowerLoss(choose Choose) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,48 +144,48 @@
 		}
 	}
 	f.pending = nil
-	f.seen = map[string]*inode{}
+	f.visible = map[string]*inode{}
 	for _, path := range sortedPaths(f.durable) {
 		n := f.durable[path]
 		n.loseWrites(choose)
-		f.seen[path] = n
+		f.visible[path] = n
 	}
 	f.restart()
 }
 
-// Wipe removes everything, as a replaced disk does.
+// Wipe removes everything, like replacing the disk.
 func (f *FS) Wipe() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen, f.durable, f.pending = map[string]*inode{}, map[string]*inode{}, nil
+	f.visible, f.durable, f.pending = map[string]*inode{}, map[string]*inode{}, nil
 	f.restart()
 }
 
 func (f *FS) restart() {
-	f.mend()
+	f.clearFaults()
 	f.locks = map[string]*lock{}
-	f.life++
+	f.generation++
 }
 
-// FlipBit flips one bit of a file, on the disk and as it is seen.
+// FlipBit flips one bit of a file, in the visible and the durable contents.
 func (f *FS) FlipBit(path string, bit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.seen[path]
-	for _, b := range [][]byte{n.seen, n.durable} {
+	n := f.visible[path]
+	for _, b := range [][]byte{n.visible, n.durable} {
 		if bit/8 < len(b) {
 			b[bit/8] ^= 1 << (bit % 8)
 		}
 	}
 }
 
-// Dump returns a copy of all files as they are seen, by path.
+// Dump returns a copy of all visible files by path.
 func (f *FS) Dump() map[string][]byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string][]byte{}
-	for path, n := range f.seen {
-		out[path] = slices.Clone(n.seen)
+	for path, n := range f.visible {
+		out[path] = slices.Clone(n.visible)
 	}
 	return out
 }
@@ -200,7 +199,7 @@
 	return paths
 }
 
-func apply(m map[string]*inode, c change) {
+func apply(m map[string]*inode, c dirChange) {
 	if c.removed != "" {
 		delete(m, c.removed)
 	}
@@ -209,32 +208,32 @@
 	}
 }
 
-// The ways in which a power loss treats one unsynced write.
+// How a power loss can treat one unsynced write.
 const (
 	writeLost = iota
 	writeWhole
 	writeHead
 	writeTail
-	writeWays
+	writeOutcomes
 )
 
 func (n *inode) loseWrites(choose Choose) {
 	for _, w := range n.pending {
-		switch choose(writeWays) {
+		switch choose(writeOutcomes) {
 		case writeWhole:
-			n.durable = put(n.durable, w.data, w.off)
+			n.durable = writeRange(n.durable, w.data, w.off)
 		case writeHead:
-			n.durable = put(n.durable, w.data[:choose(len(w.data)+1)], w.off)
-		case writeTail: // the length may grow before the bytes come
+			n.durable = writeRange(n.durable, w.data[:choose(len(w.data)+1)], w.off)
+		case writeTail: // the length may grow before the bytes are written
 			from := choose(len(w.data) + 1)
-			n.durable = put(n.durable, w.data[from:], w.off+int64(from))
+			n.durable = writeRange(n.durable, w.data[from:], w.off+int64(from))
 		}
 	}
 	n.pending = nil
-	n.seen = slices.Clone(n.durable)
+	n.visible = slices.Clone(n.durable)
 }
 
-func put(b, data []byte, off int64) []byte {
+func writeRange(b, data []byte, off int64) []byte {
 	if grow := int(off) + len(data) - len(b); grow > 0 && len(data) > 0 {
 		b = append(b, make([]byte, grow)...)
 	}
--- a/coord/wal/faultfs/ops.go
+++ b/coord/wal/faultfs/ops.go
@@ -11,18 +11,19 @@
 	"github.com/gullhaven/gullhaven/coord/wal"
 )
 
-// step pays for one operation and returns its planted failure, if any.
-func (f *FS) step(op Op) error {
+// charge charges one operation to the crash budget and returns its injected failure, if
+// any.
+func (f *FS) charge(op Op) error {
 	if f.budget == 0 {
 		return ErrCrashed
 	}
 	if f.budget > 0 && op != OpWrite {
 		f.budget--
 	}
-	return f.planted(op)
+	return f.injectedError(op)
 }
 
-func (f *FS) planted(op Op) error {
+func (f *FS) injectedError(op Op) error {
 	p := f.faults[op]
 	if p == nil {
 		return nil
@@ -38,20 +39,20 @@
 	return p.err
 }
 
-func (f *FS) used() int {
+func (f *FS) usedBytes() int {
 	sum := 0
-	for _, n := range f.seen {
-		sum += len(n.seen)
+	for _, n := range f.visible {
+		sum += len(n.visible)
 	}
 	return sum
 }
 
-func (f *FS) record(c change) {
-	apply(f.seen, c)
+func (f *FS) recordChange(c dirChange) {
+	apply(f.visible, c)
 	f.pending = append(f.pending, c)
 }
 
-// MkdirAll does nothing: folders exist by the paths of their files.
+// MkdirAll does nothing: folders exist through the paths of their files.
 func (f *FS) MkdirAll(string) error { return nil }
 
 type lock struct {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// Lock takes a path until it's closed or the process ends.
+// Lock locks a path until the result is closed or the process ends.
 func (f *FS) Lock(path string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,15 +81,15 @@
 	return l, nil
 }
 
-// List returns the names of the files seen in a folder.
+// List returns the names of the visible files in a folder.
 func (f *FS) List(dir string) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(OpList); err != nil {
+	if err := f.charge(OpList); err != nil {
 		return nil, err
 	}
 	var names []string
-	for _, path := range sortedPaths(f.seen) {
+	for _, path := range sortedPaths(f.visible) {
 		if filepath.Dir(path) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(path))
 		}
@@ -96,58 +97,58 @@
 	return names, nil
 }
 
-// ReadFile returns the content seen of a file.
+// ReadFile returns the visible contents of a file.
 func (f *FS) ReadFile(path string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(OpRead); err != nil {
+	if err := f.charge(OpRead); err != nil {
 		return nil, err
 	}
-	n := f.seen[path]
+	n := f.visible[path]
 	if n == nil {
 		return nil, &fs.PathError{Op: "read", Path: path, Err: fs.ErrNotExist}
 	}
-	return slices.Clone(n.seen), nil
+	return slices.Clone(n.visible), nil
 }
 
-// Create makes an empty file.
+// Create creates an empty file.
 func (f *FS) Create(path string) (wal.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(OpCreate); err != nil {
+	if err := f.charge(OpCreate); err != nil {
 		return nil, err
 	}
 	n := &inode{}
-	f.record(change{dir: filepath.Dir(path), set: path, node: n})
-	return &file{fs: f, node: n, life: f.life}, nil
+	f.recordChange(dirChange{dir: filepath.Dir(path), set: path, node: n})
+	return &file{fs: f, node: n, generation: f.generation}, nil
 }
 
 // OpenWrite opens an existing file.
 func (f *FS) OpenWrite(path string) (wal.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(OpOpen); err != nil {
+	if err := f.charge(OpOpen); err != nil {
 		return nil, err
 	}
-	n := f.seen[path]
+	n := f.visible[path]
 	if n == nil {
 		return nil, &fs.PathError{Op: "open", Path: path, Err: fs.ErrNotExist}
 	}
-	return &file{fs: f, node: n, life: f.life}, nil
+	return &file{fs: f, node: n, generation: f.generation}, nil
 }
 
-// Rename moves a file; a power loss keeps all of that or nothing.
+// Rename moves a file; a power loss keeps all of the move or nothing.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(OpRename); err != nil {
+	if err := f.charge(OpRename); err != nil {
 		return err
 	}
-	n := f.seen[from]
+	n := f.visible[from]
 	if n == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	f.record(change{dir: filepath.Dir(to), removed: from, set: to, node: n})
+	f.recordChange(dirChange{dir: filepath.Dir(to), removed: from, set: to, node: n})
 	return nil
 }
 
@@ -155,24 +156,24 @@
 func (f *FS) Remove(path string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(OpRemove); err != nil {
+	if err := f.charge(OpRemove); err != nil {
 		return err
 	}
-	if f.seen[path] == nil {
+	if f.visible[path] == nil {
 		return &fs.PathError{Op: "remove", Path: path, Err: fs.ErrNotExist}
 	}
-	f.record(change{dir: filepath.Dir(path), removed: path})
+	f.recordChange(dirChange{dir: filepath.Dir(path), removed: path})
 	return nil
 }
 
-// SyncDir makes the entries of a folder durable.
+// SyncDir makes the directory entries of a folder durable.
 func (f *FS) SyncDir(dir string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(OpSyncDir); err != nil {
+	if err := f.charge(OpSyncDir); err != nil {
 		return err
 	}
-	var rest []change
+	var rest []dirChange
 	for _, c := range f.pending {
 		if c.dir == filepath.Clean(dir) {
 			apply(f.durable, c)
@@ -185,34 +186,34 @@
 }
 
 type file struct {
-	fs   *FS
-	node *inode
-	life int
+	fs         *FS
+	node       *inode
+	generation int
 }
 
-// WriteAt writes as much as crash and capacity allow.
+// WriteAt writes as much as the crash budget and the capacity allow.
 func (w *file) WriteAt(p []byte, off int64) (int, error) {
 	f := w.fs
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if w.life != f.life {
+	if w.generation != f.generation {
 		return 0, ErrCrashed
 	}
-	if err := f.step(OpWrite); err != nil {
+	if err := f.charge(OpWrite); err != nil {
 		return 0, err
 	}
-	n, err := f.room(w.node, p, off)
+	n, err := f.writable(w.node, p, off)
 	data := slices.Clone(p[:n])
-	w.node.seen = put(w.node.seen, data, off)
-	w.node.pending = append(w.node.pending, write{off: off, data: data})
+	w.node.visible = writeRange(w.node.visible, data, off)
+	w.node.pending = append(w.node.pending, pendingWrite{off: off, data: data})
 	return n, err
 }
 
-// room returns how many bytes of a write go through, and why not all.
-func (f *FS) room(node *inode, p []byte, off int64) (int, error) {
+// writable returns how many bytes of a write succeed, and the error if not all do.
+func (f *FS) writable(node *inode, p []byte, off int64) (int, error) {
 	n, err := len(p), error(nil)
-	if grow := int(off) + n - len(node.seen); f.capacity >= 0 && grow > 0 {
-		if free := f.capacity - f.used(); grow > free {
+	if grow := int(off) + n - len(node.visible); f.capacity >= 0 && grow > 0 {
+		if free := f.capacity - f.usedBytes(); grow > free {
 			n, err = max(0, n-(grow-max(0, free))), syscall.ENOSPC
 		}
 	}
@@ -225,26 +226,26 @@
 	return n, err
 }
 
-// Sync makes the bytes durable. If it fails, they count as clean all the same.
+// Sync makes the bytes durable. If it fails, they count as clean nevertheless.
 func (w *file) Sync() error {
 	f := w.fs
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if w.life != f.life {
+	if w.generation != f.generation {
 		return ErrCrashed
 	}
-	if err := f.step(OpSync); err != nil {
+	if err := f.charge(OpSync); err != nil {
 		if !errors.Is(err, ErrCrashed) {
 			w.node.pending = nil
 		}
 		return err
 	}
 	for _, p := range w.node.pending {
-		w.node.durable = put(w.node.durable, p.data, p.off)
+		w.node.durable = writeRange(w.node.durable, p.data, p.off)
 	}
 	w.node.pending = nil
 	return nil
 }
 
-// Close does nothing: closing syncs nothing.
+// Close does nothing; in particular it does not sync.
 func (w *file) Close() error { return nil }
--- a/coord/wal/format.go
+++ b/coord/wal/format.go
@@ -28,22 +28,22 @@
 	snapshotHeaderSize  = magicSize + 5*8 + IncarnationSize
 	incarnationFileSize = magicSize + IncarnationSize + sumSize
 
-	frameMagic      = 0xa7d3f1c5
-	frameHeaderSize = 3*4 + 4*8 + 4
-	recordHeadSize  = 5
+	frameMagic       = 0xa7d3f1c5
+	frameHeaderSize  = 3*4 + 4*8 + 4
+	recordHeaderSize = 5
 )
 
 // IncarnationSize is the length of an Incarnation in bytes.
 const IncarnationSize = 16
 
-// Incarnation is the random id of one life of a folder. The host draws it; a
-// folder that was wiped comes back under another one.
+// Incarnation is the random id of a folder. The host draws it; a folder that was wiped
+// gets another one.
 type Incarnation [IncarnationSize]byte
 
 // String returns the id in hexadecimal.
 func (i Incarnation) String() string { return fmt.Sprintf("%x", i[:]) }
 
-// Record is one entry of the log. The meaning of type and data is the host's.
+// Record is one entry of the log. The host defines the meaning of Type and Data.
 type Record struct {
 	Type uint8
 	Data []byte
@@ -56,7 +56,7 @@
 	markFrame  frameKind = 2
 )
 
-// frame is the header of a frame; Offset to Chain are as in the package text.
+// frame is the header of a frame; for Offset to Chain see the package comment.
 type frame struct {
 	Kind   frameKind
 	Offset uint64
@@ -67,8 +67,8 @@
 	Length uint32
 }
 
-// segmentHeader opens a segment. PrevEnd is where the frames of the segment
-// before it end; bytes after that are a torn tail.
+// segmentHeader is at the start of a segment. PrevEnd is where the frames of the
+// segment before it end; bytes after that are a truncated tail.
 type segmentHeader struct {
 	Segment uint64
 	NextSeq uint64
@@ -76,8 +76,8 @@
 	PrevEnd uint64
 }
 
-// snapshotHeader opens a snapshot file. Seq is the last batch that was synced
-// when the snapshot was saved.
+// snapshotHeader is at the start of a snapshot file. Seq is the last batch that was
+// synced when the snapshot was saved.
 type snapshotHeader struct {
 	Number uint64
 	Base   uint64
@@ -86,15 +86,15 @@
 	Length uint64
 }
 
-// seedOf binds checksums to folder and file, so that a frame copied from
-// elsewhere, or record data that looks like a frame, is not taken for one.
-func seedOf(id Incarnation, number uint64) uint64 {
+// checksumSeed binds checksums to folder and file, so that a frame copied from
+// elsewhere, or record data that looks like a frame, is not accepted as one.
+func checksumSeed(id Incarnation, number uint64) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64(id[:], number))
 }
 
 func checksum(seed uint64, b []byte) uint64 {
 	d := xxhash.NewWithSeed(seed)
-	_, _ = d.Write(b) // a digest's Write has no error
+	_, _ = d.Write(b) // a digest's Write never fails
 	return d.Sum64()
 }
 
@@ -102,7 +102,7 @@
 	return binary.LittleEndian.AppendUint64(b, checksum(seed, b))
 }
 
-// splitSum checks the sum at the end of b and returns what lies before it.
+// splitSum verifies the checksum at the end of b and returns what precedes it.
 func splitSum(b []byte, seed uint64) ([]byte, bool) {
 	if len(b) < sumSize {
 		return nil, false
@@ -118,10 +118,11 @@
 	return b
 }
 
-func number(b []byte, i int) uint64 { return binary.LittleEndian.Uint64(b[8*i:]) }
+// uint64At returns the number at position i of those encoded in b.
+func uint64At(b []byte, i int) uint64 { return binary.LittleEndian.Uint64(b[8*i:]) }
 
-// sealFrame fills in the header at the start of b, whose payload is there
-// already, and appends the sum.
+// sealFrame fills in the header at the start of b, which already holds the payload, and
+// appends the checksum.
 func sealFrame(b []byte, f frame, seed uint64) []byte {
 	h := binary.LittleEndian.AppendUint32(b[:0], frameMagic)
 	h = binary.LittleEndian.AppendUint32(h, uint32(f.Kind))
@@ -131,8 +132,8 @@
 	return appendSum(b, seed)
 }
 
-// readFrame reads the frame at offset off of a segment. It reports false if
-// there is no whole and valid one.
+// readFrame reads the frame at offset off of a segment. It reports false if there is no
+// complete valid frame.
 func readFrame(b []byte, off int, seed uint64) (f frame, payload []byte, ok bool) {
 	if len(b)-off < frameHeaderSize+sumSize {
 		return f, nil, false
@@ -143,10 +144,10 @@
 	}
 	f = frame{
 		Kind:   frameKind(binary.LittleEndian.Uint32(h[4:])),
-		Offset: number(h[8:], 0),
-		Synced: number(h[8:], 1),
-		Seq:    number(h[8:], 2),
-		Chain:  number(h[8:], 3),
+		Offset: uint64At(h[8:], 0),
+		Synced: uint64At(h[8:], 1),
+		Seq:    uint64At(h[8:], 2),
+		Chain:  uint64At(h[8:], 3),
 		Count:  binary.LittleEndian.Uint32(h[40:]),
 		Length: binary.LittleEndian.Uint32(h[44:]),
 	}
@@ -171,18 +172,19 @@
 	return append(b, r.Data...)
 }
 
-// readRecords returns the records of a batch; their data shares its memory.
+// readRecords appends the records of a batch to out; their data shares payload's
+// memory. It reports false if the records do not match payload exactly.
 func readRecords(out []Record, payload []byte, count uint32) ([]Record, bool) {
 	for range count {
-		if len(payload) < recordHeadSize {
+		if len(payload) < recordHeaderSize {
 			return out, false
 		}
 		n := int(binary.LittleEndian.Uint32(payload[1:]))
-		end := recordHeadSize + n
+		end := recordHeaderSize + n
 		if end > len(payload) {
 			return out, false
 		}
-		out = append(out, Record{Type: payload[0], Data: payload[recordHeadSize:end:end]})
+		out = append(out, Record{Type: payload[0], Data: payload[recordHeaderSize:end:end]})
 		payload = payload[end:]
 	}
 	return out, len(payload) == 0
@@ -190,19 +192,19 @@
 
 func encodeSegmentHeader(h segmentHeader, id Incarnation) []byte {
 	b := appendNumbers([]byte(segmentMagic), h.Segment, h.NextSeq, h.Chain, h.PrevEnd)
-	return appendSum(append(b, id[:]...), seedOf(id, h.Segment))
+	return appendSum(append(b, id[:]...), checksumSeed(id, h.Segment))
 }
 
 func decodeSegmentHeader(b []byte, id Incarnation, segment uint64) (segmentHeader, bool) {
 	if len(b) < segmentHeaderSize {
 		return segmentHeader{}, false
 	}
-	body, ok := splitSum(b[:segmentHeaderSize], seedOf(id, segment))
+	body, ok := splitSum(b[:segmentHeaderSize], checksumSeed(id, segment))
 	if !ok || string(body[:magicSize]) != segmentMagic {
 		return segmentHeader{}, false
 	}
 	n := body[magicSize:]
-	h := segmentHeader{Segment: number(n, 0), NextSeq: number(n, 1), Chain: number(n, 2), PrevEnd: number(n, 3)}
+	h := segmentHeader{Segment: uint64At(n, 0), NextSeq: uint64At(n, 1), Chain: uint64At(n, 2), PrevEnd: uint64At(n, 3)}
 	return h, h.Segment == segment
 }
 
@@ -210,16 +212,16 @@
 	b := make([]byte, 0, snapshotHeaderSize+len(data)+sumSize)
 	b = appendNumbers(append(b, snapshotMagic...), h.Number, h.Base, h.Index, h.Seq, h.Length)
 	b = append(append(b, id[:]...), data...)
-	return appendSum(b, seedOf(id, h.Number))
+	return appendSum(b, checksumSeed(id, h.Number))
 }
 
 func decodeSnapshot(b []byte, id Incarnation, num uint64) (snapshotHeader, []byte, bool) {
-	body, ok := splitSum(b, seedOf(id, num))
+	body, ok := splitSum(b, checksumSeed(id, num))
 	if !ok || len(body) < snapshotHeaderSize || string(body[:magicSize]) != snapshotMagic {
 		return snapshotHeader{}, nil, false
 	}
 	n := body[magicSize:]
-	h := snapshotHeader{Number: number(n, 0), Base: number(n, 1), Index: number(n, 2), Seq: number(n, 3), Length: number(n, 4)}
+	h := snapshotHeader{Number: uint64At(n, 0), Base: uint64At(n, 1), Index: uint64At(n, 2), Seq: uint64At(n, 3), Length: uint64At(n, 4)}
 	data := body[snapshotHeaderSize:]
 	return h, data, h.Number == num && h.Length == uint64(len(data))
 }
--- a/coord/wal/osfs.go
+++ b/coord/wal/osfs.go
@@ -16,10 +16,10 @@
 // OS is the file system of the operating system.
 type OS struct{}
 
-// MkdirAll makes a folder and syncs the parent of each that it made, and the
-// parent of dir in any case, as an earlier process may have been killed between.
-// Without that, a crash can take the folder away with all the synced files in
-// it, and the voter would come back as a new one.
+// MkdirAll creates a folder and syncs the parent of each that it creates, and the
+// parent of dir in any case, as an earlier process may have been killed in between.
+// Without that, a crash can remove the folder with all the synced files in it, and the
+// voter would come back as a new one.
 func (o OS) MkdirAll(dir string) error {
 	parent := filepath.Dir(dir)
 	if info, err := os.Stat(dir); err == nil && info.IsDir() {
@@ -36,7 +36,7 @@
 	return o.SyncDir(parent)
 }
 
-// Lock takes the file at path by flock, which ends with the process.
+// Lock locks the file at path by flock, which ends with the process.
 func (OS) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, filePerm)
 	if err != nil {
@@ -62,10 +62,10 @@
 	return names, nil
 }
 
-// ReadFile returns the whole content of a file.
+// ReadFile returns the whole contents of a file.
 func (OS) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// Create makes an empty file for writing.
+// Create creates an empty file for writing.
 func (OS) Create(path string) (File, error) {
 	return openFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC)
 }
@@ -84,13 +84,13 @@
 	return f, nil
 }
 
-// Rename moves a file over another one.
+// Rename moves a file, replacing one at to.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OS) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir makes the entries of a folder durable.
+// SyncDir makes the directory entries of a folder durable.
 func (OS) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
--- a/coord/wal/recover.go
+++ b/coord/wal/recover.go
@@ -11,39 +11,39 @@
 	"github.com/juju/errors"
 )
 
-// Recovered is what Open found.
+// Recovered is what Open found in the folder.
 type Recovered struct {
-	// New says that the folder held no log: the host remembers nothing.
+	// New says that the folder held no log: nothing is remembered.
 	New bool
 	// Incarnation is the id of the folder.
 	Incarnation Incarnation
 	// Snapshot is the newest one, or nil.
 	Snapshot *Snapshot
-	// Records are those from the snapshot's base on, in the order of Append.
+	// Records are those from the snapshot's base segment on, in the order of Append.
 	Records []Record
-	// Torn is the tail that was cut, or nil. See the package text on what it
-	// may hide.
+	// Truncated is the tail that was dropped, or nil. See the package comment on what
+	// it may have held.
 	Truncated *TruncatedTail
 }
 
-// Torn is a tail that was never marked as synced and can't be read.
+// TruncatedTail is an unreadable tail that was never marked as synced.
 type TruncatedTail struct {
-	// File and Offset say where it begins.
+	// File and Offset are where it begins.
 	File   string
 	Offset int64
-	// Bytes is its length.
+	// Bytes is its length in bytes.
 	Bytes int64
 }
 
-// folder is the files of a log by kind, numbers rising.
-type folder struct {
+// folderFiles lists the files of a log by kind, with ascending numbers.
+type folderFiles struct {
 	segments, snapshots []uint64
 	temps               []string
 	incarnation         bool
 }
 
-func sortNames(names []string) folder {
-	var f folder
+func classifyNames(names []string) folderFiles {
+	var f folderFiles
 	for _, name := range names {
 		if num, ok := parseName(name, segmentSuffix); ok {
 			f.segments = append(f.segments, num)
@@ -61,13 +61,13 @@
 	return f
 }
 
-// Open takes the folder for this process, makes it if need be, and recovers
-// what it holds. The error is a LockedError, a CorruptError, a PoisonedError if
-// the repair of the tail failed, an ArgumentError, or the file system's.
+// Open locks the folder for this process, creates it if needed, and recovers its
+// contents. The error is a LockedError, a CorruptError, a PoisonedError if repairing
+// the tail failed, an ArgumentError, or one of the file system.
 func Open(fs FS, dir string, opt Options) (*Log, Recovered, error) {
-	l := &Log{fs: fs, dir: dir, limit: opt.SegmentBytes}
-	if l.limit <= 0 {
-		l.limit = DefaultSegmentBytes
+	l := &Log{fs: fs, dir: dir, segmentLimit: opt.SegmentBytes}
+	if l.segmentLimit <= 0 {
+		l.segmentLimit = DefaultSegmentBytes
 	}
 	l.resetBuffer()
 	if err := fs.MkdirAll(dir); err != nil {
@@ -91,16 +91,16 @@
 	if err != nil {
 		return Recovered{}, errors.Annotatef(err, "list %s", l.dir)
 	}
-	f := sortNames(names)
+	f := classifyNames(names)
 	if !f.incarnation {
 		return l.create(f, id)
 	}
 	return l.recover(f)
 }
 
-// create makes a new log. The incarnation comes last: as long as it's missing,
-// no Open has returned, and a first segment without frames holds nothing.
-func (l *Log) create(f folder, id Incarnation) (Recovered, error) {
+// create creates a new log. The incarnation is written last: while it is missing, no
+// Open has returned, and a first segment without frames holds nothing.
+func (l *Log) create(f folderFiles, id Incarnation) (Recovered, error) {
 	if err := l.checkEmpty(f); err != nil {
 		return Recovered{}, err
 	}
@@ -117,9 +117,9 @@
 	return Recovered{New: true, Incarnation: id}, nil
 }
 
-// checkEmpty tells a folder that was never in use from one that lost its
-// incarnation.
-func (l *Log) checkEmpty(f folder) error {
+// checkEmpty distinguishes a folder that was never used from one that lost its
+// incarnation, for which it returns a CorruptError.
+func (l *Log) checkEmpty(f folderFiles) error {
 	lost := len(f.snapshots) > 0 || len(f.segments) > 1
 	if len(f.segments) == 1 {
 		b, err := l.fs.ReadFile(l.segmentPath(f.segments[0]))
@@ -135,7 +135,7 @@
 }
 
 // recover reads everything first and writes only if nothing is damaged.
-func (l *Log) recover(f folder) (Recovered, error) {
+func (l *Log) recover(f folderFiles) (Recovered, error) {
 	if err := l.readIncarnation(); err != nil {
 		return Recovered{}, err
 	}
@@ -144,7 +144,7 @@
 		return Recovered{}, err
 	}
 	s := scan{log: l, records: &rec.Records}
-	if err := s.segments(f.segments, max(1, l.snapshot.Base)); err != nil {
+	if err := s.readSegments(f.segments, max(1, l.snapshot.Base)); err != nil {
 		return Recovered{}, err
 	}
 	if s.seq < l.snapshot.Seq {
@@ -159,7 +159,7 @@
 			return Recovered{}, err
 		}
 	}
-	return rec, l.resume(&s)
+	return rec, l.continueAt(&s)
 }
 
 func (l *Log) readIncarnation() error {
@@ -176,9 +176,9 @@
 	return nil
 }
 
-// readSnapshot reads the newest snapshot. An older one is no substitute: the
-// segments after it may be gone.
-func (l *Log) readSnapshot(f folder, rec *Recovered) error {
+// readSnapshot reads the newest snapshot. An older one cannot replace it: the segments
+// after that may have been removed.
+func (l *Log) readSnapshot(f folderFiles, rec *Recovered) error {
 	if len(f.snapshots) == 0 {
 		return nil
 	}
@@ -196,10 +196,10 @@
 	return nil
 }
 
-// resume makes the found end durable and goes on after it. The folder is synced
-// for the same reason: a segment or snapshot whose rename was never synced can
-// be seen after a kill of the process, but not after a power loss.
-func (l *Log) resume(s *scan) error {
+// continueAt makes the end that was found durable and continues after it. It also syncs
+// the folder: a segment or snapshot whose rename was never synced can be visible after
+// a kill of the process, but not after a power loss.
+func (l *Log) continueAt(s *scan) error {
 	if err := l.fs.SyncDir(l.dir); err != nil {
 		return l.fail("sync", l.dir, err)
 	}
@@ -208,12 +208,12 @@
 	if err != nil {
 		return l.fail("open", path, err)
 	}
-	l.file, l.segment, l.seed = file, s.segment, seedOf(l.id, s.segment)
+	l.file, l.segment, l.seed = file, s.segment, checksumSeed(l.id, s.segment)
 	l.size, l.synced, l.seq = s.end, s.synced, s.seq
 	l.chain, l.durable = s.chain, s.durable
 	l.stats.Segment = s.segment
 	if !s.marked {
-		if err := l.rewrite(s.content[s.synced:s.end]); err != nil {
+		if err := l.rewriteLastBatch(s.content[s.synced:s.end]); err != nil {
 			return err
 		}
 	}
@@ -226,11 +226,10 @@
 	return nil
 }
 
-// rewrite makes the unmarked last batch durable. It can be read, but only from
-// the operating system's cache: if its sync had failed, the pages count as
-// clean and no later sync would write them. Writing the same bytes makes them
-// dirty again.
-func (l *Log) rewrite(tail []byte) error {
+// rewriteLastBatch makes the unmarked last batch durable. It can be read, but perhaps
+// only from the operating system's cache: if its sync failed, the pages count as clean
+// and no later sync would write them. Writing the same bytes makes them dirty again.
+func (l *Log) rewriteLastBatch(tail []byte) error {
 	if _, err := l.file.WriteAt(tail, l.synced); err != nil {
 		return l.fail("write", l.segmentPath(l.segment), err)
 	}
@@ -241,22 +240,22 @@
 	return nil
 }
 
-// scan walks over the segments of a folder.
+// scan reads the segments of a folder in order.
 type scan struct {
 	log     *Log
 	records *[]Record
 	segment uint64
 	content []byte
-	end     int64  // of the last valid frame
+	end     int64  // end of the last valid frame
 	synced  int64  // everything before it is known to be durable
 	marked  bool   // the last frame is a mark
 	seq     uint64 // of the last batch
-	chain   uint64 // sum of the last frame or header
-	durable uint64 // sum of the last frame or header before synced
+	chain   uint64 // checksum of the last frame or header
+	durable uint64 // checksum of the last frame or header before synced
 }
 
-// segments reads those from base on, which must be there without a gap.
-func (s *scan) segments(numbers []uint64, base uint64) error {
+// readSegments reads the segments from base on, which must be present without a gap.
+func (s *scan) readSegments(numbers []uint64, base uint64) error {
 	from, _ := slices.BinarySearch(numbers, base)
 	numbers = numbers[from:]
 	if len(numbers) == 0 {
@@ -271,13 +270,13 @@
 			return err
 		}
 		if i > 0 {
-			if err := s.finish(h); err != nil {
+			if err := s.finishSegment(h); err != nil {
 				return err
 			}
 		}
-		s.begin(b, h)
+		s.startSegment(b, h)
 	}
-	return s.frames()
+	return s.readFrames()
 }
 
 func (s *scan) readSegment(num uint64) ([]byte, segmentHeader, error) {
@@ -293,20 +292,20 @@
 	return b, h, nil
 }
 
-func (s *scan) begin(b []byte, h segmentHeader) {
+func (s *scan) startSegment(b []byte, h segmentHeader) {
 	s.segment, s.content = h.Segment, b
 	s.end, s.synced, s.marked = segmentHeaderSize, segmentHeaderSize, false
-	s.seq, s.chain = h.NextSeq-1, number(b[segmentHeaderSize-sumSize:], 0)
+	s.seq, s.chain = h.NextSeq-1, uint64At(b[segmentHeaderSize-sumSize:], 0)
 	s.durable = s.chain
 }
 
-// finish reads the segment that next follows on. All up to the end that next
-// states was synced before next began, so whatever is wrong there is damage;
-// bytes after it are a lost mark or a tail that an earlier Open has cut.
-func (s *scan) finish(next segmentHeader) error {
+// finishSegment reads the segment that next follows on. All up to the end that next
+// states was synced before next began, so any error there is damage; bytes after it are
+// a lost mark or a tail that an earlier Open dropped.
+func (s *scan) finishSegment(next segmentHeader) error {
 	attested := int64(next.PrevEnd)
 	s.content = s.content[:min(attested, int64(len(s.content)))]
-	if err := s.frames(); err != nil {
+	if err := s.readFrames(); err != nil {
 		return err
 	}
 	if attested == s.end && next.NextSeq == s.seq+1 && next.Chain == s.chain {
@@ -316,21 +315,21 @@
 		Reason: fmt.Sprintf("readable up to here, but the next segment says that it ended at %d", attested)}
 }
 
-func (s *scan) frames() error {
-	seed := seedOf(s.log.id, s.segment)
+func (s *scan) readFrames() error {
+	seed := checksumSeed(s.log.id, s.segment)
 	for s.end < int64(len(s.content)) {
 		f, payload, ok := readFrame(s.content, int(s.end), seed)
 		if !ok {
 			return s.checkTail(seed)
 		}
-		if err := s.take(f, payload); err != nil {
+		if err := s.addFrame(f, payload); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *scan) take(f frame, payload []byte) error {
+func (s *scan) addFrame(f frame, payload []byte) error {
 	corrupt := func(reason string) error {
 		return &CorruptError{File: s.log.segmentPath(s.segment), Offset: s.end, Reason: reason}
 	}
@@ -349,7 +348,7 @@
 	s.synced = int64(f.Synced)
 	s.marked = f.Kind == markFrame
 	s.seq, s.end = f.Seq, f.end()
-	s.chain = number(s.content[s.end-sumSize:], 0)
+	s.chain = uint64At(s.content[s.end-sumSize:], 0)
 	s.durable = s.chain
 	if s.marked {
 		s.durable = f.Chain
@@ -357,10 +356,10 @@
 	return nil
 }
 
-// checkTail decides whether the bytes from the end of the last valid frame on
-// can be a torn write. They can't if a later frame says that they were synced:
-// sectors of one unsynced write reach the disk in any order, so a valid frame
-// behind a bad one is not enough, but its synced offset is.
+// checkTail decides whether the bytes from the end of the last valid frame on can be an
+// interrupted write. They cannot if a later frame attests that they were synced: the
+// sectors of one unsynced write reach the disk in any order, so a valid frame after a
+// bad one is not enough, but its synced offset is.
 func (s *scan) checkTail(seed uint64) error {
 	magic := binary.LittleEndian.AppendUint32(nil, frameMagic)
 	for off := int(s.end) + 1; ; off++ {
--- a/coord/wal/snapshot.go
+++ b/coord/wal/snapshot.go
@@ -4,23 +4,23 @@
 
 // Snapshot is the newest saved snapshot of a folder.
 type Snapshot struct {
-	// Index is the host's: what the data covers.
+	// Index is set by the host: the last index that Data covers.
 	Index uint64
-	// Data is the host's.
+	// Data is the host's state.
 	Data []byte
 }
 
-// SaveSnapshot makes a snapshot durable by write, sync, rename and sync of the
-// folder. From then on, Open doesn't read the segments before base, which is
-// the number that a Rotate returned: whatever of them is needed beside data
-// must have been appended again after that Rotate, and is synced here first.
-// The error is an ArgumentError or a PoisonedError.
+// SaveSnapshot makes a snapshot durable by write, sync, rename and sync of the folder.
+// From then on, Open does not read the segments before base, a number that Rotate
+// returned: the records of those segments that are needed besides the snapshot must
+// have been appended again after that Rotate, and are synced here first. The error is
+// an ArgumentError or a PoisonedError.
 func (l *Log) SaveSnapshot(base uint64, s Snapshot) error {
 	if err := l.Sync(); err != nil {
 		return err
 	}
-	if l.poison != nil {
-		return l.poison
+	if l.poisoned != nil {
+		return l.poisoned
 	}
 	if base > l.segment || base < max(1, l.snapshot.Base) {
 		return &ArgumentError{Reason: fmt.Sprintf("a snapshot can't begin at segment %d: the log has %d to %d",
@@ -37,18 +37,18 @@
 	return nil
 }
 
-// Compact removes the segments and snapshots that the newest snapshot makes
-// needless. Its rename was synced before, so a crash at any point leaves
-// either all that is needed or more. The error is a PoisonedError.
+// Compact removes the segments and snapshots that the newest snapshot supersedes. The
+// snapshot's rename was synced before, so a crash at any point leaves all that is
+// needed, or more. The error is a PoisonedError.
 func (l *Log) Compact() error {
-	if l.poison != nil {
-		return l.poison
+	if l.poisoned != nil {
+		return l.poisoned
 	}
 	names, err := l.fs.List(l.dir)
 	if err != nil {
 		return l.fail("list", l.dir, err)
 	}
-	f := sortNames(names)
+	f := classifyNames(names)
 	for _, num := range f.segments {
 		if num < l.snapshot.Base {
 			if err := l.remove(l.segmentPath(num)); err != nil {
--- a/coord/wal/wal_test.go
+++ b/coord/wal/wal_test.go
@@ -17,21 +17,21 @@
 
 const dir = "/data/wal"
 
-var errDisk = errors.New("planted fault of the disk")
+var errDisk = errors.New("injected disk fault")
 
-// model is what a log must be found to hold.
+// model holds what a recovery must find.
 type model struct {
-	t        *rapid.T
-	fs       *faultfs.FS
-	log      *wal.Log
-	lives    byte // incarnations handed to Open
-	created  bool
-	next     uint64   // id of the next record
-	acked    []uint64 // ids, oldest first
-	inFlight []uint64 // ids appended since the last acknowledged sync
-	rotated  map[uint64]int
-	base     uint64 // segment of the newest acknowledged snapshot, 0 if none
-	trying   uint64 // segment of a snapshot that was begun, 0 if none
+	t               *rapid.T
+	fs              *faultfs.FS
+	log             *wal.Log
+	openCount       byte // calls of Open, used as incarnations
+	created         bool
+	nextID          uint64   // id of the next record
+	acked           []uint64 // ids, oldest first
+	unsynced        []uint64 // ids appended since the last acknowledged sync
+	rotated         map[uint64]int
+	snapshotSegment uint64 // segment of the newest acknowledged snapshot, 0 if none
+	pendingSnapshot uint64 // segment of a snapshot whose save was begun, 0 if none
 }
 
 func record(id uint64) wal.Record {
@@ -42,15 +42,15 @@
 func idOf(r wal.Record) uint64 { return binary.LittleEndian.Uint64(r.Data) }
 
 func (m *model) open() {
-	m.lives++
-	l, rec, err := wal.Open(m.fs, dir, wal.Options{Incarnation: wal.Incarnation{m.lives}, SegmentBytes: 700})
+	m.openCount++
+	l, rec, err := wal.Open(m.fs, dir, wal.Options{Incarnation: wal.Incarnation{m.openCount}, SegmentBytes: 700})
 	if err != nil {
 		m.t.Fatalf("open after a crash: %v", err)
 	}
 	if rec.New && m.created {
-		m.t.Fatalf("a folder in use was taken for a new one")
+		m.t.Fatalf("a folder in use was treated as a new one")
 	}
-	if rec.New && rec.Incarnation != (wal.Incarnation{m.lives}) {
+	if rec.New && rec.Incarnation != (wal.Incarnation{m.openCount}) {
 		m.t.Fatalf("created under %v", rec.Incarnation)
 	}
 	m.created = true
@@ -58,17 +58,17 @@
 	m.compare(rec)
 }
 
-// compare checks a recovery: everything acknowledged, in order, then at most
-// the records in flight, whole or not at all.
+// compare checks a recovery: everything acknowledged, in order, then the unsynced
+// records as a whole or none of them.
 func (m *model) compare(rec wal.Recovered) {
-	base := m.base
+	base := m.snapshotSegment
 	if rec.Snapshot == nil && base != 0 {
 		m.t.Fatalf("the snapshot of segment %d is gone", base)
 	}
 	if rec.Snapshot != nil {
 		got := binary.LittleEndian.Uint64(rec.Snapshot.Data)
-		if got != m.base && (got != m.trying || got == 0) {
-			m.t.Fatalf("found the snapshot of segment %d; acknowledged %d, begun %d", got, m.base, m.trying)
+		if got != m.snapshotSegment && (got != m.pendingSnapshot || got == 0) {
+			m.t.Fatalf("found the snapshot of segment %d; acknowledged %d, begun %d", got, m.snapshotSegment, m.pendingSnapshot)
 		}
 		base = got
 	}
@@ -80,30 +80,30 @@
 		}
 		got = append(got, idOf(r))
 	}
-	all := append(slices.Clone(m.acked), m.inFlight...)
+	all := append(slices.Clone(m.acked), m.unsynced...)
 	switch {
 	case slices.Equal(got, m.acked[from:]):
 	case slices.Equal(got, all[from:]):
 		m.acked = all
 	default:
-		m.t.Fatalf("found %v; acknowledged %v, in flight %v", got, m.acked[from:], m.inFlight)
+		m.t.Fatalf("found %v; acknowledged %v, unsynced %v", got, m.acked[from:], m.unsynced)
 	}
-	m.base, m.trying, m.inFlight = base, 0, nil
+	m.snapshotSegment, m.pendingSnapshot, m.unsynced = base, 0, nil
 }
 
 func (m *model) appendSome() {
 	for range rapid.IntRange(1, 4).Draw(m.t, "records") {
-		if m.log.Append(record(m.next)) == nil {
-			m.inFlight = append(m.inFlight, m.next)
-			m.next++
+		if m.log.Append(record(m.nextID)) == nil {
+			m.unsynced = append(m.unsynced, m.nextID)
+			m.nextID++
 		}
 	}
 }
 
 func (m *model) sync() {
 	if m.log.Sync() == nil {
-		m.acked = append(m.acked, m.inFlight...)
-		m.inFlight = nil
+		m.acked = append(m.acked, m.unsynced...)
+		m.unsynced = nil
 	}
 }
 
@@ -121,10 +121,10 @@
 		return
 	}
 	m.rotated[num] = len(m.acked)
-	m.trying = num
+	m.pendingSnapshot = num
 	data := binary.LittleEndian.AppendUint64(nil, num)
 	if m.log.SaveSnapshot(num, wal.Snapshot{Index: num, Data: data}) == nil {
-		m.base, m.trying = num, 0
+		m.snapshotSegment, m.pendingSnapshot = num, 0
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-func (m *model) plant() {
+func (m *model) injectFault() {
 	switch rapid.IntRange(0, 3).Draw(m.t, "fault") {
 	case 0:
 		m.fs.CrashAfter(rapid.IntRange(0, 900).Draw(m.t, "budget"))
@@ -150,18 +150,17 @@
 	}
 }
 
-// Symptom: a voter forgets a vote or an entry that it acknowledged, or comes
-// back with one that nobody gave it.
-// Events: any interleaving of append, sync, rotate, snapshot and compact, a
-// crash at any byte, a failing or full disk, restart; again and again.
-// Cause: a file or folder not synced before the answer, a sync tried again, a
-// torn batch taken for whole, a segment removed too early.
+// Guards against a voter that forgets a vote or an entry that it acknowledged, or finds
+// one that nobody gave it. Appends, syncs, rotations, snapshots and compactions are
+// interleaved with crashes at any byte, a failing or full disk, and restarts. Causes
+// would be a file or folder not synced before the answer, a retried sync, a partial
+// batch taken for whole, or a segment removed too early.
 func TestCrashAtAnyByteKeepsWhatWasAcknowledged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, fs: faultfs.New(), rotated: map[uint64]int{}}
 		for range rapid.IntRange(1, 6).Draw(t, "lives") {
 			if rapid.Bool().Draw(t, "fault while opening") {
-				m.plant()
+				m.injectFault()
 				if l, _, err := wal.Open(m.fs, dir, wal.Options{Incarnation: wal.Incarnation{99}}); err == nil {
 					m.created = true
 					_ = l.Close()
@@ -169,7 +168,7 @@
 				m.crash()
 			}
 			m.open()
-			m.plant()
+			m.injectFault()
 			for range rapid.IntRange(0, 25).Draw(t, "steps") {
 				switch rapid.IntRange(0, 9).Draw(t, "step") {
 				case 0:
@@ -191,9 +190,8 @@
 	})
 }
 
-// Symptom: a voter acknowledges what is not on its disk.
-// Events: an operation of the disk fails once, then works again.
-// Cause: the log goes on after a failure, or tries a sync again.
+// Guards against acknowledging what is not on disk: a disk operation fails once, then
+// works again. The log must neither continue after a failure nor retry a sync.
 func TestFailedDiskPoisonsTheLog(t *testing.T) {
 	faults := map[string]func(*faultfs.FS){
 		"write":     func(f *faultfs.FS) { f.Fail(faultfs.OpWrite, 0, errDisk) },
@@ -220,11 +218,10 @@
 	}
 }
 
-// Symptom: two processes write one folder, and each overwrites what the other
-// one acknowledged.
-// Events: a second process is started on the folder while the first one runs.
-// Cause: a folder that is opened without a lock, or a lock that is not released.
-func TestSecondHolderIsTurnedAwayOnARealDisk(t *testing.T) {
+// Guards against two processes that write one folder and overwrite each other's
+// acknowledged data. The folder is locked while it is open, and the lock is released on
+// Close.
+func TestSecondHolderIsRejectedOnARealDisk(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "a", "b")
 	opt := wal.Options{Incarnation: wal.Incarnation{3}}
 	l, rec, err := wal.Open(wal.OS{}, folder, opt)
@@ -244,12 +241,11 @@
 	}
 }
 
-// Symptom: a batch that an earlier start had cut is there at a later one.
-// Events: power is lost in a sync; the mark of the batch before is lost and the
-// batch itself kept, so it's cut. The mark is written anew and the next start
-// finds the old batch in its place behind it.
-// Cause: a log that goes on in the segment whose tail it has cut.
-func TestCutTailStaysCut(t *testing.T) {
+// Guards against a dropped batch that comes back at a later start. Power is lost in a
+// sync; the mark of the batch before is lost and the batch itself kept, so it is
+// dropped. If the log continued in the same segment, the mark would be written again
+// and the next start would find the old batch after it.
+func TestDroppedTailStaysDropped(t *testing.T) {
 	fs := faultfs.New()
 	l, _, err := wal.Open(fs, dir, wal.Options{Incarnation: wal.Incarnation{1}})
 	if err = errors.Join(err, l.Append(record(1)), l.Sync(), l.Append(record(2))); err != nil {
