--- a/coord/registry/types.go
+++ b/coord/registry/types.go
@@ -12,20 +12,20 @@
 	// Tag is the first byte of a command. No CBOR map and no JSON text begins
 	// with it, so a log that holds entries of those kinds can hold commands too.
 	Tag byte = 0x00
-	// MaxGroups bounds the names that are remembered.
+	// MaxGroups bounds the number of names in the table.
 	MaxGroups = 1 << 12
-	// MaxName bounds a name, in bytes.
+	// MaxNameBytes bounds the length of a name.
 	MaxNameBytes = 256
-	// MaxReplaced bounds the replaced numbers that are remembered for a name. A
-	// number that was forgotten counts as a new one, which has to wait.
+	// MaxReplaced bounds the replaced numbers kept for a name. A number that was
+	// dropped counts as a new one, which has to wait.
 	MaxReplaced = 64
 	// MaxLifetime bounds the lifetime of records.
 	MaxLifetime = 30 * 24 * time.Hour
 )
 
-// Register asks for a group's right to serve.
+// Register is the command that requests a group's right to serve.
 type Register struct {
-	// Name of the group, the same after each loss.
+	// Name is the group's name, the same after each loss.
 	Name string `cbor:"1,keyasint"`
 	// Group is the number that the log was formed under; not 0.
 	Group uint64 `cbor:"2,keyasint"`
@@ -44,7 +44,7 @@
 	Invalid Reply = iota
 	// Granted: the group may serve after Wait.
 	Granted
-	// Replaced: another group took the name since; this one never serves.
+	// Replaced: another group has taken the name since; this one must never serve.
 	Replaced
 	// Full: there is no room for another name. Nothing changed.
 	Full
@@ -60,28 +60,28 @@
 	return "unknown"
 }
 
-// Result answers a Register.
+// Result is the result of a Register.
 type Result struct {
 	Reply Reply `cbor:"1,keyasint"`
 	// Group is the number that holds the name now.
 	Group uint64 `cbor:"2,keyasint"`
 	// Lost is the number of the group whose state was lost; 0 if none was.
 	Lost uint64 `cbor:"3,keyasint,omitempty"`
-	// WaitSeconds is how long the group must not serve after the answer.
+	// WaitSeconds is how long the group must not serve after it received the result.
 	WaitSeconds uint32 `cbor:"4,keyasint,omitempty"`
-	// BlockedUntil is the end of the wait by the table's clock, in Unix
-	// milliseconds, for reports; 0 without a wait.
+	// BlockedUntil is the end of the wait by the table's clock, in Unix milliseconds,
+	// for reports; 0 without a wait.
 	BlockedUntil int64 `cbor:"5,keyasint,omitempty"`
-	// Losses counts how often the state under the name was lost.
+	// Losses is how often the state under the name was lost.
 	Losses uint32 `cbor:"6,keyasint,omitempty"`
-	// Message says what was malformed, for Invalid.
+	// Message says what is malformed, for Invalid.
 	Message string `cbor:"7,keyasint,omitempty"`
 }
 
-// Wait is how long the group must not serve after the answer.
+// Wait returns how long the group must not serve after it received the result.
 func (r Result) Wait() time.Duration { return time.Duration(r.WaitSeconds) * time.Second }
 
-// Encode writes a command for the log.
+// Encode returns a command as an entry for the log.
 func Encode(r Register) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
@@ -90,10 +90,11 @@
 	return append([]byte{Tag}, body...), nil
 }
 
-// IsCommand reports whether an entry of a shared log is one of this package.
+// IsCommand reports whether an entry of a shared log is a command of this package.
 func IsCommand(entry []byte) bool { return bytes.HasPrefix(entry, []byte{Tag}) }
 
-// Decode reads and checks a command.
+// Decode decodes and checks a command. It returns an error for an entry without Tag,
+// malformed CBOR or a field out of bounds.
 func Decode(entry []byte) (Register, error) {
 	var r Register
 	if !IsCommand(entry) {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// DecodeResult reads what Apply returned.
+// DecodeResult decodes what Apply returned.
 func DecodeResult(b []byte) (Result, error) {
 	var r Result
 	err := cbor.Unmarshal(b, &r)
