--- a/coord/replog/api.go
+++ b/coord/replog/api.go
@@ -33,7 +33,7 @@
 	ElectionTimeout time.Duration
 	// MaxDrift bounds how much the rate of each node's monotonic clock differs from
 	// true time, as a fraction; default 0.01. It must be the same at all nodes. A clock
-	// outside the bound breaks leases, not the log.
+	// outside the bound makes leases unsafe, but not the log.
 	MaxDrift float64
 	// MaxAppendBytes bounds the entry data of one append message (a single entry always
 	// fits); default 256 KiB.
--- a/coord/replog/large_test.go
+++ b/coord/replog/large_test.go
@@ -61,10 +61,10 @@
 }
 
 // Guards against sending a large entry repeatedly though no message is lost. The entry
-// takes longer than a heartbeat; the heartbeat's answer let a short append go out,
-// which overtook the entry and was rejected, and the entry was sent again: 31 times to
-// each member in this test. The links were full of copies, and later proposals were
-// committed seconds late.
+// takes longer than a heartbeat, whose answer lets a short append go out; that
+// overtakes the entry and is rejected, and the entry is sent again, without the guard
+// 31 times to each member in this test. The links are then full of copies, and later
+// proposals are committed seconds late.
 func TestLargeEntryIsSentOnceToEachMember(t *testing.T) {
 	s, leader, sent := newSlowLargeEntrySim(t)
 	position := propose(t, s, leader, largeBytes)
--- a/coord/replog/members.go
+++ b/coord/replog/members.go
@@ -81,8 +81,8 @@
 	if n.role != Leader || m.ID == n.opts.Self.ID {
 		return
 	}
-	held, ok := n.log.config().config.Lookup(m.ID)
-	if ok && held != m && !n.isActive(n.lead.peers[held]) {
+	current, ok := n.log.config().config.Lookup(m.ID)
+	if ok && current != m && !n.isActive(n.lead.peers[current]) {
 		n.lead.otherIncarnations[m.ID] = m
 	}
 }
@@ -93,7 +93,7 @@
 	conf := n.log.config().config
 	for _, id := range slices.Sorted(maps.Keys(n.lead.otherIncarnations)) {
 		m := n.lead.otherIncarnations[id]
-		if held, ok := conf.Lookup(id); ok && held != m && !n.isActive(n.lead.peers[held]) {
+		if current, ok := conf.Lookup(id); ok && current != m && !n.isActive(n.lead.peers[current]) {
 			out = append(out, m)
 		}
 	}
