--- a/bundle/newest/parts_test.go
+++ b/bundle/newest/parts_test.go
@@ -66,7 +66,7 @@
 			s := lines(t, longText(v, rapid.IntRange(0, 600).Draw(t, "lines")))
 			digests := m.Missing(&s.Manifest)
 			left := rapid.IntRange(0, len(digests)).Draw(t, "pieces that do not come")
-			packed := s.PackOf(digests[:len(digests)-left])
+			packed := s.PackPieces(digests[:len(digests)-left])
 			if len(packed) > 0 {
 				m.Apply(uint64(3*index+1), parts(t, packed))
 			}
@@ -102,12 +102,12 @@
 	m := newest.NewMachine(nil)
 	s := lines(t, longText(3, 800))
 	all := m.Missing(&s.Manifest)
-	m.Apply(1, parts(t, s.PackOf(all[:len(all)/2])))
+	m.Apply(1, parts(t, s.PackPieces(all[:len(all)/2])))
 	rest := m.Missing(&s.Manifest)
 	if len(all) < 4 || len(rest) != len(all)-len(all)/2 {
 		t.Fatalf("%d pieces are left of %d", len(rest), len(all))
 	}
-	m.Apply(2, parts(t, s.PackOf(rest)))
+	m.Apply(2, parts(t, s.PackPieces(rest)))
 	if got := missing(t, m.Apply(3, offerOf(t, 3, s))); got != 0 || m.State().Version != 3 {
 		t.Fatalf("version %d, %d pieces missing", m.State().Version, got)
 	}
@@ -123,7 +123,7 @@
 func TestStagedPiecesAreBounded(t *testing.T) {
 	m := newest.NewMachine(nil)
 	first := lines(t, longText(1, 200))
-	m.Apply(1, parts(t, first.PackOf(m.Missing(&first.Manifest))))
+	m.Apply(1, parts(t, first.PackPieces(m.Missing(&first.Manifest))))
 	block := make([]byte, 1<<20)
 	for k := range 9 {
 		for at := range block {
--- a/coord/link/conn.go
+++ b/coord/link/conn.go
@@ -70,7 +70,7 @@
 }
 
 func (c *conn) deliver(f *frame) {
-	if !c.p.hub.o.Allow(c.p.id) {
+	if !c.p.hub.o.AllowPeer(c.p.id) {
 		c.p.hub.counters.cutIn.Add(1)
 		return
 	}
@@ -111,9 +111,9 @@
 	silent := time.Duration(now.UnixNano() - c.lastRead.Load())
 	idle := time.Duration(now.UnixNano() - c.lastBatch.Load())
 	unanswered := c.lastWrite.Load() > c.lastRead.Load() && silent > o.PingAfter
-	due := o.IdlePing > 0 && silent > o.IdlePing
+	due := o.IdlePingInterval > 0 && silent > o.IdlePingInterval
 	switch {
-	case c.dialed && o.IdleClose > 0 && idle > o.IdleClose:
+	case c.dialed && o.IdleTimeout > 0 && idle > o.IdleTimeout:
 		c.close()
 	case c.dialed && !used && idle > duplicateIdle:
 		c.close()
--- a/coord/link/hub.go
+++ b/coord/link/hub.go
@@ -72,7 +72,7 @@
 		calls:    newCalls(o.Rand.Uint64()),
 		buffers:  sync.Pool{New: func() any { return new(bytes.Buffer) }},
 	}
-	for _, name := range o.Urgent {
+	for _, name := range o.UrgentChannels {
 		h.urgent[name] = true
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
@@ -118,7 +118,7 @@
 
 // Forget drops a peer that will not come back, with its connections and what
 // waits for it. A later Send makes it anew.
-func (h *Hub) Forget(id string) {
+func (h *Hub) RemovePeer(id string) {
 	h.mu.Lock()
 	p := h.peers[id]
 	delete(h.peers, id)
@@ -183,7 +183,7 @@
 // accept turns a request of a peer into a connection and reads it to its end.
 func (h *Hub) accept(w http.ResponseWriter, r *http.Request) {
 	id, err := h.peerOf(r)
-	if err != nil || id == h.self || !h.o.Allow(id) {
+	if err != nil || id == h.self || !h.o.AllowPeer(id) {
 		h.counters.acceptRefusals.Add(1)
 		http.Error(w, "no link for this peer", http.StatusForbidden)
 		return
@@ -209,7 +209,7 @@
 // peerOf is the id of the peer that dialled, as its certificate proves it or, on
 // a link without TLS, as it states it.
 func (h *Hub) peerOf(r *http.Request) (string, error) {
-	if h.o.Plain != "" {
+	if h.o.PlaintextID != "" {
 		id := r.Header.Get(plainHeader)
 		if id == "" {
 			return "", errors.NotValidf("link without the id of its peer")
--- a/coord/link/link_test.go
+++ b/coord/link/link_test.go
@@ -217,7 +217,7 @@
 	c := newCluster(t)
 	quick := func(o *Options) {
 		o.PingAfter, o.PingTimeout = 20*time.Millisecond, 100*time.Millisecond
-		o.BackoffFloor, o.BackoffCeil = time.Millisecond, 10*time.Millisecond
+		o.MinBackoff, o.MaxBackoff = time.Millisecond, 10*time.Millisecond
 	}
 	a, b := c.instance("a", quick), c.instance("b", nil)
 	direct, _ := c.address("b")
@@ -260,7 +260,7 @@
 		if _, err := b.Call(ctx, "c", "x", nil); !errors.As(err, &e) || e.Verdict != verdict.NotRun {
 			t.Errorf("%s: %v", name, err)
 		}
-		b.Forget("c")
+		b.RemovePeer("c")
 	}
 	bare := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}}
 	if r, err := bare.Get(a.server.URL + DefaultPath); err == nil {
@@ -291,7 +291,7 @@
 		}
 		return true
 	}
-	a, b := c.instance("a", func(o *Options) { o.Allow = allow }), c.instance("b", nil)
+	a, b := c.instance("a", func(o *Options) { o.AllowPeer = allow }), c.instance("b", nil)
 	got := make(chan string, 16)
 	a.Handle("m", func(_ string, p []byte) { got <- "a" + string(p) })
 	b.Handle("m", func(_ string, p []byte) { got <- "b" + string(p) })
@@ -311,7 +311,7 @@
 	if m := recv(t, got, "message after the cut"); m != "a5" {
 		t.Fatalf("%q passed", m)
 	}
-	if s := a.Stats(); s.CutIn != 1 || s.Channels["m"].Dropped != 1 {
+	if s := a.Stats(); s.BlockedReceived != 1 || s.Channels["m"].Dropped != 1 {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -320,11 +320,11 @@
 // Events: any number of failed attempts in a row.
 // Cause: waits without jitter or growth, or one that grows without a ceiling.
 func TestWaitsBetweenAttemptsGrowWithJitterToTheirCeiling(t *testing.T) {
-	o := Options{BackoffFloor: time.Millisecond, BackoffCeil: 50 * time.Millisecond}
+	o := Options{MinBackoff: time.Millisecond, MaxBackoff: 50 * time.Millisecond}
 	r := rand.New(rand.NewPCG(1, 2))
 	seen := map[time.Duration]bool{}
 	for n := range 100 {
-		full := min(o.BackoffCeil, o.BackoffFloor<<min(n, 10))
+		full := min(o.MaxBackoff, o.MinBackoff<<min(n, 10))
 		w := o.backoff(n, r)
 		if w < full/2 || w > full {
 			t.Fatalf("wait %v after %d failures", w, n)
--- a/coord/link/options.go
+++ b/coord/link/options.go
@@ -11,16 +11,16 @@
 
 // Defaults of Options.
 const (
-	DefaultPath         = "/link"
-	DefaultRingSize     = 256
-	DefaultMaxMessage   = 4 << 20
-	DefaultMaxAge       = 3 * time.Second
-	DefaultPingAfter    = time.Second
-	DefaultPingTimeout  = 2 * time.Second
-	DefaultIdlePing     = 30 * time.Second
-	DefaultDialTimeout  = 3 * time.Second
-	DefaultBackoffFloor = 50 * time.Millisecond
-	DefaultBackoffCeil  = 2 * time.Second
+	DefaultPath             = "/link"
+	DefaultRingSize         = 256
+	DefaultMaxMessage       = 4 << 20
+	DefaultMaxAge           = 3 * time.Second
+	DefaultPingAfter        = time.Second
+	DefaultPingTimeout      = 2 * time.Second
+	DefaultIdlePingInterval = 30 * time.Second
+	DefaultDialTimeout      = 3 * time.Second
+	DefaultMinBackoff       = 50 * time.Millisecond
+	DefaultMaxBackoff       = 2 * time.Second
 )
 
 // Options are the settings of a Hub. Zero values mean the defaults above, where
@@ -29,7 +29,7 @@
 	// Plain, if set, is the id of this instance on links without TLS: each end
 	// believes the id that the other one states. It is for private networks
 	// whose every host is trusted, never a default; Key is not used then.
-	Plain string
+	PlaintextID string
 	// Key proves who this instance is; its Identity.Instance is the id by
 	// which peers know it. Required unless Plain is set.
 	Key *keys.Key
@@ -41,7 +41,7 @@
 	// Urgent names the channels whose messages overtake all others. Messages
 	// of an urgent channel that are longer than one chunk (16 KiB) go with the
 	// bulk ones, so that order within a channel holds only below that length.
-	Urgent []string
+	UrgentChannels []string
 	// RingSize bounds each of the two rings per peer and the ring per channel,
 	// in messages.
 	RingSize int
@@ -58,10 +58,10 @@
 	PingAfter, PingTimeout time.Duration
 	// IdlePing is the time between pings on a connection without messages;
 	// negative means none.
-	IdlePing time.Duration
+	IdlePingInterval time.Duration
 	// IdleClose closes connections that carried no message for so long; zero
 	// means never.
-	IdleClose time.Duration
+	IdleTimeout time.Duration
 	// DialTimeout bounds one attempt to connect, with its handshakes.
 	DialTimeout time.Duration
 	// ConnectTimeout bounds the first part of an attempt, until the peer's kernel has
@@ -74,14 +74,14 @@
 	ConnectTimeout time.Duration
 	// BackoffFloor and BackoffCeil bound the time between attempts. It doubles
 	// from floor to ceiling, and each wait is drawn from its upper half.
-	BackoffFloor, BackoffCeil time.Duration
+	MinBackoff, MaxBackoff time.Duration
 	// Rand draws back-off jitter and the first call id; the hub guards it by a
 	// lock of its own. Required.
 	Rand *rand.Rand
 	// Allow, if set, cuts the pairs for which it returns false: no dial, no
 	// accept, and messages of open connections vanish in both directions as
 	// in a network partition. It must be safe for several goroutines.
-	Allow func(peer string) bool
+	AllowPeer func(peer string) bool
 	// OnLink, if set, is told of each change between connected and not
 	// connected. It must not block.
 	OnLink func(peer string, up bool)
@@ -92,14 +92,14 @@
 
 // self is the id by which peers know this instance.
 func (o *Options) self() string {
-	if o.Plain != "" {
-		return o.Plain
+	if o.PlaintextID != "" {
+		return o.PlaintextID
 	}
 	return o.Key.Identity.Instance
 }
 
 func (o Options) withDefaults() (Options, error) {
-	if (o.Key == nil) == (o.Plain == "") || o.Address == nil || o.Rand == nil {
+	if (o.Key == nil) == (o.PlaintextID == "") || o.Address == nil || o.Rand == nil {
 		return o, errors.NotValidf("link options without one of Key and Plain, Address or Rand")
 	}
 	set(&o.Path, DefaultPath)
@@ -108,12 +108,12 @@
 	set(&o.MaxAge, DefaultMaxAge)
 	set(&o.PingAfter, DefaultPingAfter)
 	set(&o.PingTimeout, DefaultPingTimeout)
-	set(&o.IdlePing, DefaultIdlePing)
+	set(&o.IdlePingInterval, DefaultIdlePingInterval)
 	set(&o.DialTimeout, DefaultDialTimeout)
-	set(&o.BackoffFloor, DefaultBackoffFloor)
-	set(&o.BackoffCeil, DefaultBackoffCeil)
-	if o.Allow == nil {
-		o.Allow = func(string) bool { return true }
+	set(&o.MinBackoff, DefaultMinBackoff)
+	set(&o.MaxBackoff, DefaultMaxBackoff)
+	if o.AllowPeer == nil {
+		o.AllowPeer = func(string) bool { return true }
 	}
 	if o.OnLink == nil {
 		o.OnLink = func(string, bool) {}
@@ -143,12 +143,12 @@
 // backoff draws the wait after so many failures in a row. Without the jitter
 // all peers of an instance that comes back would dial it at the same moment.
 func (o *Options) backoff(failures int, r *rand.Rand) time.Duration {
-	wait := o.BackoffFloor
+	wait := o.MinBackoff
 	for range failures {
-		if wait *= 2; wait >= o.BackoffCeil {
+		if wait *= 2; wait >= o.MaxBackoff {
 			break
 		}
 	}
-	wait = min(wait, o.BackoffCeil)
+	wait = min(wait, o.MaxBackoff)
 	return wait/2 + time.Duration(r.Int64N(int64(wait/2)+1))
 }
--- a/coord/link/rig_test.go
+++ b/coord/link/rig_test.go
@@ -64,10 +64,10 @@
 	}
 	links := make(chan bool, 64)
 	o := Options{
-		Key:     key,
-		Address: c.address,
-		Urgent:  []string{"urgent"},
-		Rand:    rand.New(rand.NewPCG(1, uint64(len(id)))),
+		Key:            key,
+		Address:        c.address,
+		UrgentChannels: []string{"urgent"},
+		Rand:           rand.New(rand.NewPCG(1, uint64(len(id)))),
 		OnLink: func(_ string, up bool) {
 			select {
 			case links <- up:
--- a/coord/link/stats.go
+++ b/coord/link/stats.go
@@ -23,7 +23,7 @@
 	// Unhandled were received for a channel without a handler.
 	Unhandled uint64
 	// CutIn were received from a peer that Options.Allow cuts, and dropped.
-	CutIn uint64
+	BlockedReceived uint64
 }
 
 // ChannelStats count the messages of one channel, calls and answers among
@@ -79,18 +79,18 @@
 func (h *Hub) Stats() Stats {
 	n := &h.counters
 	s := Stats{
-		Channels:       map[string]ChannelStats{},
-		Peers:          map[string]PeerStats{},
-		Dials:          n.dials.Load(),
-		DialFailures:   n.dialFailures.Load(),
-		Accepts:        n.accepts.Load(),
-		AcceptRefusals: n.acceptRefusals.Load(),
-		Pings:          n.pings.Load(),
-		PingTimeouts:   n.pingTimeouts.Load(),
-		LateAnswers:    n.lateAnswers.Load(),
-		BadBatches:     n.badBatches.Load(),
-		Unhandled:      n.unhandled.Load(),
-		CutIn:          n.cutIn.Load(),
+		Channels:        map[string]ChannelStats{},
+		Peers:           map[string]PeerStats{},
+		Dials:           n.dials.Load(),
+		DialFailures:    n.dialFailures.Load(),
+		Accepts:         n.accepts.Load(),
+		AcceptRefusals:  n.acceptRefusals.Load(),
+		Pings:           n.pings.Load(),
+		PingTimeouts:    n.pingTimeouts.Load(),
+		LateAnswers:     n.lateAnswers.Load(),
+		BadBatches:      n.badBatches.Load(),
+		Unhandled:       n.unhandled.Load(),
+		BlockedReceived: n.cutIn.Load(),
 	}
 	h.byChannel.Range(func(name, c any) bool {
 		s.Channels[name.(string)] = c.(*channelCounters).stats()
--- a/coord/link/writer.go
+++ b/coord/link/writer.go
@@ -202,7 +202,7 @@
 	if !it.claim(sent) {
 		return false
 	}
-	if !p.hub.o.Allow(p.id) {
+	if !p.hub.o.AllowPeer(p.id) {
 		// A cut looks like a network that swallows the message: a caller is
 		// not told.
 		it.counters.dropped.Add(1)
@@ -267,14 +267,14 @@
 	if !ok {
 		return nil, errors.NotFoundf("address of %s", p.id)
 	}
-	if !o.Allow(p.id) {
+	if !o.AllowPeer(p.id) {
 		return nil, errors.Forbiddenf("link to %s", p.id)
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, o.DialTimeout)
 	defer cancel()
 	transport := &http.Transport{DialContext: dialTuned(p.connectTimeout())}
-	scheme, header := "ws", http.Header{plainHeader: {o.Plain}}
-	if o.Plain == "" {
+	scheme, header := "ws", http.Header{plainHeader: {o.PlaintextID}}
+	if o.PlaintextID == "" {
 		transport.TLSClientConfig = o.Key.ClientConfig(p.id)
 		scheme, header = "wss", nil
 	}
--- a/coord/pieces/cut.go
+++ b/coord/pieces/cut.go
@@ -118,7 +118,7 @@
 }
 
 // PackOf packs some of the pieces, in the order of the document.
-func (s *Source) PackOf(wanted []Digest) [][]byte {
+func (s *Source) PackPieces(wanted []Digest) [][]byte {
 	want := make(map[Digest]bool, len(wanted))
 	for _, d := range wanted {
 		want[d] = true
--- a/coord/pieces/holder.go
+++ b/coord/pieces/holder.go
@@ -1,7 +1,7 @@
 package pieces
 
 // Ask asks for the manifest of a document, or for pieces of it.
-type Ask struct {
+type Request struct {
 	Root Digest `cbor:"1,keyasint"`
 	// Pieces are asked for in this order, as many as fit MaxBytes and at least one; none
 	// asks for the manifest.
@@ -10,7 +10,7 @@
 }
 
 // Answer answers an Ask.
-type Answer struct {
+type Response struct {
 	Manifest *Manifest `cbor:"1,keyasint,omitempty"`
 	// Packed are the first of the pieces asked for.
 	Packed [][]byte `cbor:"2,keyasint,omitempty"`
@@ -44,24 +44,24 @@
 }
 
 // Answer answers an Ask.
-func (h *Holder) Answer(a *Ask) *Answer {
+func (h *Holder) Respond(a *Request) *Response {
 	for k := len(h.held) - 1; k >= 0; k-- {
 		if h.held[k].root == a.Root {
 			return h.held[k].answer(a)
 		}
 	}
-	return &Answer{Unknown: true}
+	return &Response{Unknown: true}
 }
 
-func (h *held) answer(a *Ask) *Answer {
+func (h *held) answer(a *Request) *Response {
 	if len(a.Pieces) == 0 {
-		return &Answer{Manifest: h.manifest}
+		return &Response{Manifest: h.manifest}
 	}
-	out, size := &Answer{}, 0
+	out, size := &Response{}, 0
 	for _, d := range a.Pieces {
 		packed, ok := h.packed[d]
 		if !ok {
-			return &Answer{Unknown: len(out.Packed) == 0, Packed: out.Packed}
+			return &Response{Unknown: len(out.Packed) == 0, Packed: out.Packed}
 		}
 		size += len(packed)
 		if size > a.MaxBytes && len(out.Packed) > 0 {
--- a/coord/pieces/manifest.go
+++ b/coord/pieces/manifest.go
@@ -30,7 +30,7 @@
 func (m *Manifest) Elements() []Digest { return m.Digests[m.Head : len(m.Digests)-m.Tail] }
 
 // Frame are the pieces before and after those of the elements.
-func (m *Manifest) Frame() (head, tail []Digest) {
+func (m *Manifest) OuterPieces() (head, tail []Digest) {
 	return m.Digests[:m.Head], m.Digests[len(m.Digests)-m.Tail:]
 }
 
--- a/coord/pieces/pieces_test.go
+++ b/coord/pieces/pieces_test.go
@@ -87,7 +87,7 @@
 		after := cut(t, changed)
 		missing := after.Manifest.Missing(func(d Digest) bool { return held[d] })
 		bytes := 0
-		for _, p := range after.PackOf(missing) {
+		for _, p := range after.PackPieces(missing) {
 			raw, _, err := Unpack(p)
 			if err != nil {
 				t.Fatal(err)
--- a/coord/pieces/transfer.go
+++ b/coord/pieces/transfer.go
@@ -59,15 +59,15 @@
 // Stats tell of a Transfer since its making.
 type Stats struct {
 	// Bytes are those of packed pieces that came, Failed the questions without a use.
-	Bytes, Failed uint64
+	Bytes, FailedFetches uint64
 }
 
 // Question is what to ask whom.
-type Question struct {
-	To  string
-	Ask Ask
+type Fetch struct {
+	To      string
+	Request Request
 	// Within is how long to wait for the answer.
-	Within time.Duration
+	Timeout time.Duration
 }
 
 // NewTransfer makes a Transfer that wants nothing. held reports whether the host holds a
@@ -79,7 +79,7 @@
 const giveUpAfter = 2
 
 // Want names the newest document and somebody who has told of it.
-func (t *Transfer) Want(now time.Time, root Digest, from string) {
+func (t *Transfer) HandleAnnouncement(now time.Time, root Digest, from string) {
 	switch {
 	case t.root == (Digest{}) || t.root == root && t.next == (Digest{}):
 		t.begin(now, root)
@@ -126,50 +126,50 @@
 }
 
 // Wanted is the document that the Transfer is about; zero for none.
-func (t *Transfer) Wanted() Digest { return t.root }
+func (t *Transfer) Current() Digest { return t.root }
 
 // Wants reports whether a document is the one on its way or the newest.
-func (t *Transfer) Wants(root Digest) bool { return root == t.root || root == t.next }
+func (t *Transfer) Tracks(root Digest) bool { return root == t.root || root == t.next }
 
 // Stats returns the counters.
 func (t *Transfer) Stats() Stats { return t.stats }
 
 // Left are how many pieces are still to come, and since when; known is false until the
 // manifest has come.
-func (t *Transfer) Left() (pieces int, since time.Time, known bool) {
+func (t *Transfer) Remaining() (pieces int, since time.Time, known bool) {
 	return len(t.missing), t.began, t.manifest != nil
 }
 
 // Next returns what to ask now. Without a question it returns how long to wait for the next
 // one; negative where there is none until Want is called.
-func (t *Transfer) Next(now time.Time) (*Question, time.Duration) {
+func (t *Transfer) NextFetch(now time.Time) (*Fetch, time.Duration) {
 	if t.root == (Digest{}) || len(t.sources) == 0 || t.Complete() {
 		return nil, -1
 	}
 	if wait := t.notBefore.Sub(now); wait > 0 {
 		return nil, wait
 	}
-	q := &Question{To: t.sources[0], Ask: Ask{Root: t.root}, Within: min(answerTime<<min(t.failures, 8), answerMost)}
+	q := &Fetch{To: t.sources[0], Request: Request{Root: t.root}, Timeout: min(answerTime<<min(t.failures, 8), answerMost)}
 	if t.manifest != nil {
-		q.Ask.Pieces, q.Ask.MaxBytes = t.missing[:min(len(t.missing), mostPieces)], t.ask
+		q.Request.Pieces, q.Request.MaxBytes = t.missing[:min(len(t.missing), mostPieces)], t.ask
 	}
 	return q, 0
 }
 
 // Answered takes in the answer to a question. The error tells that it was of no use, wrapping
 // ErrDamaged where its content is wrong; the Transfer goes on with another source.
-func (t *Transfer) Answered(now time.Time, q *Question, a *Answer) error {
+func (t *Transfer) HandleResponse(now time.Time, q *Fetch, a *Response) error {
 	if a.Unknown {
-		if q.Ask.Root == t.root {
+		if q.Request.Root == t.root {
 			// It has told of the next one all the same.
 			t.sources = slices.DeleteFunc(t.sources, func(s string) bool { return s == q.To })
 		}
-		t.Failed(now, q)
-		return errors.NotFoundf("document %s at %s", q.Ask.Root, q.To)
+		t.HandleFailure(now, q)
+		return errors.NotFoundf("document %s at %s", q.Request.Root, q.To)
 	}
 	err := t.take(q, a)
 	if err != nil {
-		t.Failed(now, q)
+		t.HandleFailure(now, q)
 		return err
 	}
 	t.failures, t.notBefore = 0, time.Time{}
@@ -177,11 +177,11 @@
 	return nil
 }
 
-func (t *Transfer) take(q *Question, a *Answer) error {
-	if q.Ask.Root == t.root && t.manifest == nil && len(q.Ask.Pieces) == 0 {
+func (t *Transfer) take(q *Fetch, a *Response) error {
+	if q.Request.Root == t.root && t.manifest == nil && len(q.Request.Pieces) == 0 {
 		return t.takeManifest(a.Manifest)
 	}
-	return t.takePieces(a.Packed, q.Ask.Root == t.root)
+	return t.takePieces(a.Packed, q.Request.Root == t.root)
 }
 
 func (t *Transfer) takeManifest(m *Manifest) error {
@@ -242,9 +242,9 @@
 }
 
 // Failed notes a question without an answer. Less is asked for next, of another source.
-func (t *Transfer) Failed(now time.Time, q *Question) {
-	t.stats.Failed++
-	if q.Ask.Root != t.root {
+func (t *Transfer) HandleFailure(now time.Time, q *Fetch) {
+	t.stats.FailedFetches++
+	if q.Request.Root != t.root {
 		return
 	}
 	t.notBefore = now.Add(min(failedPause<<min(t.failures, 8), failedMost))
@@ -261,7 +261,7 @@
 
 // Take ends the transfer of a complete document, and returns its manifest and the pieces
 // that the host did not hold. A newer document that was told of is begun.
-func (t *Transfer) Take(now time.Time) (*Manifest, map[Digest][]byte) {
+func (t *Transfer) Finish(now time.Time) (*Manifest, map[Digest][]byte) {
 	m, got := t.manifest, t.got
 	next, sources := t.next, t.nextSources
 	t.root, t.manifest, t.got, t.missing, t.sources = Digest{}, nil, nil, nil, nil
--- a/coord/pieces/transfer_test.go
+++ b/coord/pieces/transfer_test.go
@@ -66,15 +66,15 @@
 		return
 	}
 	for k, h := range w.sources {
-		if !w.down[k] && !h.Answer(&Ask{Root: root}).Unknown {
-			w.transfer.Want(w.now, root, fmt.Sprint(k))
+		if !w.down[k] && !h.Respond(&Request{Root: root}).Unknown {
+			w.transfer.HandleAnnouncement(w.now, root, fmt.Sprint(k))
 		}
 	}
 }
 
 // step asks one question, or waits.
 func (w *world) step() {
-	q, wait := w.transfer.Next(w.now)
+	q, wait := w.transfer.NextFetch(w.now)
 	if q == nil {
 		w.now = w.now.Add(max(wait, 50*time.Millisecond))
 		return
@@ -85,26 +85,26 @@
 		w.fail(q)
 		return
 	}
-	a := w.sources[k].Answer(&q.Ask)
+	a := w.sources[k].Respond(&q.Request)
 	bytes := sizeOf(a)
 	w.sent += bytes
 	took := w.trip + time.Duration(bytes)*time.Second/time.Duration(w.rate)
-	if took > q.Within || w.loss > 0 && rapid.IntRange(1, w.loss).Draw(w.t, "lost") == 1 {
+	if took > q.Timeout || w.loss > 0 && rapid.IntRange(1, w.loss).Draw(w.t, "lost") == 1 {
 		w.fail(q)
 		return
 	}
 	w.now = w.now.Add(took)
 	// A failure is a source that has forgotten the version: the next one to tell is asked.
-	_ = w.transfer.Answered(w.now, q, a)
+	_ = w.transfer.HandleResponse(w.now, q, a)
 	w.adopt()
 }
 
-func (w *world) fail(q *Question) {
-	w.now = w.now.Add(q.Within)
-	w.transfer.Failed(w.now, q)
+func (w *world) fail(q *Fetch) {
+	w.now = w.now.Add(q.Timeout)
+	w.transfer.HandleFailure(w.now, q)
 }
 
-func sizeOf(a *Answer) int {
+func sizeOf(a *Response) int {
 	size := 50
 	for _, p := range a.Packed {
 		size += len(p)
@@ -119,8 +119,8 @@
 	if !w.transfer.Complete() {
 		return
 	}
-	root := w.transfer.Wanted()
-	m, got := w.transfer.Take(w.now)
+	root := w.transfer.Current()
+	m, got := w.transfer.Finish(w.now)
 	text, all := m.Join(got, w.got)
 	w.got = all
 	version := 1
@@ -170,16 +170,16 @@
 		for _, p := range d.Packed {
 			whole += len(p)
 		}
-		begun, failed, sent := w.now, w.transfer.Stats().Failed, w.sent
+		begun, failed, sent := w.now, w.transfer.Stats().FailedFetches, w.sent
 		for w.version < len(w.told) {
 			w.tell()
 			w.step()
 			if w.now.Sub(begun) > time.Hour {
-				left, _, _ := w.transfer.Left()
+				left, _, _ := w.transfer.Remaining()
 				t.Fatalf("version %d of %d, %d pieces left after an hour", w.version, len(w.told), left)
 			}
 		}
-		failures := int(w.transfer.Stats().Failed - failed)
+		failures := int(w.transfer.Stats().FailedFetches - failed)
 		// Each piece once, a manifest for each try of it, and what failed questions brought.
 		most := whole + (failures+2)*(mostAsk+len(d.Manifest.Digests)*len(Digest{})+100) + len(d.Packed)*100
 		if got := w.sent - sent; got > most {
@@ -229,25 +229,25 @@
 	d, other := cut(t, numbered(300, 1)).Pack(), cut(t, numbered(300, 2)).Pack()
 	root := d.Manifest.Root()
 	tr := NewTransfer(func(Digest) bool { return false })
-	tr.Want(now, root, "a")
-	tr.Want(now, root, "b")
+	tr.HandleAnnouncement(now, root, "a")
+	tr.HandleAnnouncement(now, root, "b")
 	var good Holder
 	good.Put(root, d)
-	ask := func() *Question {
+	ask := func() *Fetch {
 		for {
-			q, wait := tr.Next(now)
+			q, wait := tr.NextFetch(now)
 			if q != nil {
 				return q
 			}
 			now = now.Add(wait)
 		}
 	}
-	for name, wrong := range map[string]*Answer{
+	for name, wrong := range map[string]*Response{
 		"another manifest": {Manifest: &other.Manifest}, "none": {},
 		"one that cannot be": {Manifest: &Manifest{Head: 3}},
 	} {
 		q := ask()
-		if tr.Answered(now, q, wrong) == nil {
+		if tr.HandleResponse(now, q, wrong) == nil {
 			t.Error(name)
 		}
 		if next := ask(); next.To == q.To {
@@ -255,23 +255,23 @@
 		}
 	}
 	q := ask()
-	if err := tr.Answered(now, q, good.Answer(&q.Ask)); err != nil {
+	if err := tr.HandleResponse(now, q, good.Respond(&q.Request)); err != nil {
 		t.Fatal(err)
 	}
-	before, _, _ := tr.Left()
-	for name, wrong := range map[string]*Answer{
+	before, _, _ := tr.Remaining()
+	for name, wrong := range map[string]*Response{
 		"another piece": {Packed: [][]byte{other.Packed[3]}}, "damaged": {Packed: [][]byte{{1, 2, 3}}}, "none": {},
 	} {
-		if tr.Answered(now, ask(), wrong) == nil {
+		if tr.HandleResponse(now, ask(), wrong) == nil {
 			t.Error(name)
 		}
 	}
-	if left, _, _ := tr.Left(); left != before {
+	if left, _, _ := tr.Remaining(); left != before {
 		t.Errorf("%d pieces are left of %d", left, before)
 	}
 	for !tr.Complete() {
 		q := ask()
-		if err := tr.Answered(now, q, good.Answer(&q.Ask)); err != nil {
+		if err := tr.HandleResponse(now, q, good.Respond(&q.Request)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -284,25 +284,25 @@
 	old, newest := cut(t, numbered(50, 1)).Pack().Manifest.Root(), cut(t, numbered(50, 2)).Pack().Manifest.Root()
 	for failures := range giveUpAfter + 1 {
 		tr := NewTransfer(func(Digest) bool { return false })
-		tr.Want(now, old, "a")
+		tr.HandleAnnouncement(now, old, "a")
 		for range failures {
-			q, wait := tr.Next(now)
-			for ; q == nil; q, wait = tr.Next(now) {
+			q, wait := tr.NextFetch(now)
+			for ; q == nil; q, wait = tr.NextFetch(now) {
 				now = now.Add(wait)
 			}
-			tr.Failed(now, q)
+			tr.HandleFailure(now, q)
 		}
-		q, wait := tr.Next(now)
-		for ; q == nil; q, wait = tr.Next(now) {
+		q, wait := tr.NextFetch(now)
+		for ; q == nil; q, wait = tr.NextFetch(now) {
 			now = now.Add(wait)
 		}
-		tr.Want(now, newest, "a")
-		_ = tr.Answered(now, q, &Answer{Unknown: true})
-		next, wait := tr.Next(now)
-		for ; next == nil && wait >= 0; next, wait = tr.Next(now) {
+		tr.HandleAnnouncement(now, newest, "a")
+		_ = tr.HandleResponse(now, q, &Response{Unknown: true})
+		next, wait := tr.NextFetch(now)
+		for ; next == nil && wait >= 0; next, wait = tr.NextFetch(now) {
 			now = now.Add(wait)
 		}
-		if next == nil || next.To != "a" || next.Ask.Root != newest {
+		if next == nil || next.To != "a" || next.Request.Root != newest {
 			t.Errorf("after %d failures: %+v", failures, next)
 		}
 	}
--- a/coord/roster/roster_test.go
+++ b/coord/roster/roster_test.go
@@ -55,7 +55,7 @@
 // view gives every instance the live members of its region.
 func (w *world) view(regions int) {
 	for r := range regions {
-		var own Own
+		var own OwnRegion
 		for i := range w.perRegion {
 			if c := contact(r, i); !w.down[c.ID] {
 				own.Members = append(own.Members, c)
@@ -64,7 +64,7 @@
 		own.Relays = own.Members[:min(2, len(own.Members))]
 		for i := range w.perRegion {
 			t := w.tables[contact(r, i).ID]
-			t.SetOwn(own)
+			t.SetOwnRegion(own)
 			t.SetNeighbours([]string{"r0", "r1", "r2"})
 			t.SetSummary([]byte("free"))
 		}
--- a/coord/roster/table.go
+++ b/coord/roster/table.go
@@ -18,7 +18,7 @@
 }
 
 // Own is the host's view of its region.
-type Own struct {
+type OwnRegion struct {
 	// Relays of the region, in order; at most two.
 	Relays []Contact
 	// Members are the live instances, this one included.
@@ -32,7 +32,7 @@
 	seeds map[string][]Contact
 	// neighbours are the regions that are told the summary.
 	neighbours []string
-	own        Own
+	own        OwnRegion
 	summary    []byte
 	// seq numbers the rosters and summaries of this instance.
 	seq uint64
@@ -57,7 +57,7 @@
 }
 
 // SetOwn replaces the view of the own region.
-func (t *Table) SetOwn(o Own) {
+func (t *Table) SetOwnRegion(o OwnRegion) {
 	if !slices.Equal(o.Relays, t.own.Relays) || !slices.Equal(o.Members, t.own.Members) {
 		t.changed = true
 	}
@@ -205,12 +205,12 @@
 // instance that is no relay was reached as a seed and hands it to the relays.
 func (t *Table) passOn(now time.Time, h *heard, m Message, rosterChanged bool) []Out {
 	place := slices.IndexFunc(t.own.Relays, func(c Contact) bool { return c.ID == t.self.ID })
-	direct := !m.Passed
+	direct := !m.Forwarded
 	if place < 0 {
 		return t.toRelays(m, direct)
 	}
-	out := t.toRelays(Message{Roster: m.Roster, Region: m.Region, Seq: m.Seq, Summary: m.Summary, Passed: true}, direct)
-	m.Passed = true
+	out := t.toRelays(Message{Roster: m.Roster, Region: m.Region, Seq: m.Seq, Summary: m.Summary, Forwarded: true}, direct)
+	m.Forwarded = true
 	if rosterChanged || now.Sub(h.passedAt) >= rosterInterval {
 		m.Roster, h.passedAt = &h.roster, now
 	} else {
--- a/coord/roster/types.go
+++ b/coord/roster/types.go
@@ -22,8 +22,8 @@
 	Region string `cbor:"2,keyasint"`
 	Zone   string `cbor:"3,keyasint,omitempty"`
 	// Address is IP:port for instances, Callers for callers.
-	Address string `cbor:"4,keyasint"`
-	Callers string `cbor:"5,keyasint,omitempty"`
+	Address       string `cbor:"4,keyasint"`
+	CallerAddress string `cbor:"5,keyasint,omitempty"`
 }
 
 // Roster is what a region tells of itself.
@@ -55,7 +55,7 @@
 	Summary []byte `cbor:"4,keyasint,omitempty"`
 	// Passed says that a relay of the receiver's region passed it on; it goes
 	// no further.
-	Passed bool `cbor:"5,keyasint,omitempty"`
+	Forwarded bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Out is a message to send.
--- a/node/control/documents.go
+++ b/node/control/documents.go
@@ -25,15 +25,15 @@
 	d.holder.Put(s.Root, s.Document)
 }
 
-func (d *documents) answer(a *pieces.Ask) *pieces.Answer {
+func (d *documents) answer(a *pieces.Request) *pieces.Response {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.Answer(a)
+	return d.holder.Respond(a)
 }
 
 // serveDocument answers an entry instance that asks for a configuration.
 func (i *Instance) serveDocument(_ context.Context, _ string, payload []byte) ([]byte, error) {
-	var a pieces.Ask
+	var a pieces.Request
 	if err := cbor.Unmarshal(payload, &a); err != nil {
 		return nil, err
 	}
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -219,11 +219,11 @@
 // addresses, and the network between the instances is private.
 func LinkOptions(self string, urgent ...string) link.Options {
 	return link.Options{
-		Plain:       self,
-		Address:     func(id string) (string, bool) { return id, true },
-		Urgent:      append(urgent, channelGroup),
-		MaxMessage:  maxMessage,
-		DialTimeout: time.Second,
+		PlaintextID:    self,
+		Address:        func(id string) (string, bool) { return id, true },
+		UrgentChannels: append(urgent, channelGroup),
+		MaxMessage:     maxMessage,
+		DialTimeout:    time.Second,
 		// Two round trips between regions and some; TCP would send a lost first packet again
 		// after a second, as where core instances come back a moment later than entry
 		// instances after a loss of power of all.
@@ -232,8 +232,8 @@
 		PingTimeout:    700 * time.Millisecond,
 		// All processes may start at the same moment after a loss of power: whoever
 		// finds the other end not listening yet asks again soon.
-		BackoffCeil: 200 * time.Millisecond,
-		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		MaxBackoff: 200 * time.Millisecond,
+		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
--- a/node/control/operators.go
+++ b/node/control/operators.go
@@ -96,7 +96,7 @@
 
 func (i *Instance) offerMissing(ctx context.Context, version uint64, source *pieces.Source, missing []pieces.Digest) error {
 	for range offerRounds {
-		if err := i.proposeParts(ctx, source.PackOf(missing)); err != nil {
+		if err := i.proposeParts(ctx, source.PackPieces(missing)); err != nil {
 			return err
 		}
 		result, err := i.propose(ctx, newest.Command{Offer: &newest.Offer{Version: version, Manifest: &source.Manifest}})
--- a/node/control/outside.go
+++ b/node/control/outside.go
@@ -141,7 +141,7 @@
 	if h.Version == 0 {
 		return nil, errNoDocument
 	}
-	return i.outside.reader.read(ctx, h.Root, func(ctx context.Context, a *pieces.Ask) (*pieces.Answer, error) {
+	return i.outside.reader.read(ctx, h.Root, func(ctx context.Context, a *pieces.Request) (*pieces.Response, error) {
 		return i.askMember(ctx, from, a)
 	})
 }
@@ -158,7 +158,7 @@
 	return h, cbor.Unmarshal(data, h)
 }
 
-func (i *Instance) askMember(ctx context.Context, from string, a *pieces.Ask) (*pieces.Answer, error) {
+func (i *Instance) askMember(ctx context.Context, from string, a *pieces.Request) (*pieces.Response, error) {
 	payload, err := cbor.Marshal(a)
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := &pieces.Answer{}
+	answer := &pieces.Response{}
 	return answer, cbor.Unmarshal(data, answer)
 }
 
--- a/node/control/reader.go
+++ b/node/control/reader.go
@@ -24,15 +24,15 @@
 const source = "member"
 
 // read returns the document of a name. ask asks somebody who has it.
-func (r *documentReader) read(ctx context.Context, root pieces.Digest, ask func(context.Context, *pieces.Ask) (*pieces.Answer, error)) ([]byte, error) {
+func (r *documentReader) read(ctx context.Context, root pieces.Digest, ask func(context.Context, *pieces.Request) (*pieces.Response, error)) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.transfer == nil {
 		r.transfer = pieces.NewTransfer(func(d pieces.Digest) bool { return r.held[d] != nil })
 	}
 	for ctx.Err() == nil {
-		r.transfer.Want(time.Now(), root, source)
-		q, wait := r.transfer.Next(time.Now())
+		r.transfer.HandleAnnouncement(time.Now(), root, source)
+		q, wait := r.transfer.NextFetch(time.Now())
 		if q == nil {
 			_ = duty.Pause(ctx, max(wait, time.Millisecond))
 			continue
@@ -41,7 +41,7 @@
 		if !r.transfer.Complete() {
 			continue
 		}
-		complete := r.transfer.Wanted()
+		complete := r.transfer.Current()
 		document := r.take()
 		if complete == root {
 			return document, nil
@@ -50,21 +50,21 @@
 	return nil, errors.Annotate(ctx.Err(), "the configuration did not come in time")
 }
 
-func (r *documentReader) ask(ctx context.Context, q *pieces.Question, ask func(context.Context, *pieces.Ask) (*pieces.Answer, error)) {
-	within, cancel := context.WithTimeout(ctx, q.Within)
+func (r *documentReader) ask(ctx context.Context, q *pieces.Fetch, ask func(context.Context, *pieces.Request) (*pieces.Response, error)) {
+	within, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
-	a, err := ask(within, &q.Ask)
+	a, err := ask(within, &q.Request)
 	if err != nil {
-		r.transfer.Failed(time.Now(), q)
+		r.transfer.HandleFailure(time.Now(), q)
 		return
 	}
 	// An answer of no use counts as a failure there; the next question follows after a pause.
-	_ = r.transfer.Answered(time.Now(), q, a)
+	_ = r.transfer.HandleResponse(time.Now(), q, a)
 }
 
 // take puts a document together that has come whole.
 func (r *documentReader) take() []byte {
-	m, got := r.transfer.Take(time.Now())
+	m, got := r.transfer.Finish(time.Now())
 	document, all := m.Join(got, r.held)
 	r.held = all
 	return document
--- a/node/control/reader_test.go
+++ b/node/control/reader_test.go
@@ -40,12 +40,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		left := 2
-		return r.read(ctx, root, func(ctx context.Context, a *pieces.Ask) (*pieces.Answer, error) {
+		return r.read(ctx, root, func(ctx context.Context, a *pieces.Request) (*pieces.Response, error) {
 			if left--; left < 0 {
 				cancel()
 				return nil, ctx.Err()
 			}
-			answer := holder.Answer(a)
+			answer := holder.Respond(a)
 			for k := range answer.Packed {
 				asked[a.Pieces[k]]++
 			}
--- a/node/deciding/service_test.go
+++ b/node/deciding/service_test.go
@@ -38,7 +38,7 @@
 		}
 		i := &instance{id: l.Addr().String()}
 		i.hub, err = link.New(link.Options{
-			Plain: i.id, Address: func(id string) (string, bool) { return id, true }, Urgent: deciding.Channels(),
+			PlaintextID: i.id, Address: func(id string) (string, bool) { return id, true }, UrgentChannels: deciding.Channels(),
 			Rand: rand.New(rand.NewPCG(1, uint64(k))),
 		})
 		if err != nil {
--- a/node/entry/begin_test.go
+++ b/node/entry/begin_test.go
@@ -39,7 +39,7 @@
 	}
 	id = l.Addr().String()
 	hub, err := link.New(link.Options{
-		Plain: id, Address: func(id string) (string, bool) { return id, true }, Rand: rand.New(rand.NewPCG(1, 2)),
+		PlaintextID: id, Address: func(id string) (string, bool) { return id, true }, Rand: rand.New(rand.NewPCG(1, 2)),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/node/entry/fetch.go
+++ b/node/entry/fetch.go
@@ -65,9 +65,9 @@
 		return
 	}
 	f.heads[h.Root] = h
-	f.transfer.Want(now, h.Root, from)
+	f.transfer.HandleAnnouncement(now, h.Root, from)
 	for root := range f.heads {
-		if !f.transfer.Wants(root) {
+		if !f.transfer.Tracks(root) {
 			delete(f.heads, root)
 		}
 	}
@@ -81,14 +81,14 @@
 func (f *fetcher) state() (left int, s pieces.Stats) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left, _, _ = f.transfer.Left()
+	left, _, _ = f.transfer.Remaining()
 	return left, f.transfer.Stats()
 }
 
-func (f *fetcher) next(now time.Time) (*pieces.Question, time.Duration) {
+func (f *fetcher) next(now time.Time) (*pieces.Fetch, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.transfer.Next(now)
+	return f.transfer.NextFetch(now)
 }
 
 // fetch is the duty: one question at a time, until all is there.
@@ -115,7 +115,7 @@
 }
 
 // askFor asks one question and takes in the answer or its lack.
-func (i *Instance) askFor(ctx context.Context, q *pieces.Question) {
+func (i *Instance) askFor(ctx context.Context, q *pieces.Fetch) {
 	a, err := i.ask(ctx, q)
 	if ctx.Err() != nil {
 		return
@@ -125,18 +125,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		f.transfer.Failed(now, q)
-	} else if err = f.transfer.Answered(now, q, a); errors.Is(err, pieces.ErrDamaged) {
+		f.transfer.HandleFailure(now, q)
+	} else if err = f.transfer.HandleResponse(now, q, a); errors.Is(err, pieces.ErrDamaged) {
 		i.log.Warn("a piece of a configuration is damaged", zap.String("from", q.To), zap.Error(err))
 	}
 	i.tellSlow(now, q, err)
 }
 
 // tellSlow tells once of a transfer that takes long. f.mu is held.
-func (i *Instance) tellSlow(now time.Time, q *pieces.Question, err error) {
+func (i *Instance) tellSlow(now time.Time, q *pieces.Fetch, err error) {
 	f := i.fetcher
-	left, since, known := f.transfer.Left()
-	head := f.heads[f.transfer.Wanted()]
+	left, since, known := f.transfer.Remaining()
+	head := f.heads[f.transfer.Current()]
 	if head == nil || f.told == head.Root || now.Sub(since) < tellSlow {
 		return
 	}
@@ -145,18 +145,18 @@
 		zap.Bool("manifest", known), zap.Int("pieces_left", left), zap.String("from", q.To), zap.Error(err))
 }
 
-func (i *Instance) ask(ctx context.Context, q *pieces.Question) (*pieces.Answer, error) {
-	payload, err := cbor.Marshal(q.Ask)
+func (i *Instance) ask(ctx context.Context, q *pieces.Fetch) (*pieces.Response, error) {
+	payload, err := cbor.Marshal(q.Request)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Within)
+	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	data, err := i.hub.Call(ctx, q.To, control.ChannelDocument, payload)
 	if err != nil {
 		return nil, err
 	}
-	a := &pieces.Answer{}
+	a := &pieces.Response{}
 	return a, cbor.Unmarshal(data, a)
 }
 
@@ -168,9 +168,9 @@
 		f.mu.Unlock()
 		return
 	}
-	_, since, _ := f.transfer.Left()
-	head := f.heads[f.transfer.Wanted()]
-	m, got := f.transfer.Take(time.Now())
+	_, since, _ := f.transfer.Remaining()
+	head := f.heads[f.transfer.Current()]
+	m, got := f.transfer.Finish(time.Now())
 	f.taken = head.Root
 	for root, h := range f.heads {
 		if h.Index <= head.Index {
@@ -201,7 +201,7 @@
 // build makes the index of a document from the pieces that came and those that are held.
 func (i *Instance) build(m *pieces.Manifest, got map[pieces.Digest][]byte) error {
 	f := i.fetcher
-	before, after := m.Frame()
+	before, after := m.OuterPieces()
 	frame := map[pieces.Digest][]byte{}
 	var text []byte
 	for _, d := range slices.Concat(before, after) {
--- a/node/entry/fetch_bench_test.go
+++ b/node/entry/fetch_bench_test.go
@@ -63,16 +63,16 @@
 		if q == nil {
 			return came
 		}
-		data, err := cbor.Marshal(h.holder.Answer(&q.Ask))
+		data, err := cbor.Marshal(h.holder.Respond(&q.Request))
 		if err != nil {
 			b.Fatal(err)
 		}
 		came += len(data)
-		var a pieces.Answer
+		var a pieces.Response
 		if err := cbor.Unmarshal(data, &a); err != nil {
 			b.Fatal(err)
 		}
-		if err := i.fetcher.transfer.Answered(time.Now(), q, &a); err != nil {
+		if err := i.fetcher.transfer.HandleResponse(time.Now(), q, &a); err != nil {
 			b.Fatal(err)
 		}
 		i.adopt()
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -163,7 +163,7 @@
 		s.Heard = int64(i.known.head.Version)
 	}
 	left, transfers := i.fetcher.state()
-	s.PiecesLeft, s.PieceBytes, s.PiecesFailed = int64(left), int64(transfers.Bytes), int64(transfers.Failed)
+	s.PiecesLeft, s.PieceBytes, s.PiecesFailed = int64(left), int64(transfers.Bytes), int64(transfers.FailedFetches)
 	return s
 }
 
--- a/node/entry/learn_test.go
+++ b/node/entry/learn_test.go
@@ -72,7 +72,7 @@
 			}
 			return
 		}
-		if err := i.fetcher.transfer.Answered(time.Now(), q, holder.Answer(&q.Ask)); err != nil {
+		if err := i.fetcher.transfer.HandleResponse(time.Now(), q, holder.Respond(&q.Request)); err != nil {
 			t.Fatal(err)
 		}
 		i.adopt()
--- a/node/node.go
+++ b/node/node.go
@@ -121,12 +121,12 @@
 		metrics: metrics.NewSet(), served: served.NewTable(time.Now()), draining: make(chan struct{}),
 	}
 	hub, err := link.New(link.Options{
-		Key:        o.Key,
-		Address:    n.address,
-		Urgent:     []string{members.Channel, group.MessageChannel(globalGroup), group.MessageChannel(regionGroup(n.s.Region))},
-		MaxMessage: maxLinkMessage,
-		Rand:       newRand(),
-		Allow:      o.Allow,
+		Key:            o.Key,
+		Address:        n.address,
+		UrgentChannels: []string{members.Channel, group.MessageChannel(globalGroup), group.MessageChannel(regionGroup(n.s.Region))},
+		MaxMessage:     maxLinkMessage,
+		Rand:           newRand(),
+		AllowPeer:      o.Allow,
 	})
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 	})
 	self := roster.Contact{
 		ID: n.s.Instance, Region: n.s.Region, Zone: n.s.Zone,
-		Address: n.s.Advertise.Instances, Callers: n.s.Advertise.Callers,
+		Address: n.s.Advertise.Instances, CallerAddress: n.s.Advertise.Callers,
 	}
 	n.regions = regions.New(regions.Options{
 		Self: self, Seeds: n.contacts(), Hub: n.hub, Routing: n.pipeline.Routing(), Log: n.log, OnChange: n.setLinks,
--- a/node/peers.go
+++ b/node/peers.go
@@ -108,7 +108,7 @@
 	if n.regions == nil || n.loads == nil {
 		return
 	}
-	var own roster.Own
+	var own roster.OwnRegion
 	var ids []string
 	for _, m := range v.Alive() {
 		c := contactOf(m)
@@ -128,7 +128,7 @@
 
 func contactOf(m membership.View) roster.Contact {
 	return roster.Contact{
-		ID: m.ID, Region: m.Region, Zone: m.Zone, Address: m.Address, Callers: members.DecodeMeta(m.Member).Callers,
+		ID: m.ID, Region: m.Region, Zone: m.Zone, Address: m.Address, CallerAddress: members.DecodeMeta(m.Member).Callers,
 	}
 }
 
@@ -191,8 +191,8 @@
 	var entries []ports.DirectoryEntry
 	for _, r := range n.regions.Rosters() {
 		for _, c := range r.Entries {
-			if c.Callers != "" {
-				entries = append(entries, entryOf(c.ID, c.Callers, c.Region, c.Zone))
+			if c.CallerAddress != "" {
+				entries = append(entries, entryOf(c.ID, c.CallerAddress, c.Region, c.Zone))
 			}
 		}
 	}
--- a/node/quota/service_test.go
+++ b/node/quota/service_test.go
@@ -40,7 +40,7 @@
 	}
 	id := l.Addr().String()
 	hub, err := link.New(link.Options{
-		Plain: id, Address: func(id string) (string, bool) { return id, true }, Urgent: quota.Channels(),
+		PlaintextID: id, Address: func(id string) (string, bool) { return id, true }, UrgentChannels: quota.Channels(),
 		Rand: rand.New(rand.NewPCG(1, uint64(l.Addr().(*net.TCPAddr).Port))),
 	})
 	if err != nil {
--- a/node/regions/regions.go
+++ b/node/regions/regions.go
@@ -71,10 +71,10 @@
 func (s *Service) Refused() uint64 { return s.inbox.Stats().Refused }
 
 // SetOwn replaces the view of the own region.
-func (s *Service) SetOwn(own roster.Own) {
+func (s *Service) SetOwn(own roster.OwnRegion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.SetOwn(own)
+	s.table.SetOwnRegion(own)
 }
 
 // SetNeighbours replaces the regions that are told the summary.
