--- a/coord/membership/codec.go
+++ b/coord/membership/codec.go
@@ -9,14 +9,15 @@
 	// headerBytes bounds the encoding of a message without updates, digests
 	// and the bytes of Target.
 	headerBytes = 40
-	// maxUpdate bounds an encoded update.
+	// maxUpdate bounds an encoded update, in bytes.
 	maxUpdate = 320
-	// maxID bounds an id, so that an update that only names two ids is short.
+	// maxID bounds an id in bytes, so that an update that only names two ids
+	// is short.
 	maxID = 64
-	// minMaxBytes lets every message hold two updates before others, an id
-	// and all digests.
+	// minMaxBytes is the least Config.MaxBytes: every message must hold two
+	// updates ahead of queued ones, an id and all digests.
 	minMaxBytes = headerBytes + maxID + 2*maxUpdate
-	// maxUpdates bounds the updates of a message that is read.
+	// maxUpdates bounds the updates of a decoded message.
 	maxUpdates = 1024
 )
 
@@ -32,13 +33,14 @@
 	return v
 }
 
-// Encode returns the wire form (CBOR).
+// Encode returns the wire form (CBOR) of a message.
 func Encode(m Message) ([]byte, error) {
 	b, err := encoder.Marshal(&m)
 	return b, errors.Annotate(err, "membership message")
 }
 
-// Decode reads the wire form and refuses what Encode can't have written.
+// Decode reads the wire form. It returns an error for malformed input and for
+// updates over the bounds.
 func Decode(b []byte) (Message, error) {
 	var m Message
 	if err := decoder.Unmarshal(b, &m); err != nil {
@@ -48,7 +50,7 @@
 		return Message{}, errors.NotValidf("membership message of kind %d", m.Kind)
 	}
 	if len(m.Target) > maxID || len(m.Digests) != 0 && len(m.Digests) != buckets {
-		return Message{}, errors.NotValidf("membership message with a target of %d bytes, %d digests", len(m.Target), len(m.Digests))
+		return Message{}, errors.NotValidf("membership message with a target of %d bytes and %d digests", len(m.Target), len(m.Digests))
 	}
 	for i := range m.Updates {
 		if err := checkUpdate(m.Updates[i]); err != nil {
@@ -58,7 +60,8 @@
 	return m, nil
 }
 
-// checkUpdate refuses what could not be spread within the bounds.
+// checkUpdate returns an error for an update that is malformed or over the
+// bounds of a message.
 func checkUpdate(u Update) error {
 	switch {
 	case u.ID == "" || len(u.ID) > maxID || len(u.By) > maxID:
@@ -66,17 +69,17 @@
 	case u.State > Left:
 		return errors.NotValidf("update with state %d", u.State)
 	case (u.State == Alive) != (u.Info != nil):
-		return errors.NotValidf("%v update, info given: %v,", u.State, u.Info != nil)
+		return errors.NotValidf("%v update with info given: %v (must be true for alive updates only)", u.State, u.Info != nil)
 	case u.Info != nil && len(u.Info.Meta) > MaxMeta:
 		return errors.NotValidf("meta of %d bytes (at most %d)", len(u.Info.Meta), MaxMeta)
 	}
 	if n := updateSize(&u); n > maxUpdate {
-		return errors.NotValidf("member that takes %d bytes (at most %d)", n, maxUpdate)
+		return errors.NotValidf("update of %d bytes (at most %d)", n, maxUpdate)
 	}
 	return nil
 }
 
-// updateSize is the exact length of an encoded update, in bytes.
+// updateSize returns the exact length of an encoded update, in bytes.
 func updateSize(u *Update) int {
 	n := 1 + 1 + uintSize(u.Incarnation) + textSize(u.ID) + textSize(u.By) + 1
 	if u.Info == nil {
@@ -93,7 +96,7 @@
 
 func textSize(s string) int { return uintSize(uint64(len(s))) + len(s) }
 
-// uintSize is the length of a CBOR head for a number, by its ranges.
+// uintSize returns the length of the CBOR head of a number, in bytes.
 func uintSize(v uint64) int {
 	switch {
 	case v < 24:
--- a/coord/membership/group.go
+++ b/coord/membership/group.go
@@ -12,17 +12,18 @@
 const (
 	// maxCandidates bounds how many unknown ids of the platform's list are kept.
 	maxCandidates = 1024
-	// maxEvents bounds the events that wait for the host; the oldest go first.
+	// maxEvents bounds the events that wait for the host; the oldest are
+	// dropped first.
 	maxEvents = 8192
-	// maxContradictions bounds the answers to wrong or outdated news between
-	// two ticks. Two members that doubt each other and can't refute would
-	// answer each other without end.
-	maxContradictions = 8
-	// leaveFanout is how many members are told of leaving at once.
+	// maxRefutationPrompts bounds the answers to outdated or suspected members
+	// between two ticks. Without a bound, two members that suspect each other
+	// and can't refute would answer each other endlessly.
+	maxRefutationPrompts = 8
+	// leaveFanout is how many members Leave notifies at once.
 	leaveFanout = 8
 )
 
-// member is what this instance holds of a member, itself included.
+// member is this instance's record of a member, itself included.
 type member struct {
 	Member
 	state   State
@@ -32,21 +33,22 @@
 	suspicion *suspicion
 }
 
-// Group is the view of one instance. It is not safe for several goroutines.
+// Group is the membership state of one instance. It is not safe for concurrent
+// use.
 type Group struct {
 	cfg  Config
 	rng  *rand.Rand
 	self *member
-	// members holds all that are known, self too.
+	// members holds all known members by id, self included.
 	members map[string]*member
-	// peers are the Alive and Suspect members but self; suspected and dead
-	// those in the state.
+	// peers are the ids of the Alive and Suspect members except self;
+	// suspected and dead those of the Suspect and Dead ones.
 	peers, suspected, dead []string
 	// candidates are ids of the platform's list that never answered.
 	candidates []string
-	// contradictions counts those sent since the last Tick.
-	contradictions int
-	// left is set once this instance has said that it leaves.
+	// refutationPrompts counts the prompts sent since the last Tick.
+	refutationPrompts int
+	// left is set once Leave was called.
 	left bool
 
 	prober   prober
@@ -56,13 +58,14 @@
 	events   []Event
 }
 
-// New returns the Group of an instance that knows only itself.
+// New returns the Group of an instance that knows only itself. It returns an
+// error if cfg or self is not valid or rng is nil.
 func New(cfg Config, self Member, rng *rand.Rand) (*Group, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
 	if rng == nil {
-		return nil, errors.NotValidf("membership without a source of randomness")
+		return nil, errors.NotValidf("membership group without rng")
 	}
 	self.Roles = slices.Clone(self.Roles)
 	self.Meta = slices.Clone(self.Meta)
@@ -81,28 +84,29 @@
 		c.SuspicionMax, c.GossipInterval, c.SyncInterval, c.DeadProbeInterval, c.Retain,
 	} {
 		if d <= 0 {
-			return errors.NotValidf("membership config with a time of %v", d)
+			return errors.NotValidf("membership config with a duration of %v (must be above 0)", d)
 		}
 	}
 	switch {
 	case c.MaxTickGap <= c.TickInterval:
-		return errors.NotValidf("MaxTickGap %v within TickInterval %v", c.MaxTickGap, c.TickInterval)
+		return errors.NotValidf("MaxTickGap %v (must be above TickInterval %v)", c.MaxTickGap, c.TickInterval)
 	case c.ProbeTimeout >= c.ProbeInterval:
-		return errors.NotValidf("ProbeTimeout %v beyond ProbeInterval %v", c.ProbeTimeout, c.ProbeInterval)
+		return errors.NotValidf("ProbeTimeout %v (must be below ProbeInterval %v)", c.ProbeTimeout, c.ProbeInterval)
 	case c.SuspicionMin > c.SuspicionMax:
-		return errors.NotValidf("SuspicionMin %v over SuspicionMax %v", c.SuspicionMin, c.SuspicionMax)
+		return errors.NotValidf("SuspicionMin %v (at most SuspicionMax %v)", c.SuspicionMin, c.SuspicionMax)
 	case c.MaxBytes < minMaxBytes:
 		return errors.NotValidf("MaxBytes %d below %d", c.MaxBytes, minMaxBytes)
 	case c.IndirectProbes < 0 || c.SuspicionConfirms < 0 || c.GossipFanout < 1 || c.RetransmitMult < 1:
-		return errors.NotValidf("membership config with a count below its least")
+		return errors.NotValidf("membership config with IndirectProbes or SuspicionConfirms below 0, or GossipFanout or RetransmitMult below 1")
 	}
 	return nil
 }
 
-// Tick lets time pass; the host calls it every Config.TickInterval.
+// Tick advances time and returns the messages to send. The host calls it every
+// Config.TickInterval.
 func (g *Group) Tick(now time.Time) []Out {
 	g.observe(now)
-	g.contradictions = 0
+	g.refutationPrompts = 0
 	g.expireSuspicions(now)
 	var out []Out
 	if !g.left {
@@ -114,13 +118,14 @@
 	return g.tickGossip(now, out)
 }
 
-// Step takes in a message from the instance that the link has identified.
+// Step handles a message and returns the messages to send. from is the id of
+// the sender, which the link must have authenticated.
 func (g *Group) Step(now time.Time, from string, m Message) []Out {
 	if from == g.self.ID || from == "" {
 		return nil
 	}
 	g.observe(now)
-	g.prober.heardAt = now
+	g.prober.lastReceivedAt = now
 	source := fromGossip
 	if m.Kind == SyncReply || m.Kind == SyncPush {
 		source = fromSync
@@ -142,28 +147,29 @@
 	case SyncReply:
 		return g.stepSyncReply(now, from, m)
 	default:
-		return g.contradict(from, outdated)
+		return g.promptRefutation(from, outdated)
 	}
 }
 
-// contradict tells a member that it is held to be suspect or dead, or that what
-// it says of itself is outdated, so that it can refute.
-func (g *Group) contradict(from string, outdated bool) []Out {
-	if !outdated && !g.doubts(from) || g.contradictions == maxContradictions {
+// promptRefutation tells a member that this instance holds it for suspect or
+// dead, or that its own update is outdated, so that it can refute.
+func (g *Group) promptRefutation(from string, outdated bool) []Out {
+	if !outdated && !g.isSuspectOrDead(from) || g.refutationPrompts == maxRefutationPrompts {
 		return nil
 	}
-	g.contradictions++
-	return []Out{g.message(from, Message{Kind: Gossip}, g.belief(from))}
+	g.refutationPrompts++
+	return []Out{g.message(from, Message{Kind: Gossip}, g.knownState(from))}
 }
 
-// doubts reports whether a member is held to be suspect or dead.
-func (g *Group) doubts(id string) bool {
+// isSuspectOrDead reports whether a member is known as suspect or dead.
+func (g *Group) isSuspectOrDead(id string) bool {
 	m := g.members[id]
 	return m != nil && (m.state == Suspect || m.state == Dead)
 }
 
-// belief is what this instance holds of a member, as an update; nil if nothing.
-func (g *Group) belief(id string) []Update {
+// knownState returns the recorded state of a member as an update; nil if the
+// member is unknown.
+func (g *Group) knownState(id string) []Update {
 	m := g.members[id]
 	if m == nil {
 		return nil
@@ -171,7 +177,8 @@
 	return []Update{g.update(m)}
 }
 
-// Leave says to the others that this instance leaves. It goes on answering.
+// Leave marks this instance as left and returns the messages that announce it.
+// The instance goes on answering, but starts no more probes or comparisons.
 func (g *Group) Leave(now time.Time) []Out {
 	g.observe(now)
 	if g.left {
@@ -187,8 +194,9 @@
 	return out
 }
 
-// Hint takes in the platform's whole list. Unknown ids are probed until they
-// answer or are no longer listed; nobody is declared dead by it.
+// Hint replaces the platform's list by the whole current one. Unknown ids are
+// probed until they answer or are no longer listed. The list never makes a
+// member dead.
 func (g *Group) Hint(now time.Time, list []Hint) {
 	g.observe(now)
 	leaving := map[string]bool{}
@@ -205,7 +213,8 @@
 	}
 }
 
-// Members returns all known members with itself, dead and left ones too, by id.
+// Members returns all known members sorted by id, including this instance and
+// dead and left members.
 func (g *Group) Members() []View {
 	views := make([]View, 0, len(g.members))
 	for _, m := range g.members {
@@ -215,20 +224,21 @@
 	return views
 }
 
-// Self returns this instance with its incarnation now.
+// Self returns this instance with its current incarnation.
 func (g *Group) Self() Member { return g.self.Member }
 
-// Events returns the changes since the last call, oldest first.
+// Events returns the changes since the last call, oldest first. Of more than
+// maxEvents the oldest are lost.
 func (g *Group) Events() []Event {
 	e := g.events
 	g.events = nil
 	return e
 }
 
-// randomPeers returns up to n different Alive or Suspect members but one.
+// randomPeers returns up to n different Alive or Suspect members except but.
 func (g *Group) randomPeers(n int, but string) []string {
 	var picked []string
-	// Drawing a few too many times costs less than a copy of all peers.
+	// A few wasted draws cost less than a copy of all peers.
 	for range 4 * n {
 		if len(picked) == n || len(g.peers) == 0 {
 			break
@@ -241,9 +251,9 @@
 	return picked
 }
 
-// due reports whether a periodic duty is to run now, and sets its next time.
-// The first time is drawn, so that instances started together do not act
-// together.
+// due reports whether a periodic task must run now, and sets its next time. The
+// first time is random, so that instances started together do not act at the
+// same moment.
 func (g *Group) due(now time.Time, next *time.Time, interval time.Duration) bool {
 	if next.IsZero() {
 		*next = now.Add(time.Duration(g.rng.Int64N(int64(interval))))
--- a/coord/membership/group_test.go
+++ b/coord/membership/group_test.go
@@ -12,218 +12,215 @@
 	_ "github.com/gullhaven/gullhaven/coord/fixedseed"
 )
 
-// healTime is within what views must settle after the last fault: death, a
-// probe of each dead member, refutation and a few comparisons.
-const healTime = 90 * time.Second
+// convergeTime is the time within which views must converge after the last
+// fault: detection of a death, a probe of each dead member, refutation and a few
+// comparisons.
+const convergeTime = 90 * time.Second
 
-// Symptom: an instance that runs is never used again, one that is gone gets
-// requests for ever, or one that has left comes back.
-// Events: loss, delay, duplicates, cuts, crashes, restarts with a lagging
-// clock, freezes and leaving, in any order; then the network heals.
-// Cause: a belief that falls back, isn't refuted or isn't asked about again.
-func TestViewsSettleOnTheTruthAfterAnyFaults(t *testing.T) {
+// Guards against views that stay wrong after faults: a running instance is
+// never used again, a crashed one gets requests forever, or one that left comes
+// back, as a state goes back, isn't refuted or isn't probed again. Faults are
+// loss, delay, duplicates, partitions, crashes, restarts with a lagging clock,
+// freezes and leaving, in any order, before the network heals.
+func TestViewsConvergeAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 8).Draw(t, "members")
-		w := newWorld(t, n, rapid.Uint64().Draw(t, "seed"))
-		w.run(10 * time.Second)
+		sim := newSimulation(t, n, rapid.Uint64().Draw(t, "seed"))
+		sim.run(10 * time.Second)
 		for range rapid.IntRange(1, 10).Draw(t, "faults") {
-			w.fault(t)
-			w.run(time.Duration(rapid.IntRange(0, 15000).Draw(t, "ms")) * time.Millisecond)
+			sim.fault(t)
+			sim.run(time.Duration(rapid.IntRange(0, 15000).Draw(t, "ms")) * time.Millisecond)
 		}
-		w.loss, w.duplicate, w.cut = 0, 0, nil
-		w.delay = 500 * time.Microsecond
-		for _, h := range w.hosts {
+		sim.loss, sim.duplicate, sim.blocked = 0, 0, nil
+		sim.delay = 500 * time.Microsecond
+		for _, h := range sim.hosts {
 			h.frozenUntil = time.Time{}
 		}
-		w.run(healTime)
-		w.checkSettled()
+		sim.run(convergeTime)
+		sim.checkConverged()
 	})
 }
 
-func (w *world) fault(t *rapid.T) {
-	h := w.hosts[rapid.SampledFrom(w.ids).Draw(t, "member")]
+func (sim *simulation) fault(t *rapid.T) {
+	h := sim.hosts[rapid.SampledFrom(sim.ids).Draw(t, "member")]
 	switch rapid.SampledFrom([]string{"crash", "restart", "freeze", "leave", "cut", "one way", "noise", "heal"}).Draw(t, "fault") {
 	case "crash":
 		h.running = false
 	case "restart":
 		lag := time.Duration(rapid.IntRange(-10, 3600).Draw(t, "clock lag")) * time.Second
-		incarnation := uint64(w.now.Add(-lag).UnixMilli())
+		incarnation := uint64(sim.now.Add(-lag).UnixMilli())
 		if rapid.Bool().Draw(t, "clock at the first start") {
-			incarnation = uint64(w.epoch.UnixMilli())
+			incarnation = uint64(sim.epoch.UnixMilli())
 		}
-		w.start(h.id, incarnation)
+		sim.start(h.id, incarnation)
 	case "freeze":
-		h.frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "frozen for")) * time.Second)
+		h.frozenUntil = sim.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "frozen for")) * time.Second)
 	case "leave":
-		if h.running && !h.left && !w.now.Before(h.frozenUntil) {
-			w.send(h.id, h.Leave(w.now))
+		if h.running && !h.left && !sim.now.Before(h.frozenUntil) {
+			sim.send(h.id, h.Leave(sim.now))
 			h.left = true
 		}
 	case "cut":
 		side := map[string]bool{}
-		for _, id := range w.ids {
+		for _, id := range sim.ids {
 			side[id] = rapid.Bool().Draw(t, "side")
 		}
-		w.cut = func(from, to string) bool { return side[from] != side[to] }
+		sim.blocked = func(from, to string) bool { return side[from] != side[to] }
 	case "one way":
-		w.cut = func(from, to string) bool { return from == h.id }
+		sim.blocked = func(from, to string) bool { return from == h.id }
 	case "noise":
-		w.loss = rapid.Float64Range(0, 0.5).Draw(t, "loss")
-		w.duplicate = rapid.Float64Range(0, 0.5).Draw(t, "duplicates")
-		w.delay = time.Duration(rapid.IntRange(1, 400).Draw(t, "delay")) * time.Millisecond
+		sim.loss = rapid.Float64Range(0, 0.5).Draw(t, "loss")
+		sim.duplicate = rapid.Float64Range(0, 0.5).Draw(t, "duplicates")
+		sim.delay = time.Duration(rapid.IntRange(1, 400).Draw(t, "delay")) * time.Millisecond
 	case "heal":
-		w.loss, w.duplicate, w.cut = 0, 0, nil
+		sim.loss, sim.duplicate, sim.blocked = 0, 0, nil
 	}
 }
 
-// Symptom: requests go to a crashed instance for long.
-// Events: one instance ends without a word, in groups of several sizes.
-// Cause: a suspicion that does not end, or news that does not reach all.
-func TestACrashIsFoundByAllInTime(t *testing.T) {
+// Guards against requests to an instance long after it crashed without leaving,
+// as a suspicion does not end or an update does not reach all, in groups of
+// several sizes.
+func TestCrashIsDetectedByAllInTime(t *testing.T) {
 	cfg := DefaultConfig()
 	for _, n := range []int{2, 3, 9, 40} {
-		w := newWorld(t, n, uint64(n))
-		w.run(30 * time.Second)
-		w.checkSettled()
-		w.hosts[w.ids[0]].running = false
-		// Two rounds of probes of one member until somebody's turn, a probe, a
-		// suspicion, and the spreading.
-		w.run(time.Duration(min(2*n, 10))*cfg.ProbeInterval + 2*cfg.ProbeInterval + cfg.SuspicionMax)
-		w.checkSettled()
+		sim := newSimulation(t, n, uint64(n))
+		sim.run(30 * time.Second)
+		sim.checkConverged()
+		sim.hosts[sim.ids[0]].running = false
+		// Up to two rounds of probes until some member probes the crashed one,
+		// then the probe, the suspicion and the spreading of the update.
+		sim.run(time.Duration(min(2*n, 10))*cfg.ProbeInterval + 2*cfg.ProbeInterval + cfg.SuspicionMax)
+		sim.checkConverged()
 	}
 }
 
-// Symptom: after a stop of one process for half a minute the region loses
-// instances that were well all the time.
-// Events: a process is frozen within probes and suspicions, and goes on.
-// Cause: its timers have all expired and the answers were not read.
-func TestAFrozenProcessDeclaresNobodyDead(t *testing.T) {
+// Guards against healthy members being declared dead by a process that was
+// frozen for half a minute during probes and suspicions: when it goes on, all
+// its timers have expired and the answers are unread.
+func TestFrozenProcessDeclaresNobodyDead(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(t, 5, seed)
-		w.run(20 * time.Second)
-		// A lossy spell leaves probes and suspicions under way.
-		w.loss = 0.4
-		w.run(3 * time.Second)
-		w.loss = 0
-		frozen := w.hosts[w.ids[0]]
-		frozen.frozenUntil = w.now.Add(30 * time.Second)
-		w.run(30*time.Second - time.Millisecond)
-		for _, h := range w.hosts {
+		sim := newSimulation(t, 5, seed)
+		sim.run(20 * time.Second)
+		// Loss leaves probes and suspicions in progress.
+		sim.loss = 0.4
+		sim.run(3 * time.Second)
+		sim.loss = 0
+		frozen := sim.hosts[sim.ids[0]]
+		frozen.frozenUntil = sim.now.Add(30 * time.Second)
+		sim.run(30*time.Second - time.Millisecond)
+		for _, h := range sim.hosts {
 			h.events = nil
 		}
 		frozen.Tick(frozen.frozenUntil)
 		if frozen.Fresh() {
-			t.Fatal("a thawed process takes its view for fresh")
+			t.Fatal("a resumed process takes its view for fresh")
 		}
 		if e := frozen.Events(); len(e) > 0 {
-			t.Fatalf("seed %d: a thawed process at once holds %s for %v", seed, e[0].Member.ID, e[0].State)
+			t.Fatalf("seed %d: a resumed process at once holds %s for %v", seed, e[0].Member.ID, e[0].State)
 		}
-		w.run(healTime)
-		for _, h := range w.hosts {
+		sim.run(convergeTime)
+		for _, h := range sim.hosts {
 			for _, e := range h.events {
 				if e.State == Dead && e.Member.ID != frozen.id {
 					t.Fatalf("seed %d: %s held %s for dead", seed, h.id, e.Member.ID)
 				}
 			}
 		}
-		w.checkSettled()
+		sim.checkConverged()
 	}
 }
 
-// Symptom: when a partition heals, each instance is held for dead for a moment
-// by those who could reach it all the time.
-// Events: each side has declared the other dead, and views are compared.
-// Cause: a death that is news is taken over without time to refute.
-func TestAHealedPartitionKillsNobody(t *testing.T) {
+// Guards against live members being declared dead when a partition heals: each
+// side has declared the other dead, and a comparison of views passes that state
+// to members that could reach them all the time, without time to refute.
+func TestHealedPartitionDeclaresNobodyDead(t *testing.T) {
 	for seed := range uint64(10) {
-		w := newWorld(t, 8, seed)
-		side := func(id string) bool { return id < w.ids[4] }
-		w.run(20 * time.Second)
-		w.cut = func(from, to string) bool { return side(from) != side(to) }
-		w.run(healTime)
-		w.cut = nil
-		for _, h := range w.hosts {
+		sim := newSimulation(t, 8, seed)
+		side := func(id string) bool { return id < sim.ids[4] }
+		sim.run(20 * time.Second)
+		sim.blocked = func(from, to string) bool { return side(from) != side(to) }
+		sim.run(convergeTime)
+		sim.blocked = nil
+		for _, h := range sim.hosts {
 			h.events = nil
 		}
-		w.run(healTime)
-		for _, h := range w.hosts {
+		sim.run(convergeTime)
+		for _, h := range sim.hosts {
 			for _, e := range h.events {
 				if e.State == Dead && side(e.Member.ID) == side(h.id) {
 					t.Fatalf("seed %d: %s held %s of its own side for dead", seed, h.id, e.Member.ID)
 				}
 			}
 		}
-		w.checkSettled()
+		sim.checkConverged()
 	}
 }
 
-// Symptom: an instance that left and was started again stays out for long.
-// Events: its clock lags, so that its incarnation is below the one it left with.
-// Cause: its news are dropped without a word to it.
-func TestOutdatedNewsAreContradictedAtOnce(t *testing.T) {
-	w := newWorld(t, 2, 5)
-	now, g := w.now, w.hosts[w.ids[0]].Group
+// Guards against an instance that left and restarted staying out for long: its
+// clock lags, so its incarnation is below the one it left with, and its updates
+// are dropped without an answer that lets it raise the incarnation.
+func TestOutdatedUpdateIsAnsweredAtOnce(t *testing.T) {
+	sim := newSimulation(t, 2, 5)
+	now, g := sim.now, sim.hosts[sim.ids[0]].Group
 	left := Update{State: Left, ID: "x", Incarnation: 10}
 	g.Step(now, "y", Message{Kind: Gossip, Updates: []Update{left}})
 	alive := Update{ID: "x", Incarnation: 5, Info: &Info{}}
 	for _, kind := range []Kind{Ping, Gossip} {
 		out := g.Step(now, "x", Message{Kind: kind, Updates: []Update{alive}})
 		if len(out) != 1 || out[0].To != "x" || !slices.Contains(out[0].Message.Updates, left) {
-			t.Fatalf("answer to outdated news: %+v", out)
+			t.Fatalf("answer to an outdated update: %+v", out)
 		}
 	}
 }
 
-// Symptom: a process that was stopped acts at once on its old view.
-// Events: answers of before the freeze wait in its sockets.
-// Cause: any message counts as a sign that the view is of now.
-func TestOldAnswersDoNotFreshenAView(t *testing.T) {
-	w := newWorld(t, 3, 1)
-	w.run(10 * time.Second)
-	h := w.hosts[w.ids[0]]
-	later := w.now.Add(time.Minute)
+// Guards against a process that acts on its old view right after a freeze,
+// because answers from before the freeze, still unread in its sockets, count as
+// a sign that the view is current.
+func TestAnswersFromBeforeAFreezeDoNotMakeAViewFresh(t *testing.T) {
+	sim := newSimulation(t, 3, 1)
+	sim.run(10 * time.Second)
+	h := sim.hosts[sim.ids[0]]
+	later := sim.now.Add(time.Minute)
 	seq := h.syncer.seq
 	h.Tick(later)
-	h.Step(later, w.ids[1], Message{Kind: SyncReply, Seq: seq})
+	h.Step(later, sim.ids[1], Message{Kind: SyncReply, Seq: seq})
 	for s := range h.prober.seq {
-		h.Step(later, w.ids[1], Message{Kind: Ack, Seq: s})
+		h.Step(later, sim.ids[1], Message{Kind: Ack, Seq: s})
 	}
 	if h.Fresh() {
-		t.Fatal("fresh by answers of before the freeze")
+		t.Fatal("fresh by answers from before the freeze")
 	}
 }
 
-// Symptom: the last instance of a region serves nothing after a short stop.
-// Events: the other one crashes while this one is frozen, so nobody answers.
-// Cause: a view that becomes fresh by the answer of another instance only.
-func TestTheOnlyInstanceLeftIsFreshAgainAfterAFreeze(t *testing.T) {
-	w := newWorld(t, 2, 3)
-	w.run(10 * time.Second)
-	w.hosts[w.ids[1]].running = false
-	w.hosts[w.ids[0]].frozenUntil = w.now.Add(20 * time.Second)
-	w.run(20*time.Second + 3*DefaultConfig().SuspicionMax + 10*time.Second)
-	w.checkSettled()
+// Guards against the last instance of a region staying without a fresh view
+// after a freeze: the other one crashed meanwhile, so no answer can come.
+func TestLastInstanceIsFreshAgainAfterAFreeze(t *testing.T) {
+	sim := newSimulation(t, 2, 3)
+	sim.run(10 * time.Second)
+	sim.hosts[sim.ids[1]].running = false
+	sim.hosts[sim.ids[0]].frozenUntil = sim.now.Add(20 * time.Second)
+	sim.run(20*time.Second + 3*DefaultConfig().SuspicionMax + 10*time.Second)
+	sim.checkConverged()
 }
 
-// Symptom: live instances are shut out by a list that lags.
-// Events: the list says that one leaves, lacks two others, and names one that
-// does not exist.
-// Cause: the platform's list is taken for the truth.
-func TestThePlatformsListOnlyHints(t *testing.T) {
-	w := newWorld(t, 4, 7)
-	w.run(20 * time.Second)
-	h := w.hosts[w.ids[0]]
-	h.Hint(w.now, []Hint{{ID: w.ids[1], Leaving: true}, {ID: "ghost"}})
+// Guards against an outdated platform list changing the state of live members.
+// The list marks one as leaving, lacks two others and names one that does not
+// exist.
+func TestPlatformListIsOnlyAHint(t *testing.T) {
+	sim := newSimulation(t, 4, 7)
+	sim.run(20 * time.Second)
+	h := sim.hosts[sim.ids[0]]
+	h.Hint(sim.now, []Hint{{ID: sim.ids[1], Leaving: true}, {ID: "ghost"}})
 	for _, v := range h.Members() {
-		if v.State != Alive || v.Leaving != (v.ID == w.ids[1]) {
+		if v.State != Alive || v.Leaving != (v.ID == sim.ids[1]) {
 			t.Fatalf("%+v", v)
 		}
 	}
-	w.run(20 * time.Second)
+	sim.run(20 * time.Second)
 	if len(h.Members()) != 4 {
 		t.Fatalf("a name on the list became a member: %+v", h.Members())
 	}
-	w.checkSettled()
+	sim.checkConverged()
 }
 
 func anyUpdate(t *rapid.T) Update {
@@ -242,10 +239,9 @@
 	return u
 }
 
-// Symptom: instances differ for ever on who is alive.
-// Events: the same updates reach them in different orders, and twice.
-// Cause: taking an update in depends on what came before it.
-func TestUpdatesInAnyOrderGiveOneView(t *testing.T) {
+// Guards against views that differ permanently because the result of merging
+// updates depends on their order or on duplicates.
+func TestViewDoesNotDependOnUpdateOrder(t *testing.T) {
 	now := time.Unix(0, 0)
 	rapid.Check(t, func(t *rapid.T) {
 		var updates []Update
@@ -253,7 +249,7 @@
 			u := anyUpdate(t)
 			u.ID, u.Incarnation = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "who"), u.Incarnation%4
 			if u.State == Suspect {
-				// A suspicion of an unknown member is dropped on purpose.
+				// A suspicion of an unknown member is dropped by design.
 				u.State, u.By = Dead, ""
 			}
 			updates = append(updates, u)
@@ -278,9 +274,8 @@
 	})
 }
 
-// Symptom: a message is cut off on its way or stops its receiver.
-// Events: any update is counted, sent and read; malformed ones and noise come in.
-// Cause: a size that is counted wrongly, a bound that is not checked on reading.
+// Guards against messages that are truncated, as updateSize is wrong, and
+// against malformed messages or noise that Decode accepts or panics on.
 func TestMessagesKeepTheirWireForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := anyUpdate(t)
@@ -325,9 +320,9 @@
 	})
 }
 
-// Symptom: relays change all the time, or both fall with one zone.
-// Events: members in several zones, states and views; one of them goes.
-// Cause: a choice that rests on the order or number of members, or not on zones.
+// Guards against relays that change whenever any member leaves, as the choice
+// depends on the order or number of members, and against losing both relays
+// with one zone.
 func TestRelaysAreStableAndInTwoZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var view []View
@@ -366,7 +361,7 @@
 		gone := view[i].ID
 		rest := rapid.Permutation(append(append([]View(nil), view[:i]...), view[i+1:]...)).Draw(t, "order")
 		if after := Relays("r", rest); gone != r[0] && gone != r[1] && after != r {
-			t.Fatalf("without %s, which was none, relays %q became %q", gone, r, after)
+			t.Fatalf("without %s, which was no relay, relays %q became %q", gone, r, after)
 		}
 	})
 	leaving := []View{
--- a/coord/membership/merge.go
+++ b/coord/membership/merge.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// updateSource says how an update came.
+// updateSource is how an update was received.
 type updateSource uint8
 
 const (
@@ -15,18 +15,18 @@
 	fromSync
 )
 
-// compareBelief orders beliefs of one member: a higher incarnation first, then
-// the state. Taking the higher one is a join, so the order in which updates
-// arrive, and how often, makes no difference in the end.
-func compareBelief(inc uint64, s State, inc2 uint64, s2 State) int {
+// compareStates orders two states of one member, by incarnation and then by
+// State. Keeping the higher one is a join, so the order in which updates
+// arrive, and how often, makes no difference to the result.
+func compareStates(inc uint64, s State, inc2 uint64, s2 State) int {
 	if c := cmp.Compare(inc, inc2); c != 0 {
 		return c
 	}
 	return cmp.Compare(s, s2)
 }
 
-// apply takes in an update and reports whether it is older than what is held,
-// or says something else at the same incarnation.
+// apply merges an update and reports whether it is older than the recorded
+// state, or differs from it at the same incarnation.
 func (g *Group) apply(now time.Time, u *Update, source updateSource) (outdated bool) {
 	if u.ID == g.self.ID {
 		g.refute(now, u)
@@ -37,30 +37,30 @@
 		g.addMember(now, u)
 		return false
 	}
-	c := compareBelief(u.Incarnation, u.State, m.Incarnation, m.state)
+	c := compareStates(u.Incarnation, u.State, m.Incarnation, m.state)
 	switch {
 	case c < 0:
 		return true
 	case c == 0:
 		g.confirm(m, u)
-		// Another life of the instance began at the same incarnation.
+		// The instance was restarted with the same incarnation.
 		return u.State == Alive && !u.Info.equal(infoOf(&m.Member))
 	case u.State == Dead && source == fromSync && (m.state == Alive || m.state == Suspect):
-		// After a partition each side holds the other for dead. Taking that
-		// over would let a comparison of views kill everybody who answers
+		// After a partition each side holds the other for dead. Adopting that
+		// would let a comparison of views declare members dead that answer
 		// here. A suspicion gives them the time to refute.
 		g.suspect(now, m, u.Incarnation, "")
 	case u.State == Suspect:
 		g.suspect(now, m, u.Incarnation, u.By)
 	default:
-		g.adopt(now, m, u)
+		g.applyState(now, m, u)
 	}
 	return false
 }
 
-// addMember adds a member that was unknown. A suspicion tells too little of it;
-// that a member is dead or has left is remembered, so that a late Alive update
-// of the same incarnation doesn't bring it back.
+// addMember adds a member that was unknown. A Suspect update is ignored, as it
+// lacks the member's Info. Dead and Left are recorded, so that a late Alive
+// update of the same incarnation doesn't make the member alive again.
 func (g *Group) addMember(now time.Time, u *Update) {
 	if u.State == Suspect {
 		return
@@ -69,13 +69,13 @@
 	g.members[u.ID] = m
 	g.candidates = slices.DeleteFunc(g.candidates, func(id string) bool { return id == u.ID })
 	if u.State == Alive {
-		g.syncer.soon(now)
+		g.syncer.expedite(now)
 	}
-	g.adopt(now, m, u)
+	g.applyState(now, m, u)
 }
 
-// adopt takes over an Alive, Dead or Left update.
-func (g *Group) adopt(now time.Time, m *member, u *Update) {
+// applyState applies an Alive, Dead or Left update.
+func (g *Group) applyState(now time.Time, m *member, u *Update) {
 	wasDead := m.state == Dead
 	m.Incarnation = u.Incarnation
 	if u.Info != nil {
@@ -84,29 +84,30 @@
 	}
 	g.setState(now, m, u.State)
 	if wasDead && u.State == Alive {
-		// Whoever comes back may be the other side of a healed partition.
-		g.syncer.with = m.ID
-		g.syncer.soon(now)
+		// The member may be on the other side of a healed partition.
+		g.syncer.nextPeer = m.ID
+		g.syncer.expedite(now)
 	}
 	g.enqueue(g.update(m))
 }
 
-// refute answers a wrong belief of this instance by a higher incarnation.
+// refute answers a wrong state of this instance with a higher incarnation.
 func (g *Group) refute(now time.Time, u *Update) {
-	c := compareBelief(u.Incarnation, u.State, g.self.Incarnation, g.self.state)
+	c := compareStates(u.Incarnation, u.State, g.self.Incarnation, g.self.state)
 	same := c == 0 && (u.State != Alive || u.Info.equal(infoOf(&g.self.Member)))
-	// The last incarnation can't be refuted; no honest instance gets there.
+	// The highest incarnation can't be refuted; no correct instance reaches it.
 	if c < 0 || same || u.Incarnation == math.MaxUint64 {
 		return
 	}
 	g.self.Incarnation = u.Incarnation + 1
 	g.enqueue(g.update(g.self))
 	if u.State == Suspect {
-		g.worsen()
+		g.raiseHealthScore()
 	}
 }
 
-// setState changes the state and what depends on it.
+// setState changes the state of a member, records the event and updates the
+// lists of ids by state.
 func (g *Group) setState(now time.Time, m *member, s State) {
 	m.state = s
 	m.since = now
@@ -136,7 +137,7 @@
 	return list
 }
 
-// update is what to tell of a member.
+// update returns the recorded state of a member as an update.
 func (g *Group) update(m *member) Update {
 	switch m.state {
 	case Alive:
--- a/coord/membership/probe.go
+++ b/coord/membership/probe.go
@@ -5,30 +5,31 @@
 )
 
 const (
-	// maxHealth bounds the local health score; 0 is healthy.
-	maxHealth = 8
-	// maxRelayed bounds the probes made for others at a time.
+	// maxHealthScore bounds the local health score; 0 is healthy.
+	maxHealthScore = 8
+	// maxRelayed bounds the concurrent probes on behalf of others.
 	maxRelayed = 64
 	// candidateFanout is how many candidates are probed per ProbeInterval.
 	candidateFanout = 3
 )
 
-// prober is the state of the probes that this instance makes.
+// prober is the state of the probes that this instance sends.
 type prober struct {
 	seq uint64
-	// order is a shuffled round of members; next is the place in it.
+	// order is a shuffled round of members; next is the index of the next one.
 	order []string
 	next  int
-	// current is the probe under way; its target is empty when there is none.
+	// current is the probe in flight; its target is empty if there is none.
 	current probe
+	// relayed are the probes on behalf of others, by seq.
 	relayed map[uint64]relayedProbe
 
 	nextAt, nextCandidateAt, nextDeadAt time.Time
-	// heardAt is when any message came in last.
-	heardAt time.Time
-	// health counts signs that the fault is here: each one makes timeouts
-	// longer by once their length.
-	health int
+	// lastReceivedAt is when the last message of any kind was received.
+	lastReceivedAt time.Time
+	// healthScore counts signs that this instance itself is at fault
+	// (Lifeguard's local health): probe times are multiplied by 1 + healthScore.
+	healthScore int
 }
 
 type probe struct {
@@ -38,7 +39,7 @@
 	indirect bool
 }
 
-// relayedProbe is a probe made for origin.
+// relayedProbe is a probe on behalf of origin, whose own number is seq.
 type relayedProbe struct {
 	origin, target string
 	seq            uint64
@@ -72,17 +73,18 @@
 	return append(out, g.ping(target, p.seq))
 }
 
-// ping makes a Ping; a member that is held to be suspect or dead is told so.
+// ping returns a Ping. To a suspect or dead member it carries that state, so
+// that the member can refute.
 func (g *Group) ping(target string, seq uint64) Out {
 	var first []Update
-	if g.doubts(target) {
-		first = g.belief(target)
+	if g.isSuspectOrDead(target) {
+		first = g.knownState(target)
 	}
 	return g.message(target, Message{Kind: Ping, Seq: seq}, first)
 }
 
 // nextTarget goes round all peers in a random order, so that each one is
-// probed within two rounds at most.
+// probed again within two rounds.
 func (g *Group) nextTarget() string {
 	p := &g.prober
 	for range 2 {
@@ -103,7 +105,7 @@
 func (g *Group) continueProbe(now time.Time, out []Out) []Out {
 	p := &g.prober
 	passed := now.Sub(p.current.sentAt)
-	factor := time.Duration(1 + p.health)
+	factor := time.Duration(1 + p.healthScore)
 	switch {
 	case passed >= g.cfg.ProbeInterval*factor:
 		g.failProbe(now)
@@ -119,9 +121,9 @@
 // failProbe suspects the member that did not answer.
 func (g *Group) failProbe(now time.Time) {
 	p := &g.prober
-	if p.heardAt.Before(p.current.sentAt) {
-		// Nobody at all was heard: the fault may well be here.
-		g.worsen()
+	if p.lastReceivedAt.Before(p.current.sentAt) {
+		// No message at all was received: this instance may be at fault.
+		g.raiseHealthScore()
 	}
 	m := g.members[p.current.target]
 	p.current = probe{}
@@ -134,23 +136,26 @@
 	}
 }
 
-func (g *Group) worsen() { g.prober.health = min(g.prober.health+1, maxHealth) }
+func (g *Group) raiseHealthScore() {
+	g.prober.healthScore = min(g.prober.healthScore+1, maxHealthScore)
+}
 
 // ack answers a Ping.
 func (g *Group) ack(from string, m Message, outdated bool) Out {
 	var first []Update
-	if g.tellSelf(from, m.Updates) {
+	if g.mustIncludeSelf(from, m.Updates) {
 		first = append(first, g.update(g.self))
 	}
-	if outdated || g.doubts(from) {
-		first = append(first, g.belief(from)...)
+	if outdated || g.isSuspectOrDead(from) {
+		first = append(first, g.knownState(from)...)
 	}
 	return g.message(from, Message{Kind: Ack, Seq: m.Seq}, first)
 }
 
-// tellSelf reports whether an answer should carry this instance itself: to one
-// that introduced itself or that holds a belief of this instance.
-func (g *Group) tellSelf(from string, updates []Update) bool {
+// mustIncludeSelf reports whether an answer should carry this instance's own
+// state: if the sender is unknown, introduced itself or sent a state of this
+// instance.
+func (g *Group) mustIncludeSelf(from string, updates []Update) bool {
 	for i := range updates {
 		if updates[i].ID == g.self.ID || updates[i].ID == from {
 			return true
@@ -163,7 +168,7 @@
 	p := &g.prober
 	if r, ok := p.relayed[m.Seq]; ok && r.target == from && m.Target == "" {
 		delete(p.relayed, m.Seq)
-		return []Out{g.message(r.origin, Message{Kind: Ack, Seq: r.seq, Target: r.target}, g.belief(r.target))}
+		return []Out{g.message(r.origin, Message{Kind: Ack, Seq: r.seq, Target: r.target}, g.knownState(r.target))}
 	}
 	target := m.Target
 	if target == "" {
@@ -171,16 +176,16 @@
 	}
 	if p.current.target == target && p.current.seq == m.Seq {
 		p.current = probe{}
-		p.health = max(p.health-1, 0)
-		g.freeze.heard = true
+		p.healthScore = max(p.healthScore-1, 0)
+		g.freeze.acked = true
 	}
 	if m.Target != "" {
 		return nil
 	}
-	return g.contradict(from, false)
+	return g.promptRefutation(from, false)
 }
 
-// stepPingReq probes a member for another instance.
+// stepPingReq probes a member on behalf of another instance.
 func (g *Group) stepPingReq(now time.Time, from string, m Message) []Out {
 	p := &g.prober
 	if m.Target == g.self.ID || len(p.relayed) >= maxRelayed {
@@ -196,7 +201,8 @@
 	return []Out{g.ping(m.Target, p.seq)}
 }
 
-// tickCandidates introduces this instance to some of the platform's list.
+// tickCandidates introduces this instance to random candidates of the
+// platform's list.
 func (g *Group) tickCandidates(now time.Time, out []Out) []Out {
 	p := &g.prober
 	if len(g.candidates) == 0 || !g.due(now, &p.nextCandidateAt, g.cfg.ProbeInterval) {
@@ -209,8 +215,8 @@
 	return out
 }
 
-// tickDead probes some dead member. Without this, two sides that hold each
-// other for dead would never speak again after a partition.
+// tickDead probes a random dead member. Without this, two sides that hold each
+// other for dead would never communicate again after a partition.
 func (g *Group) tickDead(now time.Time, out []Out) []Out {
 	if len(g.dead) == 0 || !g.due(now, &g.prober.nextDeadAt, g.cfg.DeadProbeInterval) {
 		return out
@@ -221,6 +227,6 @@
 // introduce pings an instance that may not know this one.
 func (g *Group) introduce(id string) Out {
 	g.prober.seq++
-	first := append([]Update{g.update(g.self)}, g.belief(id)...)
+	first := append([]Update{g.update(g.self)}, g.knownState(id)...)
 	return g.message(id, Message{Kind: Ping, Seq: g.prober.seq}, first)
 }
--- a/coord/membership/relays.go
+++ b/coord/membership/relays.go
@@ -4,14 +4,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Relays picks up to two members, in different availability zones if there are,
-// that speak for the region to others. Empty ids mean there are fewer.
+// Relays returns the ids of up to two members that represent the region to
+// others, in different availability zones if possible. Ids are empty if there
+// are fewer.
 //
 // Each member has a score from a hash of region and id (rendezvous hashing,
-// Thaler and Ravishankar, 1998); the highest wins, and the second is the
-// highest of another zone. So members that come or go change a relay only if
-// they are it or outdo it. Suspect members count, as they may refute; those
-// that the platform lists as leaving only when there is no other.
+// Thaler and Ravishankar, 1998). The first relay has the highest score, the
+// second the highest of another zone. So a member that joins or leaves changes
+// a relay only if it is that relay or has a higher score. Suspect members
+// count, as they may refute; members that the platform lists as leaving count
+// only if there is no other.
 func Relays(region string, view []View) [2]string {
 	first := best(region, view, func(*View) bool { return true })
 	if first == nil {
@@ -27,7 +29,8 @@
 	return [2]string{first.ID, second.ID}
 }
 
-// best returns the member with the highest score among those that match.
+// best returns the Alive or Suspect member of the region that ranks highest
+// among those that match; nil if there is none.
 func best(region string, view []View, match func(*View) bool) *View {
 	var top *View
 	for i := range view {
--- a/coord/membership/spread.go
+++ b/coord/membership/spread.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// spreader holds the updates that are still to be spread.
+// spreader holds the updates that are still to be sent.
 type spreader struct {
 	// queue holds one update per member, or several suspicions by different
-	// instances; those sent least often come first.
-	queue  []spread
+	// instances. Updates sent least often come first.
+	queue  []queuedUpdate
 	nextAt time.Time
 }
 
-type spread struct {
+type queuedUpdate struct {
 	update Update
 	size   int
 	sends  int
 }
 
-// enqueue spreads an update; older ones of the same member are dropped.
+// enqueue adds an update to the queue and drops older ones of the same member.
 func (g *Group) enqueue(u Update) {
-	q := slices.DeleteFunc(g.spreader.queue, func(s spread) bool {
+	q := slices.DeleteFunc(g.spreader.queue, func(s queuedUpdate) bool {
 		o := &s.update
 		return o.ID == u.ID && (o.State != Suspect || u.State != Suspect || o.Incarnation != u.Incarnation || o.By == u.By)
 	})
-	g.spreader.queue = slices.Insert(q, 0, spread{update: u, size: updateSize(&u)})
+	g.spreader.queue = slices.Insert(q, 0, queuedUpdate{update: u, size: updateSize(&u)})
 }
 
-// message completes a message by updates: those given, then from the queue as
-// many as fit. Each update is sent a number of times that grows with the
-// logarithm of the members, which reaches all of them with high probability.
+// message adds updates to a message: first those given, then as many of the
+// queue as fit. Each update is sent a number of times that grows with the
+// logarithm of the number of members, which reaches all of them with high
+// probability.
 func (g *Group) message(to string, m Message, first []Update) Out {
 	room := g.cfg.MaxBytes - headerBytes - len(m.Target)
 	for i := range first {
@@ -51,9 +52,9 @@
 	return Out{To: to, Message: m}
 }
 
-// requeue moves the first entries behind the others and drops those that were
-// sent often enough.
-func requeue(q []spread, taken, limit int) []spread {
+// requeue moves the first taken entries to the end and drops those that were
+// sent limit times.
+func requeue(q []queuedUpdate, taken, limit int) []queuedUpdate {
 	if taken == 0 {
 		return q
 	}
@@ -68,8 +69,8 @@
 	return q
 }
 
-// tickGossip sends updates to some members while there are any, beside what
-// travels on probes, so that a change spreads in less than a probe's time.
+// tickGossip sends queued updates to random members, in addition to those
+// piggybacked on probes, so that a change spreads faster than one probe takes.
 func (g *Group) tickGossip(now time.Time, out []Out) []Out {
 	if !g.due(now, &g.spreader.nextAt, g.cfg.GossipInterval) {
 		return out
--- a/coord/membership/suspicion.go
+++ b/coord/membership/suspicion.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// suspicion is the time that a member has to refute.
+// suspicion is the period in which a suspect member can refute.
 type suspicion struct {
 	started time.Time
-	// by are the instances that suspect it independently; the first one
-	// started it.
+	// by are the ids of the instances that suspect the member independently;
+	// the first one started the suspicion.
 	by []string
 }
 
-// suspect starts a suspicion, or raises its incarnation.
+// suspect starts a suspicion, or restarts it at a higher incarnation.
 func (g *Group) suspect(now time.Time, m *member, incarnation uint64, by string) {
 	if m.state == Suspect && m.Incarnation == incarnation {
 		return
@@ -27,8 +27,8 @@
 	g.enqueue(u)
 }
 
-// confirm counts one more instance that suspects. Several that miss the member
-// independently make it likely that the fault is not on the way to one of them.
+// confirm records one more instance that suspects the member. If several fail
+// to reach it independently, the fault is unlikely to be on the path of one.
 func (g *Group) confirm(m *member, u *Update) {
 	s := m.suspicion
 	if s == nil || u.State != Suspect || slices.Contains(s.by, u.By) || len(s.by) > g.cfg.SuspicionConfirms {
@@ -38,10 +38,11 @@
 	g.enqueue(*u)
 }
 
-// timeout is how long the member has: the maximum at first, shrinking with the
-// logarithm of the confirmations to the minimum (Lifeguard, section 4.2).
+// timeout returns how long the member has to refute: the maximum at first,
+// shrinking with the logarithm of the confirmations to the minimum (Lifeguard,
+// section 4.2).
 func (g *Group) timeout(s *suspicion) time.Duration {
-	// The suspected one and the one that started can't confirm.
+	// The suspect and the instance that started the suspicion can't confirm.
 	need := min(g.cfg.SuspicionConfirms, len(g.peers)-1)
 	if need < 1 {
 		return g.cfg.SuspicionMin
@@ -53,7 +54,7 @@
 }
 
 func (g *Group) expireSuspicions(now time.Time) {
-	// setState edits the list.
+	// setState changes g.suspected.
 	for _, id := range slices.Clone(g.suspected) {
 		m := g.members[id]
 		if now.Sub(m.suspicion.started) < g.timeout(m.suspicion) {
--- a/coord/membership/sync.go
+++ b/coord/membership/sync.go
@@ -10,29 +10,32 @@
 )
 
 const (
-	// buckets is how many digests a view is cut into; Message.Want has a bit
-	// for each.
+	// buckets is the number of digests of a view; Message.Want has a bit for
+	// each.
 	buckets = 64
 	// maxPages bounds the messages that one comparison sends each way; the
-	// rest follows in the next one.
+	// remaining entries follow in the next one.
 	maxPages = 4
 )
 
 // syncer is the state of the periodic comparison of views.
 type syncer struct {
 	nextAt time.Time
-	// with, if set, is compared with next.
-	with string
-	// seq is of the last Sync sent since a freeze, which its answer repeats.
+	// nextPeer is the peer of the next comparison; empty for a random one.
+	nextPeer string
+	// seq is the number of the last Sync sent since a freeze, which its answer
+	// repeats; 0 if there was none.
 	seq uint64
-	// behind is set while the last comparison found a difference.
-	behind bool
+	// diverged is set while the last comparison found a difference, or a
+	// comparison was requested by expedite.
+	diverged bool
 }
 
-// soon brings the next comparison forward.
-func (s *syncer) soon(now time.Time) {
-	if !s.behind {
-		s.behind = true
+// expedite moves the next comparison to the given time, unless one was already
+// expedited.
+func (s *syncer) expedite(now time.Time) {
+	if !s.diverged {
+		s.diverged = true
 		s.nextAt = now
 	}
 }
@@ -40,15 +43,15 @@
 func (g *Group) tickSync(now time.Time, out []Out) []Out {
 	s := &g.syncer
 	interval := g.cfg.SyncInterval
-	if s.behind {
+	if s.diverged {
 		interval = g.cfg.ProbeInterval
 	}
 	if !g.due(now, &s.nextAt, interval) {
 		return out
 	}
 	g.prune(now)
-	to := s.with
-	s.with = ""
+	to := s.nextPeer
+	s.nextPeer = ""
 	if to == "" {
 		picked := g.randomPeers(1, "")
 		if len(picked) == 0 {
@@ -62,9 +65,10 @@
 	return append(out, Out{To: to, Message: m})
 }
 
-// digests sums up who is alive, at which incarnation. Suspicions come and go
-// and are left out, and so are dead and left members, which instances forget at
-// different times.
+// digests returns one digest per bucket of the ids and incarnations of Alive
+// and Suspect members, without a distinction between the two states, as
+// suspicions are short-lived. Dead and left members are left out, as instances
+// remove them at different times.
 func (g *Group) digests() []uint32 {
 	d := make([]uint32, buckets)
 	for id, m := range g.members {
@@ -78,7 +82,7 @@
 
 func bucket(id string) int { return int(xxhash.Sum64String(id) % buckets) }
 
-// stepSync answers with the entries of the buckets that differ.
+// stepSync answers a Sync with the entries of the buckets that differ.
 func (g *Group) stepSync(from string, m Message, outdated bool) []Out {
 	var want uint64
 	for i, d := range g.digests() {
@@ -92,22 +96,22 @@
 		out[0].Message.Updates = pages[0]
 		out = append(out, pushes(from, pages[1:])...)
 	}
-	return append(out, g.contradict(from, outdated)...)
+	return append(out, g.promptRefutation(from, outdated)...)
 }
 
-// stepSyncReply sends what the other one lacks.
+// stepSyncReply answers a SyncReply with the entries that it asks for.
 func (g *Group) stepSyncReply(now time.Time, from string, m Message) []Out {
 	s := &g.syncer
 	if s.seq == 0 || m.Seq != s.seq {
-		// An answer to a comparison before a freeze says nothing of now.
-		return g.contradict(from, false)
+		// The answer to a comparison from before a freeze may be outdated.
+		return g.promptRefutation(from, false)
 	}
 	g.freeze.synced = true
 	if m.Want == 0 {
-		s.behind = false
-		return g.contradict(from, false)
+		s.diverged = false
+		return g.promptRefutation(from, false)
 	}
-	s.soon(now.Add(g.cfg.ProbeInterval))
+	s.expedite(now.Add(g.cfg.ProbeInterval))
 	return pushes(from, g.pages(m.Want))
 }
 
@@ -119,8 +123,9 @@
 	return out
 }
 
-// pages returns the entries of some buckets, dead and left ones too, in up to
-// maxPages messages, beginning at a random bucket so that each gets its turn.
+// pages returns the entries of the buckets in want, including dead and left
+// members, split into up to maxPages messages. It begins at a random bucket, so
+// that no bucket is left out each time.
 func (g *Group) pages(want uint64) [][]Update {
 	if want == 0 {
 		return nil
@@ -132,9 +137,9 @@
 			ids = append(ids, id)
 		}
 	}
-	turn := func(id string) int { return (bucket(id) + buckets - start) % buckets }
+	rank := func(id string) int { return (bucket(id) + buckets - start) % buckets }
 	slices.SortFunc(ids, func(a, b string) int {
-		return cmp.Or(cmp.Compare(turn(a), turn(b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b))
 	})
 	return g.fillPages(ids)
 }
@@ -159,7 +164,8 @@
 	return pages
 }
 
-// prune forgets members that are dead or have left for long.
+// prune removes members that have been dead or left for longer than
+// Config.Retain.
 func (g *Group) prune(now time.Time) {
 	for id, m := range g.members {
 		if (m.state == Dead || m.state == Left) && m != g.self && now.Sub(m.since) > g.cfg.Retain {
