--- a/coord/roster/roster_test.go
+++ b/coord/roster/roster_test.go
@@ -12,15 +12,15 @@
 	_ "github.com/gullhaven/gullhaven/coord/fixedseed"
 )
 
-// world is some regions of three instances in virtual time; the first two live
-// instances of a region are its relays.
-type world struct {
-	now    time.Time
-	tables map[string]*Table
-	down   map[string]bool
-	cut    map[string]bool
-	lose   func() bool
-	sent   int
+// simulation is a set of regions in virtual time; the first two live instances
+// of a region are its relays.
+type simulation struct {
+	now         time.Time
+	tables      map[string]*Table
+	down        map[string]bool
+	partitioned map[string]bool
+	lose        func() bool
+	sent        int
 	// perRegion is the number of instances in each region.
 	perRegion int
 }
@@ -33,10 +33,10 @@
 	}
 }
 
-func newWorld(regions, perRegion int) *world {
-	w := &world{
+func newSimulation(regions, perRegion int) *simulation {
+	sim := &simulation{
 		now: time.Unix(1000, 0), tables: map[string]*Table{}, down: map[string]bool{},
-		cut: map[string]bool{}, lose: func() bool { return false }, perRegion: perRegion,
+		partitioned: map[string]bool{}, lose: func() bool { return false }, perRegion: perRegion,
 	}
 	var seeds []Contact
 	for r := range regions {
@@ -45,25 +45,25 @@
 	for r := range regions {
 		for i := range perRegion {
 			c := contact(r, i)
-			w.tables[c.ID] = New(c, seeds)
+			sim.tables[c.ID] = New(c, seeds)
 		}
 	}
-	w.view(regions)
-	return w
+	sim.setViews(regions)
+	return sim
 }
 
-// view gives every instance the live members of its region.
-func (w *world) view(regions int) {
+// setViews sets the live members of its region at every instance.
+func (sim *simulation) setViews(regions int) {
 	for r := range regions {
 		var own OwnRegion
-		for i := range w.perRegion {
-			if c := contact(r, i); !w.down[c.ID] {
+		for i := range sim.perRegion {
+			if c := contact(r, i); !sim.down[c.ID] {
 				own.Members = append(own.Members, c)
 			}
 		}
 		own.Relays = own.Members[:min(2, len(own.Members))]
-		for i := range w.perRegion {
-			t := w.tables[contact(r, i).ID]
+		for i := range sim.perRegion {
+			t := sim.tables[contact(r, i).ID]
 			t.SetOwnRegion(own)
 			t.SetNeighbours([]string{"r0", "r1", "r2"})
 			t.SetSummary([]byte("free"))
@@ -71,23 +71,23 @@
 	}
 }
 
-// ids are in order, so that a case runs the same each time.
-func (w *world) ids() []string { return slices.Sorted(maps.Keys(w.tables)) }
+// ids returns all ids sorted, so that a case runs the same each time.
+func (sim *simulation) ids() []string { return slices.Sorted(maps.Keys(sim.tables)) }
 
-func (w *world) tick() {
-	w.now = w.now.Add(TickInterval)
-	for _, id := range w.ids() {
-		if !w.down[id] {
-			w.deliver(id, w.tables[id].Tick(w.now))
+func (sim *simulation) tick() {
+	sim.now = sim.now.Add(TickInterval)
+	for _, id := range sim.ids() {
+		if !sim.down[id] {
+			sim.deliver(id, sim.tables[id].Tick(sim.now))
 		}
 	}
 }
 
-func (w *world) deliver(from string, out []Out) {
+func (sim *simulation) deliver(from string, out []Out) {
 	for _, o := range out {
-		w.sent++
+		sim.sent++
 		crosses := from[:2] != o.To[:2]
-		if w.down[o.To] || crosses && (w.cut[from[:2]] || w.cut[o.To[:2]]) || w.lose() {
+		if sim.down[o.To] || crosses && (sim.partitioned[from[:2]] || sim.partitioned[o.To[:2]]) || sim.lose() {
 			continue
 		}
 		data, err := Encode(o.Message)
@@ -98,64 +98,62 @@
 		if err != nil {
 			panic(err)
 		}
-		w.deliver(o.To, w.tables[o.To].Step(w.now, from, m))
+		sim.deliver(o.To, sim.tables[o.To].Step(sim.now, from, m))
 	}
 }
 
-// expect checks what every live instance thinks of a region.
-func (w *world) expect(t *rapid.T, region string, want bool, when string) {
-	for _, id := range w.ids() {
-		table := w.tables[id]
-		if w.down[id] || id[:2] == region {
+// expectReachable checks Reachable of a region at every live instance of the
+// others.
+func (sim *simulation) expectReachable(t *rapid.T, region string, want bool, when string) {
+	for _, id := range sim.ids() {
+		table := sim.tables[id]
+		if sim.down[id] || id[:2] == region {
 			continue
 		}
-		if got := table.Reachable(w.now, region); got != want {
-			t.Fatalf("%s: %s thinks reachable(%s) = %v", when, id, region, got)
+		if got := table.Reachable(sim.now, region); got != want {
+			t.Fatalf("%s: at %s, Reachable(%s) = %v", when, id, region, got)
 		}
 	}
 }
 
-// Symptom: requests are spilled to a region that is cut off, or a region is
-// never found again after its relays changed while it was cut off.
-// Events: instances fail, a region is cut off, others fail meanwhile, it heals.
-// Cause: believing a region reachable for as long as its last word stands, or
-// sending only to relays that are gone.
+// Guards against spillover to a partitioned region, as its last message counts
+// without a timeout, and against a region that is never found again after a
+// partition, as messages go only to relays that failed meanwhile.
 func TestReachabilityFollowsTheNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(3, 3)
-		settle := func(ticks int) {
+		sim := newSimulation(3, 3)
+		runTicks := func(ticks int) {
 			for range ticks {
-				w.tick()
+				sim.tick()
 			}
 		}
 		fail := func() {
 			id := contact(rapid.IntRange(0, 2).Draw(t, "region"), rapid.IntRange(0, 1).Draw(t, "instance")).ID
-			w.down[id] = !w.down[id]
-			w.view(3)
+			sim.down[id] = !sim.down[id]
+			sim.setViews(3)
 		}
-		settle(8)
-		w.expect(t, "r2", true, "at the start")
+		runTicks(8)
+		sim.expectReachable(t, "r2", true, "at the start")
 		for range rapid.IntRange(0, 2).Draw(t, "failures before") {
 			fail()
 		}
-		settle(2)
-		w.cut["r2"] = true
-		settle(5)
-		w.expect(t, "r2", false, "cut off for 5 s")
+		runTicks(2)
+		sim.partitioned["r2"] = true
+		runTicks(5)
+		sim.expectReachable(t, "r2", false, "partitioned for 5 s")
 		for range rapid.IntRange(0, 8).Draw(t, "failures during") {
 			fail()
 		}
-		settle(rapid.IntRange(0, 20).Draw(t, "apart"))
-		clear(w.cut)
-		settle(7)
-		w.expect(t, "r2", true, "healed")
-		w.expect(t, "r0", true, "healed")
+		runTicks(rapid.IntRange(0, 20).Draw(t, "apart"))
+		clear(sim.partitioned)
+		runTicks(7)
+		sim.expectReachable(t, "r2", true, "healed")
+		sim.expectReachable(t, "r0", true, "healed")
 	})
 }
 
-// Symptom: an old grant of a neighbour takes the place of a newer one.
-// Events: messages of one relay are doubled and reordered.
-// Cause: taking what comes last for the newest.
+// Guards against an old summary replacing a newer one when messages of one
+// relay are duplicated and reordered.
 func TestNewestSummaryWins(t *testing.T) {
 	table := New(contact(0, 2), nil)
 	table.Step(time.Unix(10, 0), "r1-0", Message{Region: "r1", Seq: 7, Summary: []byte("new")})
@@ -167,25 +165,24 @@
 	}
 }
 
-// Symptom: a region's traffic grows with the square of its instances.
-// Events: each relay passes each message to every member.
-// Cause: relays that do not share the passing on.
+// Guards against traffic that grows with the square of the instances of a
+// region, as relays do not divide the members among them.
 func TestMessagesDoNotGrowWithMembers(t *testing.T) {
 	for _, size := range []int{3, 9, 30} {
-		w := newWorld(3, size)
+		sim := newSimulation(3, size)
 		for range 10 {
-			w.tick()
+			sim.tick()
 		}
-		w.sent = 0
+		sim.sent = 0
 		for range 60 {
-			w.tick()
+			sim.tick()
 		}
 		// Each region's first relay sends to two relays of two regions, and each
 		// of those to the other and to its half of the members, once a second.
-		got := float64(w.sent) / 60 / float64(len(w.tables))
-		t.Logf("%d instances: %.2f messages for each and second", len(w.tables), got)
+		got := float64(sim.sent) / 60 / float64(len(sim.tables))
+		t.Logf("%d instances: %.2f messages per instance and second", len(sim.tables), got)
 		if want := (4 + 2*float64(size)) / float64(size); got > want {
-			t.Errorf("%d instances: %.2f messages for each and second, want at most %.2f", len(w.tables), got, want)
+			t.Errorf("%d instances: %.2f messages per instance and second, want at most %.2f", len(sim.tables), got, want)
 		}
 	}
 }
--- a/coord/roster/table.go
+++ b/coord/roster/table.go
@@ -5,49 +5,53 @@
 	"time"
 )
 
-// heard is what is known of another region.
-type heard struct {
+// regionState is what this instance knows of another region.
+type regionState struct {
 	roster  Roster
 	summary Summary
-	// from is who told it, and seq the highest number from there.
-	from string
-	seq  uint64
-	at   time.Time
-	// passedAt is when the roster was last passed on to members.
-	passedAt time.Time
+	// sender is the instance that sent the last accepted message, and seq that
+	// message's number.
+	sender     string
+	seq        uint64
+	receivedAt time.Time
+	// forwardedAt is when the roster was last forwarded to members.
+	forwardedAt time.Time
 }
 
-// Own is the host's view of its region.
+// OwnRegion is the host's view of its own region.
 type OwnRegion struct {
-	// Relays of the region, in order; at most two.
+	// Relays of the region, first relay first; at most two.
 	Relays []Contact
-	// Members are the live instances, this one included.
+	// Members are the live instances, including this one.
 	Members []Contact
 }
 
-// Table is the knowledge of one instance. It is not safe for several goroutines.
+// Table holds what one instance knows of other regions. It is not safe for
+// concurrent use.
 type Table struct {
 	self Contact
 	// seeds are the contacts from settings, by region.
 	seeds map[string][]Contact
-	// neighbours are the regions that are told the summary.
+	// neighbours are the regions that get the summary.
 	neighbours []string
-	own        OwnRegion
+	ownRegion  OwnRegion
 	summary    []byte
 	// seq numbers the rosters and summaries of this instance.
 	seq uint64
-	// changed says that own changed since the roster was sent, at sentAt.
-	changed bool
-	sentAt  time.Time
-	regions map[string]*heard
-	// fresh are the summaries that Summaries has not returned yet.
-	fresh []Summary
+	// ownChanged is set if ownRegion changed since the roster was sent, at
+	// sentAt.
+	ownChanged bool
+	sentAt     time.Time
+	regions    map[string]*regionState
+	// unread are the summaries that Summaries has not returned yet.
+	unread []Summary
 }
 
-// New makes the Table of an instance. Seeds are instances of any region, known
-// from settings; they are asked until relays of their region were heard.
+// New returns the Table of an instance. seeds are instances of any region, from
+// the settings. Those of another region get its messages until a roster names
+// relays of that region, and whenever the region is not reachable.
 func New(self Contact, seeds []Contact) *Table {
-	t := &Table{self: self, seeds: map[string][]Contact{}, regions: map[string]*heard{}}
+	t := &Table{self: self, seeds: map[string][]Contact{}, regions: map[string]*regionState{}}
 	for _, s := range seeds {
 		if s.Region != self.Region {
 			t.seeds[s.Region] = append(t.seeds[s.Region], s)
@@ -56,31 +60,32 @@
 	return t
 }
 
-// SetOwn replaces the view of the own region.
+// SetOwnRegion replaces the view of the own region.
 func (t *Table) SetOwnRegion(o OwnRegion) {
-	if !slices.Equal(o.Relays, t.own.Relays) || !slices.Equal(o.Members, t.own.Members) {
-		t.changed = true
+	if !slices.Equal(o.Relays, t.ownRegion.Relays) || !slices.Equal(o.Members, t.ownRegion.Members) {
+		t.ownChanged = true
 	}
-	t.own = o
+	t.ownRegion = o
 }
 
-// SetNeighbours replaces the regions that are told the summary.
+// SetNeighbours replaces the regions that get the summary.
 func (t *Table) SetNeighbours(regions []string) { t.neighbours = regions }
 
-// SetSummary replaces the summary of the own region. Each Tick sends it to the
-// neighbours, also if it did not change.
+// SetSummary replaces the summary of the own region. Each Tick of the first
+// relay sends it to the neighbours, even if it did not change.
 func (t *Table) SetSummary(data []byte) { t.summary = data }
 
-// Tick lets time pass; the host calls it every TickInterval. Only the first
-// relay speaks for the region: when it dies the other takes its place in Own.
+// Tick advances time and returns the messages to send. The host calls it every
+// TickInterval. Only the first relay sends for the region: when it dies, the
+// other one takes its place in OwnRegion.
 func (t *Table) Tick(now time.Time) []Out {
-	if !t.speaks() {
+	if !t.isFirstRelay() {
 		return nil
 	}
 	t.seq = max(t.seq+1, uint64(now.UnixMilli()))
-	due := t.changed || now.Sub(t.sentAt) >= rosterInterval
+	due := t.ownChanged || now.Sub(t.sentAt) >= rosterInterval
 	var out []Out
-	for _, region := range t.others() {
+	for _, region := range t.otherRegions() {
 		m := Message{Region: t.self.Region, Seq: t.seq}
 		if due {
 			m.Roster = t.ownRoster()
@@ -96,17 +101,18 @@
 		}
 	}
 	if due {
-		t.changed, t.sentAt = false, now
+		t.ownChanged, t.sentAt = false, now
 	}
 	return out
 }
 
-func (t *Table) speaks() bool {
-	return len(t.own.Relays) > 0 && t.own.Relays[0].ID == t.self.ID
+func (t *Table) isFirstRelay() bool {
+	return len(t.ownRegion.Relays) > 0 && t.ownRegion.Relays[0].ID == t.self.ID
 }
 
-// others are the regions known, by seeds or by having been heard.
-func (t *Table) others() []string {
+// otherRegions returns the known regions, from seeds or received messages,
+// sorted.
+func (t *Table) otherRegions() []string {
 	var regions []string
 	for region := range t.seeds {
 		regions = append(regions, region)
@@ -120,15 +126,15 @@
 	return regions
 }
 
-// contacts are the instances to send to in a region: its relays, and the seeds
-// as well while the region is silent, since its relays may have been replaced
-// while the two regions were apart.
+// contacts returns the instances of a region to send to: its relays, and also
+// its seeds while the region is not reachable, as its relays may have been
+// replaced while the two regions were partitioned.
 func (t *Table) contacts(now time.Time, region string) []Contact {
-	h := t.regions[region]
-	if h == nil || len(h.roster.Relays) == 0 {
+	rs := t.regions[region]
+	if rs == nil || len(rs.roster.Relays) == 0 {
 		return t.seeds[region]
 	}
-	contacts := slices.Clone(h.roster.Relays)
+	contacts := slices.Clone(rs.roster.Relays)
 	if t.Reachable(now, region) {
 		return contacts
 	}
@@ -144,98 +150,104 @@
 	return &Roster{
 		Region:  t.self.Region,
 		Seq:     t.seq,
-		Relays:  t.own.Relays,
-		Entries: t.own.Members[:min(MaxEntries, len(t.own.Members))],
-		Members: len(t.own.Members),
+		Relays:  t.ownRegion.Relays,
+		Entries: t.ownRegion.Members[:min(MaxEntries, len(t.ownRegion.Members))],
+		Members: len(t.ownRegion.Members),
 	}
 }
 
-// Step takes in a message. from is the instance that the link has identified.
+// Step handles a message and returns the messages to send. from is the id of
+// the sender, which the link must have authenticated.
 func (t *Table) Step(now time.Time, from string, m Message) []Out {
 	if m.Region == t.self.Region {
 		return nil
 	}
-	h := t.regions[m.Region]
-	if h == nil {
-		h = &heard{}
-		t.regions[m.Region] = h
+	rs := t.regions[m.Region]
+	if rs == nil {
+		rs = &regionState{}
+		t.regions[m.Region] = rs
 	}
-	if !h.admit(now, from, m) {
+	if !rs.accept(now, from, m) {
 		return nil
 	}
-	rosterChanged := h.take(now, m)
+	rosterChanged := rs.store(now, m)
 	if m.Summary != nil {
-		t.fresh = append(t.fresh, h.summary)
+		t.unread = append(t.unread, rs.summary)
 	}
-	return t.passOn(now, h, m, rosterChanged)
+	return t.forward(now, rs, m, rosterChanged)
 }
 
-// admit orders the messages of one sender by number. Another sender is taken
-// at its word: it is the region's new first relay, whose clock may be behind,
-// or another relay of the own region passing the same on.
-func (h *heard) admit(now time.Time, from string, m Message) bool {
-	sameSource := from == h.from
-	if sameSource && m.Seq <= h.seq {
+// accept reports whether a message is newer than the last accepted one, and
+// records it if so. A message of the same sender needs a higher number. One of
+// another sender with a number that is not higher is accepted only once nothing
+// was accepted for reachableTimeout: the sender may be the region's new first
+// relay, whose clock may lag; before that it may be a relay of the own region
+// that forwards the same message.
+func (rs *regionState) accept(now time.Time, from string, m Message) bool {
+	sameSource := from == rs.sender
+	if sameSource && m.Seq <= rs.seq {
 		return false
 	}
-	if !sameSource && m.Seq <= h.seq && now.Sub(h.at) < reachableFor {
+	if !sameSource && m.Seq <= rs.seq && now.Sub(rs.receivedAt) < reachableTimeout {
 		return false
 	}
-	h.from, h.seq, h.at = from, m.Seq, now
+	rs.sender, rs.seq, rs.receivedAt = from, m.Seq, now
 	return true
 }
 
-// take stores the content and reports whether the roster changed.
-func (h *heard) take(now time.Time, m Message) bool {
+// store records the content of a message and reports whether the roster
+// changed.
+func (rs *regionState) store(now time.Time, m Message) bool {
 	if m.Summary != nil {
-		h.summary = Summary{Region: m.Region, Data: m.Summary, At: now}
+		rs.summary = Summary{Region: m.Region, Data: m.Summary, At: now}
 	}
 	if m.Roster == nil {
 		return false
 	}
-	old := h.roster
-	h.roster = *m.Roster
-	return !slices.Equal(old.Relays, h.roster.Relays) || !slices.Equal(old.Entries, h.roster.Entries)
+	old := rs.roster
+	rs.roster = *m.Roster
+	return !slices.Equal(old.Relays, rs.roster.Relays) || !slices.Equal(old.Entries, rs.roster.Entries)
 }
 
-// passOn hands a message from another region to the members of this one. Each
-// relay serves one half, and tells the other relay as well: the sender may know
-// only one of them, or only one that has taken the place of another. A message
-// is passed on once at most, as a second one of its number is not admitted. An
-// instance that is no relay was reached as a seed and hands it to the relays.
-func (t *Table) passOn(now time.Time, h *heard, m Message, rosterChanged bool) []Out {
-	place := slices.IndexFunc(t.own.Relays, func(c Contact) bool { return c.ID == t.self.ID })
+// forward sends a message from another region to the members of this one. Each
+// relay sends to half of the members, and also to the other relay: the sender
+// may know only one of the relays, or one that has been replaced. A message is
+// forwarded at most once, as accept rejects a second one with the same number.
+// An instance that is no relay was reached as a seed and forwards the message
+// to the relays.
+func (t *Table) forward(now time.Time, rs *regionState, m Message, rosterChanged bool) []Out {
+	index := slices.IndexFunc(t.ownRegion.Relays, func(c Contact) bool { return c.ID == t.self.ID })
 	direct := !m.Forwarded
-	if place < 0 {
-		return t.toRelays(m, direct)
+	if index < 0 {
+		return t.forwardToRelays(m, direct)
 	}
-	out := t.toRelays(Message{Roster: m.Roster, Region: m.Region, Seq: m.Seq, Summary: m.Summary, Forwarded: true}, direct)
+	out := t.forwardToRelays(Message{Roster: m.Roster, Region: m.Region, Seq: m.Seq, Summary: m.Summary, Forwarded: true}, direct)
 	m.Forwarded = true
-	if rosterChanged || now.Sub(h.passedAt) >= rosterInterval {
-		m.Roster, h.passedAt = &h.roster, now
+	if rosterChanged || now.Sub(rs.forwardedAt) >= rosterInterval {
+		m.Roster, rs.forwardedAt = &rs.roster, now
 	} else {
 		m.Roster = nil
 	}
 	if m.Roster == nil && m.Summary == nil {
 		return out
 	}
-	for i, c := range t.own.Members {
-		mine := i%len(t.own.Relays) == place
-		if mine && !t.isRelay(c.ID) {
+	for i, c := range t.ownRegion.Members {
+		assigned := i%len(t.ownRegion.Relays) == index
+		if assigned && !t.isRelay(c.ID) {
 			out = append(out, Out{To: c.ID, Message: m})
 		}
 	}
 	return out
 }
 
-// toRelays hands a message that came directly from another region to the other
-// relays of this one.
-func (t *Table) toRelays(m Message, direct bool) []Out {
+// forwardToRelays sends a message that came directly from another region to the
+// other relays of this one. It returns nil if direct is false.
+func (t *Table) forwardToRelays(m Message, direct bool) []Out {
 	if !direct {
 		return nil
 	}
 	var out []Out
-	for _, c := range t.own.Relays {
+	for _, c := range t.ownRegion.Relays {
 		if c.ID != t.self.ID {
 			out = append(out, Out{To: c.ID, Message: m})
 		}
@@ -244,44 +256,47 @@
 }
 
 func (t *Table) isRelay(id string) bool {
-	return slices.ContainsFunc(t.own.Relays, func(c Contact) bool { return c.ID == id })
+	return slices.ContainsFunc(t.ownRegion.Relays, func(c Contact) bool { return c.ID == id })
 }
 
-// Summaries returns what was received since the last call.
+// Summaries returns the summaries received since the last call, oldest first.
 func (t *Table) Summaries() []Summary {
-	fresh := t.fresh
-	t.fresh = nil
-	return fresh
+	unread := t.unread
+	t.unread = nil
+	return unread
 }
 
-// Reachable reports whether a region was heard lately.
+// Reachable reports whether a message of a region was received recently: within
+// reachableTimeout if the region sends summaries, else within
+// rosterOnlyTimeout.
 func (t *Table) Reachable(now time.Time, region string) bool {
-	h := t.regions[region]
-	if h == nil || h.at.IsZero() {
+	rs := t.regions[region]
+	if rs == nil || rs.receivedAt.IsZero() {
 		return false
 	}
-	limit := farReachableFor
-	if now.Sub(h.summary.At) < farReachableFor {
-		limit = reachableFor
+	limit := rosterOnlyTimeout
+	if now.Sub(rs.summary.At) < rosterOnlyTimeout {
+		limit = reachableTimeout
 	}
-	return now.Sub(h.at) < limit
+	return now.Sub(rs.receivedAt) < limit
 }
 
-// Rosters returns what is known of other regions, sorted by region.
+// Rosters returns the known rosters of other regions, sorted by region.
 func (t *Table) Rosters() []Roster {
 	var rosters []Roster
-	for _, region := range t.others() {
-		if h := t.regions[region]; h != nil && h.roster.Region != "" {
-			rosters = append(rosters, h.roster)
+	for _, region := range t.otherRegions() {
+		if rs := t.regions[region]; rs != nil && rs.roster.Region != "" {
+			rosters = append(rosters, rs.roster)
 		}
 	}
 	return rosters
 }
 
-// Address returns where a contact of another region listens.
+// Address returns the IP:port at which a contact of another region listens for
+// instances, and false if no roster names it.
 func (t *Table) Address(id string) (string, bool) {
-	for _, h := range t.regions {
-		for _, list := range [][]Contact{h.roster.Relays, h.roster.Entries} {
+	for _, rs := range t.regions {
+		for _, list := range [][]Contact{rs.roster.Relays, rs.roster.Entries} {
 			for _, c := range list {
 				if c.ID == id {
 					return c.Address, true
