--- a/coord/link/call.go
+++ b/coord/link/call.go
@@ -13,33 +13,33 @@
 	item *item
 	// conn is where the request was written; guarded by calls.mu.
 	conn *conn
-	done chan callEnd
+	done chan callResult
 	once sync.Once
 }
 
-type callEnd struct {
+type callResult struct {
 	payload []byte
 	err     *verdict.Error
 }
 
-// end gives the caller its answer; only the first one counts.
-func (c *call) end(payload []byte, err *verdict.Error) {
-	c.once.Do(func() { c.done <- callEnd{payload, err} })
+// finish passes the result to the caller; only the first call has an effect.
+func (c *call) finish(payload []byte, err *verdict.Error) {
+	c.once.Do(func() { c.done <- callResult{payload, err} })
 }
 
-// calls are the requests of a Hub that wait, by id.
+// calls are the pending calls of a Hub, by id.
 //
-// An answer that was meant for a call of this instance's process before a
-// restart could be taken for one of now, if ids began at the same number. They
-// begin at a random one of 64 bits instead.
+// Ids begin at a random number of 64 bits. If they began at the same number in
+// each process, an answer to a call from before a restart of this instance could
+// be taken for the answer to a current one.
 type calls struct {
-	mu   sync.Mutex
-	next uint64
-	open map[uint64]*call
+	mu      sync.Mutex
+	next    uint64
+	pending map[uint64]*call
 }
 
 func newCalls(first uint64) *calls {
-	return &calls{next: first, open: map[uint64]*call{}}
+	return &calls{next: first, pending: map[uint64]*call{}}
 }
 
 func (cs *calls) add(c *call) {
@@ -47,46 +47,47 @@
 	defer cs.mu.Unlock()
 	cs.next++
 	c.item.frame.ID = cs.next
-	cs.open[cs.next] = c
+	cs.pending[cs.next] = c
 }
 
 func (cs *calls) remove(id uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	delete(cs.open, id)
+	delete(cs.pending, id)
 }
 
-// written notes the connection on which a call is about to be written, before
-// it is: so when the connection ends, either lose finds the call or the write
-// fails.
-func (cs *calls) written(c *call, on *conn) {
+// setConn records the connection on which a call will be written. It must be
+// called before the write: so when the connection ends, either failConn finds
+// the call or the write fails.
+func (cs *calls) setConn(c *call, on *conn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	c.conn = on
 }
 
-// take returns the call that an answer is for, or nil when it comes late,
-// twice, from an instance that was not asked, or for a request not sent.
-func (cs *calls) take(id uint64, from string) *call {
+// resolve removes and returns the call that an answer is for. It returns nil if
+// the answer is late, is a duplicate, comes from another instance than the
+// called one, or is for a request that was not sent.
+func (cs *calls) resolve(id uint64, from string) *call {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	c := cs.open[id]
+	c := cs.pending[id]
 	if c == nil || c.to != from || itemState(c.item.state.Load()) != sent {
 		return nil
 	}
-	delete(cs.open, id)
+	delete(cs.pending, id)
 	return c
 }
 
-// lose ends the calls written on a connection that has ended: no answer can
-// come any more.
-func (cs *calls) lose(on *conn) {
+// failConn fails the calls written on a connection that has ended, as no answer
+// can arrive any more.
+func (cs *calls) failConn(on *conn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	for id, c := range cs.open {
+	for id, c := range cs.pending {
 		if c.conn == on {
-			delete(cs.open, id)
-			c.end(nil, errLost())
+			delete(cs.pending, id)
+			c.finish(nil, errLost())
 		}
 	}
 }
@@ -95,29 +96,29 @@
 	return verdict.New(verdict.MayHaveRun, CodeLost, "the connection ended before the answer came")
 }
 
-// Call sends a request and waits for its answer until ctx ends. The error is a
-// *verdict.Error: NotRun when the request was not sent, MayHaveRun when it was
-// sent and no answer came, else what the handler said.
+// Call sends a request and waits for the answer until ctx ends. The payload must
+// not be changed afterwards. The error is a *verdict.Error: NotRun if the request
+// was not sent, MayHaveRun if it was sent and no answer arrived, else the peer's.
 func (h *Hub) Call(ctx context.Context, to, channel string, payload []byte) ([]byte, error) {
 	it := h.newItem(frameCall, channel, payload)
-	c := &call{to: to, item: it, done: make(chan callEnd, 1)}
+	c := &call{to: to, item: it, done: make(chan callResult, 1)}
 	it.call = c
 	it.deadline, _ = ctx.Deadline()
-	if err := h.begin(c); err != nil {
+	if err := h.startCall(c); err != nil {
 		it.counters.refused.Add(1)
 		return nil, err
 	}
 	defer h.calls.remove(it.frame.ID)
 	select {
 	case e := <-c.done:
-		return e.result()
+		return e.values()
 	case <-ctx.Done():
 		return h.timedOut(ctx, c)
 	}
 }
 
-// begin queues a call, or says why it can't be sent.
-func (h *Hub) begin(c *call) error {
+// startCall queues a call, or returns why it can't be sent.
+func (h *Hub) startCall(c *call) error {
 	if ctxErr := h.ctx.Err(); ctxErr != nil {
 		return verdict.New(verdict.NotRun, CodeClosed, "the links of this instance are closed")
 	}
@@ -136,8 +137,8 @@
 	return nil
 }
 
-// timedOut ends a call whose context has ended. What decides is whether the
-// writer has claimed the request.
+// timedOut ends a call whose context has ended. The verdict depends on whether
+// the writer has claimed the request.
 func (h *Hub) timedOut(ctx context.Context, c *call) ([]byte, error) {
 	v := verdict.MayHaveRun
 	if c.item.claim(abandoned) {
@@ -146,11 +147,11 @@
 	}
 	err := verdict.New(v, CodeTimeout, "no answer from "+c.to+" in time")
 	err.Err = context.Cause(ctx)
-	c.end(nil, err)
-	return (<-c.done).result()
+	c.finish(nil, err)
+	return (<-c.done).values()
 }
 
-func (e callEnd) result() ([]byte, error) {
+func (e callResult) values() ([]byte, error) {
 	if e.err != nil {
 		return nil, e.err
 	}
--- a/coord/link/call_test.go
+++ b/coord/link/call_test.go
@@ -10,12 +10,11 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Symptom: a caller is told "not run" of a request that is sent later, gets
-// another's answer, or gets two.
-// Events: writer, timeout, lost connection and answers, also late, doubled and
-// of the wrong peer, in any order.
-// Cause: giving up and sending are not decided at one place.
-func TestCallsEndOnceAndHonestly(t *testing.T) {
+// Guards against a caller that gets NotRun for a request that is sent later, the
+// answer to another call, or two answers, as dropping and sending are not decided
+// by one atomic step. Writes, timeouts, lost connections and answers (also late,
+// duplicate and of the wrong peer) occur in any order.
+func TestCallsEndOnceWithACorrectVerdict(t *testing.T) {
 	h, _, _ := newCluster(t).hub("a", nil)
 	rapid.Check(t, func(t *rapid.T) {
 		cs := newCalls(rapid.Uint64().Draw(t, "first id"))
@@ -27,11 +26,11 @@
 		var written [n]bool
 		for i := range all {
 			it := h.newItem(frameCall, "x", []byte{byte(i)})
-			all[i] = &call{to: "b", item: it, done: make(chan callEnd, 1)}
+			all[i] = &call{to: "b", item: it, done: make(chan callResult, 1)}
 			it.call = all[i]
 			cs.add(all[i])
 		}
-		var ends [n][]callEnd
+		var ends [n][]callResult
 		collect := func(i int) {
 			select {
 			case e := <-all[i].done:
@@ -44,20 +43,20 @@
 			c := all[i]
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				written[i] = p.admit(on[i%2], c.item, c.item.queuedAt) || written[i]
+				written[i] = p.claimForWrite(on[i%2], c.item, c.item.queuedAt) || written[i]
 			case 1:
 				if len(ends[i]) == 0 {
 					p, err := h.timedOut(context.Background(), c)
-					ends[i] = append(ends[i], callEnd{p, asVerdict(err)})
+					ends[i] = append(ends[i], callResult{p, asVerdict(err)})
 				}
 				cs.remove(c.item.frame.ID)
 			case 2:
 				from := rapid.SampledFrom([]string{"b", "c"}).Draw(t, "from")
 				h.deliverAnswer(from, &frame{Kind: frameAnswer, ID: c.item.frame.ID, Payload: []byte(from + string(rune('0'+i)))})
 			case 3:
-				cs.lose(on[i%2])
+				cs.failConn(on[i%2])
 			case 4:
-				c.item.giveUp(CodeUnreachable, "")
+				c.item.drop(CodeUnreachable, "")
 			}
 			collect(i)
 		}
@@ -78,9 +77,9 @@
 	})
 }
 
-// Symptom: garbage of a broken peer stops an instance or fills its memory.
-// Events: chunks without a beginning, too many of them, unknown kinds, noise.
-// Cause: frames taken in before their order and length are checked.
+// Guards against malformed batches of a faulty peer that crash an instance or
+// exhaust its memory, as the order and length of frames (chunks without a first
+// frame, too many chunks, unknown kinds, noise) are not checked first.
 func TestBadBatchesAreRefused(t *testing.T) {
 	for name, frames := range map[string][]frame{
 		"chunk first":     {{Kind: frameChunk}},
@@ -88,7 +87,7 @@
 		"unknown kind":    {{Kind: frameKinds}},
 		"too long":        {{Payload: make([]byte, 101)}},
 		"too long in sum": {{More: true, Payload: make([]byte, 60)}, {Kind: frameChunk, More: true, Payload: make([]byte, 60)}},
-		"long channel":    {{Channel: string(make([]byte, maxChannelName+1))}},
+		"long channel":    {{Channel: string(make([]byte, maxChannelNameBytes+1))}},
 	} {
 		var b bytes.Buffer
 		for _, f := range frames {
--- a/coord/link/channel.go
+++ b/coord/link/channel.go
@@ -13,38 +13,39 @@
 type inbound struct {
 	from    string
 	payload []byte
-	// id of the call; meaningless for messages.
+	// id of the call; 0 for messages.
 	id uint64
 	// deadline of the call; zero means none.
 	deadline time.Time
 }
 
-// channel hands what comes in to a handler. Its ring keeps a slow handler from
-// holding up the connection, and so all other channels.
+// channel passes received messages or requests to a handler. Its queue prevents
+// a slow handler from blocking the connection and with it all other channels.
 type channel struct {
-	in *ring.Ring[inbound]
-	// kind is what the handler takes: frameMessage or frameCall.
+	queue *ring.Ring[inbound]
+	// kind is what the handler accepts: frameMessage or frameCall.
 	kind frameKind
 	run  func(inbound)
 }
 
-// handlerKey: a channel name may be used for both messages and calls.
+// handlerKey identifies a handler: a channel name may be used for both messages
+// and calls.
 type handlerKey struct {
 	name string
 	kind frameKind
 }
 
-// Handle sets who gets messages of a channel that are sent by Send. Each
-// channel has a bounded ring and a goroutine of its own.
+// Handle sets the handler of messages that peers send to a channel by Send. Each
+// channel has its own bounded ring and goroutine.
 func (h *Hub) Handle(name string, fn func(from string, payload []byte)) {
 	h.register(name, frameMessage, 1, func(in inbound) { fn(in.from, in.payload) })
 }
 
-// Serve sets who answers Calls of a channel, in up to workers goroutines. The
-// context ends with the caller's deadline or the Hub; a caller that gives up
-// before its deadline is not noticed. An error that is a *verdict.Error
-// reaches the caller with its verdict, code and message; any other as
-// MayHaveRun.
+// Serve sets the handler of Calls of a channel, run by max(1, workers)
+// goroutines. The handler's context ends with the caller's deadline or the Hub,
+// but not if the caller cancels before its deadline. An error that is a
+// *verdict.Error reaches the caller with its verdict, code and message; any
+// other as MayHaveRun.
 func (h *Hub) Serve(name string, workers int, fn func(ctx context.Context, from string, payload []byte) ([]byte, error)) {
 	h.register(name, frameCall, workers, func(in inbound) {
 		ctx, cancel := h.callContext(in)
@@ -59,7 +60,7 @@
 }
 
 func (h *Hub) register(name string, kind frameKind, workers int, run func(inbound)) {
-	c := &channel{in: ring.New[inbound](h.o.RingSize), kind: kind, run: run}
+	c := &channel{queue: ring.New[inbound](h.o.RingSize), kind: kind, run: run}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ctx.Err() != nil {
@@ -73,7 +74,7 @@
 
 func (c *channel) loop(ctx context.Context) {
 	for {
-		in, err := c.in.Pop(ctx)
+		in, err := c.queue.Pop(ctx)
 		if err != nil {
 			return
 		}
@@ -88,7 +89,7 @@
 	return context.WithDeadline(h.ctx, in.deadline)
 }
 
-// deliver takes in a whole frame from a peer.
+// deliver handles a whole frame from a peer.
 func (h *Hub) deliver(from string, f *frame) {
 	switch f.Kind {
 	case frameAnswer, frameFailure:
@@ -99,16 +100,16 @@
 }
 
 func (h *Hub) deliverAnswer(from string, f *frame) {
-	c := h.calls.take(f.ID, from)
+	c := h.calls.resolve(f.ID, from)
 	if c == nil {
 		h.counters.lateAnswers.Add(1)
 		return
 	}
 	if f.Kind == frameFailure {
-		c.end(nil, decodeFailure(f.Payload))
+		c.finish(nil, decodeFailure(f.Payload))
 		return
 	}
-	c.end(f.Payload, nil)
+	c.finish(f.Payload, nil)
 }
 
 func (h *Hub) deliverRequest(from string, f *frame) {
@@ -127,13 +128,13 @@
 	n := h.channelCounters(f.Channel)
 	n.received.Add(1)
 	n.receivedBytes.Add(uint64(len(f.Payload)))
-	if !c.in.TryPush(in) {
+	if !c.queue.TryPush(in) {
 		n.overflow.Add(1)
 		h.refuse(in, f.Kind, CodeOverloaded, "too many requests wait on the channel")
 	}
 }
 
-// refuse tells a caller that its request was not run; messages have no caller.
+// refuse answers a call with NotRun; messages have no caller.
 func (h *Hub) refuse(in inbound, kind frameKind, code verdict.Code, message string) {
 	if kind == frameCall {
 		h.fail(in, verdict.New(verdict.NotRun, code, message))
@@ -154,7 +155,7 @@
 func (h *Hub) fail(in inbound, e *verdict.Error) {
 	payload, err := encodeFailure(e)
 	if err != nil {
-		// Not expected: every field has a fixed type. The caller times out.
+		// Not expected, as every field has a fixed type. The caller times out.
 		h.channelCounters(failuresChannel).dropped.Add(1)
 		return
 	}
@@ -163,7 +164,7 @@
 
 func (h *Hub) reply(in inbound, it *item) {
 	it.frame.ID = in.id
-	// The caller knows the channel by the id.
+	// The caller finds the channel by the id.
 	it.frame.Channel = ""
 	p := h.peer(in.from)
 	if p == nil || !p.push(it) {
--- a/coord/link/conn.go
+++ b/coord/link/conn.go
@@ -9,8 +9,9 @@
 	"github.com/coder/websocket"
 )
 
-// duplicateIdle is when a connection that lost against its twin is closed.
-const duplicateIdle = 10 * time.Second
+// duplicateIdleTimeout is how long the connection that is not written to, of two
+// with the same peer, may be idle before it is closed.
+const duplicateIdleTimeout = 10 * time.Second
 
 // conn is one connection to a peer, read by one goroutine and written by the
 // peer's writer.
@@ -18,24 +19,26 @@
 	p      *peer
 	ws     *websocket.Conn
 	dialed bool
-	// lastRead is the last sign of the peer, lastWrite the last batch written
-	// and lastBatch the last one either way; all in nanoseconds of Unix time.
+	// lastRead is when the last batch or pong was read, lastWrite when the last
+	// batch was written and lastBatch when the last batch was read or written;
+	// all in nanoseconds of Unix time.
 	lastRead, lastWrite, lastBatch atomic.Int64
-	heard                          atomic.Bool
-	pinging                        atomic.Bool
-	closed                         atomic.Bool
+	// received is set once a batch or pong was read.
+	received atomic.Bool
+	pinging  atomic.Bool
+	closed   atomic.Bool
 }
 
 func newConn(p *peer, ws *websocket.Conn, dialed bool) *conn {
 	c := &conn{p: p, ws: ws, dialed: dialed}
-	ws.SetReadLimit(maxBatch)
+	ws.SetReadLimit(maxBatchBytes)
 	now := time.Now().UnixNano()
 	c.lastRead.Store(now)
 	c.lastBatch.Store(now)
 	return c
 }
 
-// read takes in batches until the connection ends, and then detaches it.
+// read reads batches until the connection ends, and then detaches it.
 func (c *conn) read() {
 	defer c.p.detach(c)
 	defer c.close()
@@ -46,7 +49,7 @@
 
 func (c *conn) readBatch(in *assembler) bool {
 	h := c.p.hub
-	// Not bound to a context: close ends the read.
+	// Needs no context: close ends the read.
 	_, r, err := c.ws.Reader(context.Background())
 	if err != nil {
 		return false
@@ -61,7 +64,7 @@
 	}
 	now := time.Now().UnixNano()
 	c.lastBatch.Store(now)
-	c.sign(now)
+	c.recordActivity(now)
 	if err := in.read(buf.Bytes(), c.deliver); err != nil {
 		h.counters.badBatches.Add(1)
 		return false
@@ -71,21 +74,22 @@
 
 func (c *conn) deliver(f *frame) {
 	if !c.p.hub.o.AllowPeer(c.p.id) {
-		c.p.hub.counters.cutIn.Add(1)
+		c.p.hub.counters.blockedReceived.Add(1)
 		return
 	}
 	c.p.hub.deliver(c.p.id, f)
 }
 
-// sign notes that the peer has said something.
-func (c *conn) sign(now int64) {
+// recordActivity records that a batch or pong was read at now (Unix time in
+// nanoseconds).
+func (c *conn) recordActivity(now int64) {
 	c.lastRead.Store(now)
-	if !c.heard.Swap(true) {
-		c.p.heard()
+	if !c.received.Swap(true) {
+		c.p.resetBackoff()
 	}
 }
 
-// write sends one batch. A peer that does not read is found by the ping that
+// write sends one batch. A peer that does not read is detected by the ping that
 // waits behind the batch, whose timeout closes the connection.
 func (c *conn) write(batch []byte) error {
 	now := time.Now().UnixNano()
@@ -94,17 +98,17 @@
 	return c.ws.Write(context.Background(), websocket.MessageBinary, batch)
 }
 
-// close ends the connection at once; the reader does the rest.
+// close ends the connection at once; the reader then detaches it.
 func (c *conn) close() {
 	if c.closed.Swap(true) {
 		return
 	}
-	// The error says only that it was closed before.
+	// An error means only that the connection was closed before.
 	_ = c.ws.CloseNow()
 }
 
-// watch pings when the peer was silent for too long after a write, or on an
-// idle connection from time to time, and closes what is not needed. used tells
+// watch pings a peer that sent nothing for PingAfter after a write or for
+// IdlePingInterval, and closes a connection that is not needed. used reports
 // whether the connection is the one that is written to.
 func (c *conn) watch(now time.Time, used bool) {
 	o := &c.p.hub.o
@@ -115,18 +119,19 @@
 	switch {
 	case c.dialed && o.IdleTimeout > 0 && idle > o.IdleTimeout:
 		c.close()
-	case c.dialed && !used && idle > duplicateIdle:
+	case c.dialed && !used && idle > duplicateIdleTimeout:
 		c.close()
 	case unanswered || due:
 		c.ping()
 	}
 }
 
-// ping asks the peer for a sign, in a goroutine of its own.
+// ping pings the peer in a goroutine of its own and closes the connection if no
+// pong arrives in time.
 //
-// A network that swallows packets, or a frozen peer, leaves a connection that
+// A network that drops all packets, or a frozen peer, leaves a connection that
 // looks open for many minutes while all messages are lost. The timeout counts
-// from the ping, not from the last sign: a process that was itself frozen gives
+// from the ping, not from the last read: a process that was itself frozen gives
 // its peers the whole time to answer.
 func (c *conn) ping() {
 	if c.pinging.Swap(true) {
@@ -139,7 +144,7 @@
 		defer cancel()
 		err := c.ws.Ping(ctx)
 		if err == nil {
-			c.sign(time.Now().UnixNano())
+			c.recordActivity(time.Now().UnixNano())
 			c.pinging.Store(false)
 			return
 		}
--- a/coord/link/connect_test.go
+++ b/coord/link/connect_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Symptom: an instance that starts has no link for a second though its peer is there.
-// Events: both lost power; the peer's machine is back 300 ms later than this one.
-// Cause: the attempt that began in between waits for the kernel to send its first packet
-// again, which takes a second. An attempt that always ended sooner would never reach a peer
-// that is slow to answer.
-func TestFirstAttemptsToConnectAreShortLaterOnesAreNot(t *testing.T) {
+// Guards against an instance without a link for a second after a start though its
+// peer is up: both lost power, the peer's machine is back 300 ms later, and an
+// attempt begun in between waits a second for the kernel to retransmit its first
+// packet. If all attempts were short, a peer that is slow to answer would never be
+// reached.
+func TestFirstConnectAttemptsAreShort(t *testing.T) {
 	o := Options{DialTimeout: time.Second, ConnectTimeout: 400 * time.Millisecond}
 	for failures, want := range map[int]time.Duration{
 		0: 400 * time.Millisecond, quickAttempts - 1: 400 * time.Millisecond, quickAttempts: time.Second, 50: time.Second,
--- a/coord/link/cost_test.go
+++ b/coord/link/cost_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// cpu is the processor time of this process so far.
+// cpu returns the CPU time that this process has used.
 func cpu(t testing.TB) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -19,10 +19,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkSend measures one-way messages with a window that the rings hold,
-// so that none is refused: messages per second, processor time and bytes on
-// the wire (TLS and WebSocket with it, without TCP/IP headers), both ends
-// together.
+// BenchmarkSend measures one-way messages with a window that fits the rings, so
+// that none is refused: messages per second, CPU time and bytes on the wire
+// (with TLS and WebSocket, without TCP/IP headers), for both ends together.
 func BenchmarkSend(b *testing.B) {
 	for _, size := range []int{32, 256, 4096, 65536} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -53,7 +52,7 @@
 	}
 }
 
-// BenchmarkPaced measures what a message costs that travels alone, as pings do.
+// BenchmarkPaced measures the cost of a message that is sent alone, as pings are.
 func BenchmarkPaced(b *testing.B) {
 	c := newCluster(b)
 	a, z := c.instance("a", nil), c.instance("z", nil)
@@ -70,8 +69,8 @@
 	b.ReportMetric(float64(c.wire.Load()-wire)/float64(b.N), "wire-B/msg")
 }
 
-// TestCostOfLinks prints what links cost to open and to hold, per end. The
-// figures are for people; the test fails only when links can't be opened.
+// TestCostOfLinks prints the cost of opening and holding links, per end. The
+// figures are for information; the test fails only if links can't be opened.
 func TestCostOfLinks(t *testing.T) {
 	t.Logf("%6s %12s %12s %14s %14s", "links", "heap B/end", "stack B/end", "cpu us/link", "handshake B")
 	for _, n := range []int{8, 32, 128} {
--- a/coord/link/frame.go
+++ b/coord/link/frame.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// chunkBytes bounds the payload of one frame. Longer bulk payloads are cut,
-	// so that an urgent message waits behind at most one batch.
+	// chunkBytes bounds the payload of one frame. Longer bulk payloads are split
+	// into chunks, so that an urgent message waits behind at most one batch.
 	chunkBytes = 16 << 10
-	// batchBytes is the length at which a batch of frames is sent; one frame
-	// may go over it.
+	// batchBytes is the length from which a batch of frames is sent; its last
+	// frame may exceed it.
 	batchBytes = 32 << 10
-	// maxBatch bounds a received batch: a full one, one more frame and its header.
-	maxBatch = batchBytes + chunkBytes + 4<<10
-	// maxChannelName bounds the name of a channel in bytes.
-	maxChannelName = 64
+	// maxBatchBytes bounds a received batch: a full one, one more frame and its
+	// header.
+	maxBatchBytes = batchBytes + chunkBytes + 4<<10
+	// maxChannelNameBytes bounds the name of a channel.
+	maxChannelNameBytes = 64
 )
 
-// frameKind says what a frame is for.
+// frameKind is the type of a frame.
 type frameKind uint8
 
 const (
@@ -37,7 +38,7 @@
 	frameAnswer
 	// frameFailure ends a call with an encoded failure.
 	frameFailure
-	// frameChunk continues the frame that was begun before with More.
+	// frameChunk continues an earlier frame that was sent with More.
 	frameChunk
 	frameKinds
 )
@@ -50,9 +51,9 @@
 	// ID of the call; 0 for messages and chunks.
 	ID uint64
 	// Budget is how long the caller still waits, in milliseconds; 0 means
-	// without a bound.
+	// without a limit.
 	Budget uint32
-	// More says that chunks follow.
+	// More is set if chunks follow.
 	More    bool
 	Payload []byte
 }
@@ -78,8 +79,8 @@
 	return v
 }
 
-// encodeFailure replaces what is not valid text: the decoder would refuse the
-// whole failure for it, and with it the verdict.
+// encodeFailure encodes an error for a caller. It replaces invalid UTF-8, as the
+// decoder would reject the whole failure for it and lose the verdict.
 func encodeFailure(e *verdict.Error) ([]byte, error) {
 	return encoder.Marshal(failure{
 		Verdict:    e.Verdict,
@@ -99,15 +100,16 @@
 	return &verdict.Error{Verdict: f.Verdict, Code: f.Code, Message: f.Message, RetryAfter: f.RetryAfter}
 }
 
-// assembler turns the batches of one connection into whole frames.
+// assembler decodes the batches of one connection into whole frames.
 type assembler struct {
 	maxMessage int
-	// begun is the frame whose chunks are coming in; nil when there is none.
-	begun *frame
+	// partial is the frame whose chunks are being received; nil if there is
+	// none.
+	partial *frame
 }
 
 // read decodes a batch and calls deliver for each whole frame. An error means
-// that the peer does not keep the format and the connection must end.
+// that the peer violated the format and the connection must be closed.
 func (a *assembler) read(batch []byte, deliver func(*frame)) error {
 	for len(batch) > 0 {
 		f := new(frame)
@@ -124,39 +126,39 @@
 }
 
 func (a *assembler) add(f *frame, deliver func(*frame)) error {
-	if f.Kind >= frameKinds || len(f.Channel) > maxChannelName {
+	if f.Kind >= frameKinds || len(f.Channel) > maxChannelNameBytes {
 		return errors.NotValidf("frame of kind %d with a channel name of %d bytes", f.Kind, len(f.Channel))
 	}
 	switch {
-	case f.Kind == frameChunk && a.begun == nil:
-		return errors.NotValidf("chunk without a beginning")
+	case f.Kind == frameChunk && a.partial == nil:
+		return errors.NotValidf("chunk without a first frame")
 	case f.Kind == frameChunk:
-		a.begun.Payload = append(a.begun.Payload, f.Payload...)
-		a.begun.More = f.More
-		f = a.begun
-	case f.More && a.begun != nil:
-		return errors.NotValidf("second chunked frame before the end of the first")
+		a.partial.Payload = append(a.partial.Payload, f.Payload...)
+		a.partial.More = f.More
+		f = a.partial
+	case f.More && a.partial != nil:
+		return errors.NotValidf("second chunked frame before the end of the first one")
 	}
 	if len(f.Payload) > a.maxMessage {
-		return errors.NotValidf("payload over %d bytes", a.maxMessage)
+		return errors.NotValidf("payload longer than %d bytes", a.maxMessage)
 	}
 	if f.More {
-		a.begun = f
+		a.partial = f
 		return nil
 	}
-	if f == a.begun {
-		a.begun = nil
+	if f == a.partial {
+		a.partial = nil
 	}
 	deliver(f)
 	return nil
 }
 
-// appendFrame encodes f at the end of a batch.
+// appendFrame appends the encoding of f to a batch.
 func appendFrame(batch *bytes.Buffer, f *frame) error {
 	return encoder.MarshalToBuffer(f, batch)
 }
 
-// readAll reads a batch into buf, which is emptied first.
+// readAll replaces the content of buf by all of r.
 func readAll(buf *bytes.Buffer, r io.Reader) error {
 	buf.Reset()
 	_, err := buf.ReadFrom(r)
--- a/coord/link/rig_test.go
+++ b/coord/link/harness_test.go
@@ -15,10 +15,10 @@
 	"github.com/gullhaven/gullhaven/coord/keys"
 )
 
-// bound ends a test that hangs; nothing that passes waits for it.
-const bound = 30 * time.Second
+// testTimeout ends a test that hangs; a passing test never waits for it.
+const testTimeout = 30 * time.Second
 
-// cluster is an authority with the addresses of its instances.
+// cluster holds an authority and the addresses of its instances.
 type cluster struct {
 	t         testing.TB
 	authority *keys.Authority
@@ -30,8 +30,8 @@
 type instance struct {
 	*Hub
 	server *httptest.Server
-	// links gets each change reported by OnLink.
-	links chan bool
+	// linkChanges gets each change reported by OnLink.
+	linkChanges chan bool
 }
 
 func newCluster(t testing.TB) *cluster {
@@ -55,7 +55,7 @@
 	c.addrs[id] = addr
 }
 
-// hub makes a Hub that is not served.
+// hub returns a Hub without a listener.
 func (c *cluster) hub(id string, change func(*Options)) (*Hub, *keys.Key, chan bool) {
 	c.t.Helper()
 	key, err := c.authority.Issue(keys.Identity{Instance: id, Region: "r"}, nil, time.Now(), time.Hour)
@@ -74,7 +74,7 @@
 			default:
 			}
 		},
-		MaxAge: bound,
+		MaxAge: testTimeout,
 	}
 	if change != nil {
 		change(&o)
@@ -132,19 +132,19 @@
 	return n, err
 }
 
-// cable is a TCP relay that can be cut silently: connections stay open and
-// nothing passes.
-type cable struct {
+// proxy is a TCP proxy that can become a black hole: connections stay open, but
+// no bytes pass.
+type proxy struct {
 	net.Listener
-	cut atomic.Bool
+	blackholed atomic.Bool
 }
 
-func newCable(t testing.TB, to string) *cable {
+func newProxy(t testing.TB, to string) *proxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cable{Listener: l}
+	c := &proxy{Listener: l}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -164,7 +164,7 @@
 	return c
 }
 
-func (c *cable) copy(to, from net.Conn) {
+func (c *proxy) copy(to, from net.Conn) {
 	defer to.Close()
 	b := make([]byte, 4096)
 	for {
@@ -172,7 +172,7 @@
 		if err != nil {
 			return
 		}
-		if c.cut.Load() {
+		if c.blackholed.Load() {
 			continue
 		}
 		if _, err := to.Write(b[:n]); err != nil {
@@ -186,7 +186,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(bound):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
--- a/coord/link/hub.go
+++ b/coord/link/hub.go
@@ -1,15 +1,15 @@
-// Package link carries messages between instances over WebSocket with CBOR and
+// Package link sends messages between instances over WebSocket with CBOR and
 // mutual TLS.
 //
-// A Hub uses one connection per peer, opened on demand by whoever has something
-// to send and used in both directions. Messages wait in two bounded rings per
-// peer, urgent before bulk; bulk ones travel in chunks, so that a heartbeat
-// does not wait behind a snapshot. Delivery is at most once and without a
-// promise: a message may be lost with its connection, and two messages may
-// overtake each other when the connection changes.
+// A Hub uses one connection per peer, opened on demand by the side that has
+// something to send and used in both directions. Messages wait in two bounded
+// rings per peer, urgent before bulk. Bulk messages are sent in chunks, so that
+// a heartbeat does not wait behind a snapshot. Delivery is at most once and not
+// guaranteed: a message may be lost with its connection, and messages may be
+// reordered when the connection changes.
 //
 // Goroutines: one writer per peer, one reader per connection, one or more per
-// handled channel, and one that looks for silent connections.
+// handled channel, and one that detects silent connections.
 package link
 
 import (
@@ -28,13 +28,14 @@
 	"github.com/gullhaven/gullhaven/coord/keys"
 )
 
-// sendBuffer bounds what the kernel holds of a connection's unsent bytes.
-const sendBuffer = 256 << 10
+// sendBufferBytes is the size of the kernel's send buffer of a connection.
+const sendBufferBytes = 256 << 10
 
-// maxPooled bounds the buffers kept for reuse, in bytes.
-const maxPooled = 64 << 10
+// maxPooledBytes is the capacity up to which a buffer is reused.
+const maxPooledBytes = 64 << 10
 
-// Hub sends messages to peers and hands received ones to handlers.
+// Hub sends messages to peers and passes received ones to handlers. It is safe
+// for concurrent use.
 type Hub struct {
 	o      Options
 	self   string
@@ -42,7 +43,7 @@
 	// ctx ends the writers and handlers; readers end with their connections.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// wg counts all goroutines but the writers, which end first.
+	// wg counts all goroutines except the writers, which end first.
 	wg, writers sync.WaitGroup
 
 	mu       sync.RWMutex
@@ -57,7 +58,8 @@
 	byChannel sync.Map
 }
 
-// New makes a Hub. Register handlers before its Handler is served.
+// New returns a Hub, or an error if o lacks a required field. Register handlers
+// before Handler is served.
 func New(o Options) (*Hub, error) {
 	o, err := o.withDefaults()
 	if err != nil {
@@ -80,32 +82,32 @@
 	return h, nil
 }
 
-// Handler accepts the connections of peers; mount it at Options.Path on a
-// listener with the Key's ServerConfig.
+// Handler returns the HTTP handler that accepts connections of peers. Mount it
+// at Options.Path on a listener with the Key's ServerConfig.
 func (h *Hub) Handler() http.Handler { return http.HandlerFunc(h.accept) }
 
-// TuneConn bounds the kernel's send buffer of an accepted connection, which
-// keeps urgent messages from waiting behind many bulk ones there. Set it as
-// http.Server.ConnState; connections that the Hub dials have it already.
+// TuneConn limits the kernel's send buffer of an accepted connection, so that
+// urgent messages do not wait there behind many bulk ones. Set it as
+// http.Server.ConnState; connections that the Hub dials are limited already.
 func TuneConn(c net.Conn, s http.ConnState) {
 	if s == http.StateNew {
-		tune(c)
+		limitSendBuffer(c)
 	}
 }
 
-func tune(c net.Conn) {
+func limitSendBuffer(c net.Conn) {
 	if wrapped, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = wrapped.NetConn()
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// Without the bound the link works as well, only less promptly.
-		_ = tcp.SetWriteBuffer(sendBuffer)
+		// Without the limit the link works too, with higher latency.
+		_ = tcp.SetWriteBuffer(sendBufferBytes)
 	}
 }
 
-// Send queues a message and reports whether it was taken. It never blocks. The
-// payload must not be changed afterwards. Channel names are valid UTF-8 of at
-// most 64 bytes.
+// Send queues a message and reports whether it was queued. It never blocks. The
+// payload must not be changed afterwards. Channel names must be valid UTF-8 of
+// at most 64 bytes.
 func (h *Hub) Send(to, channel string, payload []byte) bool {
 	it := h.newItem(frameMessage, channel, payload)
 	p := h.peer(to)
@@ -116,8 +118,8 @@
 	return ok
 }
 
-// Forget drops a peer that will not come back, with its connections and what
-// waits for it. A later Send makes it anew.
+// RemovePeer drops a peer that will not come back, its connections and the
+// messages that wait for it. A later Send creates it again.
 func (h *Hub) RemovePeer(id string) {
 	h.mu.Lock()
 	p := h.peers[id]
@@ -129,8 +131,9 @@
 	}
 }
 
-// Close writes what is queued for connected peers, ends all connections and
-// waits for the Hub's goroutines. Handlers must return when their context ends.
+// Close writes the messages queued for connected peers, closes all connections
+// and waits for the Hub's goroutines. Handlers must return when their context
+// ends.
 func (h *Hub) Close() {
 	h.mu.Lock()
 	h.cancel()
@@ -145,7 +148,7 @@
 }
 
 func validChannel(name string) bool {
-	return len(name) <= maxChannelName && utf8.ValidString(name)
+	return len(name) <= maxChannelNameBytes && utf8.ValidString(name)
 }
 
 func (h *Hub) newItem(kind frameKind, channel string, payload []byte) *item {
@@ -157,8 +160,8 @@
 	}
 }
 
-// peer returns the peer of that id, made on demand; nil for this instance
-// itself, for no id, and once the Hub is closed.
+// peer returns the peer with the given id, created on demand. It returns nil for
+// this instance itself, for an empty id, and once the Hub is closed.
 func (h *Hub) peer(id string) *peer {
 	h.mu.RLock()
 	p := h.peers[id]
@@ -180,16 +183,17 @@
 	return p
 }
 
-// accept turns a request of a peer into a connection and reads it to its end.
+// accept upgrades the request of a peer to a connection and reads it until it
+// ends.
 func (h *Hub) accept(w http.ResponseWriter, r *http.Request) {
-	id, err := h.peerOf(r)
+	id, err := h.peerID(r)
 	if err != nil || id == h.self || !h.o.AllowPeer(id) {
 		h.counters.acceptRefusals.Add(1)
 		http.Error(w, "no link for this peer", http.StatusForbidden)
 		return
 	}
 	p := h.peer(id)
-	if p == nil || !h.enter() {
+	if p == nil || !h.addReader() {
 		http.Error(w, "closing", http.StatusServiceUnavailable)
 		return
 	}
@@ -206,13 +210,13 @@
 	}
 }
 
-// peerOf is the id of the peer that dialled, as its certificate proves it or, on
-// a link without TLS, as it states it.
-func (h *Hub) peerOf(r *http.Request) (string, error) {
+// peerID returns the id of the peer that dialled: the one in its certificate or,
+// on a link without TLS, the one that it states.
+func (h *Hub) peerID(r *http.Request) (string, error) {
 	if h.o.PlaintextID != "" {
-		id := r.Header.Get(plainHeader)
+		id := r.Header.Get(plaintextHeader)
 		if id == "" {
-			return "", errors.NotValidf("link without the id of its peer")
+			return "", errors.NotValidf("link request without the id of its peer")
 		}
 		return id, nil
 	}
@@ -220,8 +224,8 @@
 	return id.Instance, err
 }
 
-// enter counts a goroutine in, unless the Hub is closing.
-func (h *Hub) enter() bool {
+// addReader adds a reader to wg and returns true, unless the Hub is closing.
+func (h *Hub) addReader() bool {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	if h.ctx.Err() != nil {
@@ -231,7 +235,7 @@
 	return true
 }
 
-// watch looks for connections that went silent until the Hub is closed.
+// watch checks all connections periodically until the Hub is closed.
 func (h *Hub) watch() {
 	every := time.NewTicker(max(time.Millisecond, min(h.o.PingAfter, h.o.PingTimeout)/2))
 	defer every.Stop()
@@ -253,8 +257,8 @@
 	}
 }
 
-// random runs f on the Options' source of randomness.
-func (h *Hub) random(f func(*rand.Rand)) {
+// withRand calls f with Options.Rand while its lock is held.
+func (h *Hub) withRand(f func(*rand.Rand)) {
 	h.randMu.Lock()
 	defer h.randMu.Unlock()
 	f(h.o.Rand)
@@ -267,7 +271,7 @@
 }
 
 func (h *Hub) release(b *bytes.Buffer) {
-	if b.Cap() <= maxPooled {
+	if b.Cap() <= maxPooledBytes {
 		h.buffers.Put(b)
 	}
 }
--- a/coord/link/item.go
+++ b/coord/link/item.go
@@ -7,14 +7,14 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Codes of the errors of Call.
+// Codes of the errors that Call returns.
 const (
 	// CodeUnreachable: no connection to the peer could be made.
 	CodeUnreachable verdict.Code = "link_unreachable"
 	// CodeRingFull: the ring to the peer is full.
 	CodeRingFull verdict.Code = "link_ring_full"
-	// CodeTooLong: the payload is over Options.MaxMessage, or the channel's name
-	// is no UTF-8 text of at most 64 bytes.
+	// CodeTooLong: the payload is longer than Options.MaxMessage, or the channel
+	// name is not valid UTF-8 of at most 64 bytes.
 	CodeTooLong verdict.Code = "link_too_long"
 	// CodeStale: the request waited longer than Options.MaxAge to be sent.
 	CodeStale verdict.Code = "link_stale"
@@ -32,13 +32,13 @@
 	CodeExpired verdict.Code = "link_expired"
 	// CodeFailed: the handler returned an error without a verdict.
 	CodeFailed verdict.Code = "link_handler_failed"
-	// CodeBadAnswer: the peer's answer can't be read.
+	// CodeBadAnswer: the peer's answer can't be decoded.
 	CodeBadAnswer verdict.Code = "link_bad_answer"
 )
 
-// itemState is how far an item has come. An item is claimed exactly once, by
-// the writer that sends it or by whoever gives it up, so that a request whose
-// caller was told "not run" is never sent afterwards.
+// itemState is the state of an item. An item is claimed exactly once, either by
+// the writer that sends it or by the goroutine that drops it, so that a request
+// whose caller got NotRun is never sent afterwards.
 type itemState int32
 
 const (
@@ -47,17 +47,17 @@
 	abandoned
 )
 
-// item is a frame that waits in a ring to a peer.
+// item is a frame that waits to be sent to a peer.
 type item struct {
 	frame    frame
 	urgent   bool
 	counters *channelCounters
-	// queuedAt bounds the wait by Options.MaxAge.
+	// queuedAt is when Options.MaxAge begins.
 	queuedAt time.Time
 	// deadline of a call; zero means none.
 	deadline time.Time
 	state    atomic.Int32
-	// call waits for the answer; nil for all but calls.
+	// call waits for the answer; nil for other kinds than calls.
 	call *call
 	// offset is how much of the payload has been written, in bytes.
 	offset int
@@ -72,19 +72,19 @@
 	return i.state.CompareAndSwap(int32(queued), int32(s))
 }
 
-// giveUp drops the item if it was not sent, and tells its caller.
-func (i *item) giveUp(code verdict.Code, message string) {
+// drop drops the item unless it was claimed, and ends its call with NotRun.
+func (i *item) drop(code verdict.Code, message string) {
 	if !i.claim(abandoned) {
 		return
 	}
 	i.counters.dropped.Add(1)
 	if i.call != nil {
-		i.call.end(nil, verdict.New(verdict.NotRun, code, message))
+		i.call.finish(nil, verdict.New(verdict.NotRun, code, message))
 	}
 }
 
-// next returns the frame to write now: the whole item or its next chunk.
-func (i *item) next(now time.Time) frame {
+// nextFrame returns the frame to write now: the whole item or its next chunk.
+func (i *item) nextFrame(now time.Time) frame {
 	rest := i.frame.Payload[i.offset:]
 	f := frame{Kind: frameChunk}
 	if i.offset == 0 {
@@ -96,8 +96,9 @@
 	return f
 }
 
-// budget is the time from now to the deadline in whole milliseconds, rounded
-// up so that a deadline never reads as none.
+// budget returns the time from now to the deadline in whole milliseconds, at
+// least 1; 0 means no deadline. It rounds up, so that a deadline is never sent
+// as none.
 func budget(deadline, now time.Time) uint32 {
 	if deadline.IsZero() {
 		return 0
--- a/coord/link/link_test.go
+++ b/coord/link/link_test.go
@@ -15,10 +15,9 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Symptom: a long message comes in mixed up, or two connections are kept.
-// Events: messages of all lengths around a chunk go to a peer and come back.
-// Cause: chunks that are cut or joined wrongly, a peer that dials although it
-// is connected.
+// Guards against long messages that arrive corrupted, as chunks are split or
+// joined wrongly, and against a second connection, as a connected peer dials.
+// Messages of all lengths around a chunk are sent to a peer and back.
 func TestMessagesArriveWholeAndInOrderBothWays(t *testing.T) {
 	c := newCluster(t)
 	a, b := c.instance("a", nil), c.instance("b", nil)
@@ -46,16 +45,16 @@
 		}
 	}
 	if a.Send("b", "bulk", append(big, 1)) {
-		t.Fatal("a message over the bound was taken")
+		t.Fatal("a message over the bound was queued")
 	}
 	if s := a.Stats(); s.Connections != 1 || b.Stats().Connections != 1 || s.Channels["bulk"].Received != uint64(len(sizes)) {
 		t.Fatalf("%+v", s)
 	}
 }
 
-// Symptom: a leader is deposed while it sends a snapshot.
-// Events: heartbeats are queued after a long message.
-// Cause: one queue for both, or long messages written in one piece.
+// Guards against a leader that loses leadership while it sends a snapshot, as its
+// heartbeats wait behind a long message in the same queue or behind one that is
+// written in one piece.
 func TestUrgentMessagesOvertakeLongOnes(t *testing.T) {
 	c := newCluster(t)
 	h, _, _ := c.hub("a", nil)
@@ -70,8 +69,8 @@
 	for whole < 3 {
 		p.push(h.newItem(frameMessage, "urgent", []byte{byte(batches)}))
 		var batch bytes.Buffer
-		p.fill(&batch, on, nil)
-		if batch.Len() > maxBatch {
+		p.fillBatch(&batch, on, nil)
+		if batch.Len() > maxBatchBytes {
 			t.Fatalf("batch of %d bytes", batch.Len())
 		}
 		urgent := 0
@@ -92,28 +91,26 @@
 	}
 }
 
-// Symptom: after an outage a follower acts on heartbeats of minutes ago.
-// Events: messages wait for a connection, which comes back.
-// Cause: the rings are written out whatever their age.
+// Guards against a follower that gets heartbeats from minutes ago after an outage,
+// as queued messages are written whatever their age.
 func TestStaleMessagesAreNotWritten(t *testing.T) {
 	h, _, _ := newCluster(t).hub("a", nil)
 	p := newPeer(h, "b")
 	it := h.newItem(frameMessage, "urgent", []byte("old"))
-	it.queuedAt = it.queuedAt.Add(-bound - time.Second)
+	it.queuedAt = it.queuedAt.Add(-testTimeout - time.Second)
 	p.push(it)
 	var batch bytes.Buffer
-	p.fill(&batch, &conn{p: p}, nil)
+	p.fillBatch(&batch, &conn{p: p}, nil)
 	if batch.Len() != 0 || h.Stats().Channels["urgent"].Dropped != 1 {
 		t.Fatalf("wrote %d bytes of an old message", batch.Len())
 	}
 }
 
-// Symptom: a caller is told "not run" of a request that ran, or can't send one
-// again that did not.
-// Events: the handler fails, is missing or is busy; the peer is not there; the
-// caller's context has ended.
-// Cause: a verdict that does not say how far the request came.
-func TestACallEndsWithTheRightVerdict(t *testing.T) {
+// Guards against a caller that gets NotRun for a request that ran, or can't retry
+// one that did not run, as the verdict does not match how far the request got: the
+// handler fails, is missing or busy, the peer is down, or the caller's context has
+// ended.
+func TestCallEndsWithTheRightVerdict(t *testing.T) {
 	c := newCluster(t)
 	a, b := c.instance("a", nil), c.instance("b", func(o *Options) { o.RingSize = 1 })
 	c.setAddress("nobody", "127.0.0.1:1")
@@ -130,7 +127,7 @@
 		return nil, nil
 	})
 	defer close(hold)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if p, err := a.Call(ctx, "b", "ok", []byte("hi ")); err != nil || string(p) != "hi a" {
 		t.Fatalf("%q, %v", p, err)
@@ -148,7 +145,7 @@
 		{"handler's bad text", "b", "text", nil, verdict.MayHaveRun, CodeFailed},
 		{"no handler", "b", "none", nil, verdict.NotRun, CodeNoHandler},
 		{"nobody listens", "nobody", "ok", nil, verdict.NotRun, CodeUnreachable},
-		{"back-off after that", "nobody", "ok", nil, verdict.NotRun, CodeUnreachable},
+		{"backoff after that", "nobody", "ok", nil, verdict.NotRun, CodeUnreachable},
 		{"no address", "unknown", "ok", nil, verdict.NotRun, CodeUnreachable},
 		{"itself", "a", "ok", nil, verdict.NotRun, CodeUnreachable},
 		{"too long", "b", "ok", make([]byte, DefaultMaxMessage+1), verdict.NotRun, CodeTooLong},
@@ -176,16 +173,16 @@
 	if _, err := a.Call(ended, "b", "slow", nil); !errors.As(err, &e) || e.Code == "" || e.Verdict == verdict.Ran {
 		t.Errorf("ended context: %v", err)
 	}
-	// A slow handler does not hold up the other channels of the connection.
+	// A slow handler does not block the other channels of the connection.
 	if _, err := a.Call(ctx, "b", "ok", nil); err != nil {
 		t.Errorf("behind a slow channel: %v", err)
 	}
 }
 
-// Symptom: a request is run a second time, or its caller waits for ever.
-// Events: the peer ends, or is frozen, while a request is with it.
-// Cause: a lost connection is taken for "not run", or its calls are forgotten.
-func TestALostConnectionMayHaveRunItsCalls(t *testing.T) {
+// Guards against a request that runs twice, as a lost connection counts as NotRun,
+// and against a caller that waits forever, as calls do not end with their
+// connection: the peer ends or is frozen while it handles a request.
+func TestCallsOnALostConnectionMayHaveRun(t *testing.T) {
 	c := newCluster(t)
 	a, b := c.instance("a", nil), c.instance("b", nil)
 	started := make(chan struct{})
@@ -209,11 +206,10 @@
 	}
 }
 
-// Symptom: messages vanish for minutes although both instances run.
-// Events: the network swallows all packets without closing connections, and a
-// new connection would get through.
-// Cause: nobody checks that written messages reach the peer.
-func TestASilentCutIsNoticedAndLeft(t *testing.T) {
+// Guards against messages that are lost for minutes although both instances run:
+// the network drops all packets of a connection without closing it, a new
+// connection would work, and nothing checks that written messages reach the peer.
+func TestSilentConnectionIsDetectedAndReplaced(t *testing.T) {
 	c := newCluster(t)
 	quick := func(o *Options) {
 		o.PingAfter, o.PingTimeout = 20*time.Millisecond, 100*time.Millisecond
@@ -221,23 +217,23 @@
 	}
 	a, b := c.instance("a", quick), c.instance("b", nil)
 	direct, _ := c.address("b")
-	wire := newCable(t, direct)
-	c.setAddress("b", wire.Addr().String())
+	relay := newProxy(t, direct)
+	c.setAddress("b", relay.Addr().String())
 	got := make(chan []byte, 1024)
 	b.Handle("urgent", func(_ string, p []byte) { got <- p })
 	a.Send("b", "urgent", []byte("before"))
 	recv(t, got, "message")
-	if !recv(t, a.links, "link up") {
+	if !recv(t, a.linkChanges, "link up") {
 		t.Fatal("link down first")
 	}
-	wire.cut.Store(true)
+	relay.blackholed.Store(true)
 	a.Send("b", "urgent", []byte("lost"))
-	if recv(t, a.links, "link down") {
-		t.Fatal("the cut was not noticed")
+	if recv(t, a.linkChanges, "link down") {
+		t.Fatal("the silent connection was not detected")
 	}
 	c.setAddress("b", direct)
 	a.Send("b", "urgent", []byte("after"))
-	if p := recv(t, got, "message after the cut"); string(p) != "after" {
+	if p := recv(t, got, "message after the reconnect"); string(p) != "after" {
 		t.Fatalf("got %q", p)
 	}
 	if s := a.Stats(); s.PingTimeouts == 0 || s.Peers["b"].Reconnects != 1 {
@@ -245,16 +241,16 @@
 	}
 }
 
-// Symptom: a stranger's process feeds messages to instances.
-// Events: it connects without a key, or listens where an instance was.
-// Cause: the link does not use the keys on both sides.
-func TestStrangersGetNoLink(t *testing.T) {
+// Guards against a foreign process that exchanges messages with instances, as the
+// link does not check keys on both sides: it connects without a valid key, or
+// listens at the former address of an instance.
+func TestInstancesOfOtherAuthoritiesGetNoLink(t *testing.T) {
 	c, others := newCluster(t), newCluster(t)
 	a, b := c.instance("a", nil), c.instance("b", nil)
-	stranger := others.instance("b", nil)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	foreign := others.instance("b", nil)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	for name, addr := range map[string]string{"other authority": stranger.server.Listener.Addr().String(), "other instance": a.server.Listener.Addr().String()} {
+	for name, addr := range map[string]string{"other authority": foreign.server.Listener.Addr().String(), "other instance": a.server.Listener.Addr().String()} {
 		c.setAddress("c", addr)
 		var e *verdict.Error
 		if _, err := b.Call(ctx, "c", "x", nil); !errors.As(err, &e) || e.Verdict != verdict.NotRun {
@@ -277,15 +273,14 @@
 	}
 }
 
-// Symptom: a test's partition lets messages through.
-// Events: a pair with an open connection is cut, and healed later.
-// Cause: the filter is asked only when connecting.
-func TestAnAllowFilterCutsAnOpenPair(t *testing.T) {
+// Guards against simulated partitions that let messages through on a connection
+// that was open before, as AllowPeer is only called when connecting.
+func TestAllowPeerBlocksAnOpenPair(t *testing.T) {
 	c := newCluster(t)
-	var isCut atomic.Bool
+	var blocked atomic.Bool
 	asked := make(chan struct{}, 64)
 	allow := func(string) bool {
-		if isCut.Load() {
+		if blocked.Load() {
 			asked <- struct{}{}
 			return false
 		}
@@ -297,18 +292,18 @@
 	b.Handle("m", func(_ string, p []byte) { got <- "b" + string(p) })
 	a.Send("b", "m", []byte("1"))
 	recv(t, got, "message")
-	isCut.Store(true)
+	blocked.Store(true)
 	a.Send("b", "m", []byte("2"))
 	b.Send("a", "m", []byte("3"))
 	recv(t, asked, "question on writing")
 	recv(t, asked, "question on reading")
-	isCut.Store(false)
+	blocked.Store(false)
 	a.Send("b", "m", []byte("4"))
-	if m := recv(t, got, "message after the cut"); m != "b4" {
+	if m := recv(t, got, "message after unblocking"); m != "b4" {
 		t.Fatalf("%q passed", m)
 	}
 	b.Send("a", "m", []byte("5"))
-	if m := recv(t, got, "message after the cut"); m != "a5" {
+	if m := recv(t, got, "message after unblocking"); m != "a5" {
 		t.Fatalf("%q passed", m)
 	}
 	if s := a.Stats(); s.BlockedReceived != 1 || s.Channels["m"].Dropped != 1 {
@@ -316,10 +311,10 @@
 	}
 }
 
-// Symptom: all peers of an instance that comes back dial it at one moment.
-// Events: any number of failed attempts in a row.
-// Cause: waits without jitter or growth, or one that grows without a ceiling.
-func TestWaitsBetweenAttemptsGrowWithJitterToTheirCeiling(t *testing.T) {
+// Guards against all peers dialling an instance at the same moment when it comes
+// back, as waits have no jitter or growth, and against waits without a maximum,
+// after any number of failed attempts.
+func TestBackoffGrowsWithJitterToItsMaximum(t *testing.T) {
 	o := Options{MinBackoff: time.Millisecond, MaxBackoff: 50 * time.Millisecond}
 	r := rand.New(rand.NewPCG(1, 2))
 	seen := map[time.Duration]bool{}
--- a/coord/link/options.go
+++ b/coord/link/options.go
@@ -23,74 +23,77 @@
 	DefaultMaxBackoff       = 2 * time.Second
 )
 
-// Options are the settings of a Hub. Zero values mean the defaults above, where
-// there is one.
+// Options configures a Hub. A zero field takes its default from above, if there
+// is one.
 type Options struct {
-	// Plain, if set, is the id of this instance on links without TLS: each end
-	// believes the id that the other one states. It is for private networks
-	// whose every host is trusted, never a default; Key is not used then.
+	// PlaintextID, if set, is the id of this instance on links without TLS:
+	// each end trusts the id that the other one states. Use it only on private
+	// networks where every host is trusted. Key is not used then and must be
+	// nil.
 	PlaintextID string
-	// Key proves who this instance is; its Identity.Instance is the id by
-	// which peers know it. Required unless Plain is set.
+	// Key proves the identity of this instance; Identity.Instance is its id at
+	// peers. Required unless PlaintextID is set.
 	Key *keys.Key
-	// Address returns where an instance listens (IP:port); false means that it
-	// is not known. Required. It is called from several goroutines.
+	// Address returns where an instance listens (IP:port), or false if that is
+	// not known. Required. It must be safe for concurrent use.
 	Address func(id string) (addr string, ok bool)
 	// Path is where Handler is mounted on each instance's TLS listener.
 	Path string
-	// Urgent names the channels whose messages overtake all others. Messages
-	// of an urgent channel that are longer than one chunk (16 KiB) go with the
-	// bulk ones, so that order within a channel holds only below that length.
+	// UrgentChannels names the channels whose messages are sent before all
+	// others. Messages of an urgent channel that are longer than one chunk
+	// (16 KiB) are sent as bulk, so order within a channel holds only up to
+	// that length.
 	UrgentChannels []string
-	// RingSize bounds each of the two rings per peer and the ring per channel,
-	// in messages.
+	// RingSize is the capacity of each of the two rings per peer and of the
+	// ring per channel, in messages.
 	RingSize int
-	// MaxMessage bounds one payload in bytes. A longer one is refused by Send
-	// and Call; a peer that sends one loses its connection.
+	// MaxMessage bounds a payload, in bytes. Send and Call refuse a longer one;
+	// the connection of a peer that sends one is closed.
 	MaxMessage int
-	// MaxAge is how long a message may wait to be written; older ones are
-	// dropped and counted, so that a reconnect does not deliver stale ones.
+	// MaxAge is how long a message may wait to be written. Older ones are
+	// dropped and counted, so that a reconnect does not deliver stale messages.
 	MaxAge time.Duration
-	// PingAfter is how long a sent message may stay without any sign of the
-	// peer before a ping asks for one; PingTimeout is how long the pong may
-	// take before the connection is given up. Together they bound how long a
-	// silent cut goes unnoticed by a sender.
+	// PingAfter is how long after a write the peer may send nothing before it
+	// is pinged; PingTimeout is how long the pong may take before the
+	// connection is closed. Together they bound how long a sender does not
+	// notice a connection that loses all packets.
 	PingAfter, PingTimeout time.Duration
-	// IdlePing is the time between pings on a connection without messages;
-	// negative means none.
+	// IdlePingInterval is the time between pings on a connection without
+	// messages; negative means none.
 	IdlePingInterval time.Duration
-	// IdleClose closes connections that carried no message for so long; zero
-	// means never.
+	// IdleTimeout is how long a connection dialled by this Hub may carry no
+	// message before it is closed; zero means no limit.
 	IdleTimeout time.Duration
-	// DialTimeout bounds one attempt to connect, with its handshakes.
+	// DialTimeout bounds one connection attempt including its handshakes.
 	DialTimeout time.Duration
-	// ConnectTimeout bounds the first part of an attempt, until the peer's kernel has
-	// answered, in the first quickAttempts after a success; later ones have all of
-	// DialTimeout. Zero means DialTimeout always.
+	// ConnectTimeout bounds the TCP connect of an attempt in the first
+	// quickAttempts after a success; later attempts have all of DialTimeout.
+	// Zero means DialTimeout always.
 	//
-	// It prevents that an instance waits a second for a peer that is back: where both lost
-	// power together and the peer returns a moment later, the first packet is lost, and the
-	// kernel sends it again after a second only.
+	// Without it an instance may wait a second for a peer that is already back:
+	// if both lost power together and the peer returns a moment later, the
+	// first packet is lost, and the kernel retransmits it only after a second.
 	ConnectTimeout time.Duration
-	// BackoffFloor and BackoffCeil bound the time between attempts. It doubles
-	// from floor to ceiling, and each wait is drawn from its upper half.
+	// MinBackoff and MaxBackoff bound the time between attempts. It doubles from
+	// minimum to maximum, and each wait is drawn from its upper half.
 	MinBackoff, MaxBackoff time.Duration
-	// Rand draws back-off jitter and the first call id; the hub guards it by a
-	// lock of its own. Required.
+	// Rand draws backoff jitter and the first call id. The Hub guards it by its
+	// own lock, so nobody else may use it. Required.
 	Rand *rand.Rand
-	// Allow, if set, cuts the pairs for which it returns false: no dial, no
-	// accept, and messages of open connections vanish in both directions as
-	// in a network partition. It must be safe for several goroutines.
+	// AllowPeer, if set, blocks the peers for which it returns false: no dial,
+	// no accept, and messages on open connections are dropped silently in both
+	// directions, as in a network partition. It must be safe for concurrent
+	// use.
 	AllowPeer func(peer string) bool
-	// OnLink, if set, is told of each change between connected and not
+	// OnLink, if set, is called on each change between connected and not
 	// connected. It must not block.
 	OnLink func(peer string, up bool)
 }
 
-// plainHeader carries the id of the dialling instance on links without TLS.
-const plainHeader = "Link-Instance"
+// plaintextHeader carries the id of the dialling instance on links without TLS.
+const plaintextHeader = "Link-Instance"
 
-// self is the id by which peers know this instance.
+// self returns the id of this instance at its peers.
 func (o *Options) self() string {
 	if o.PlaintextID != "" {
 		return o.PlaintextID
@@ -100,18 +103,18 @@
 
 func (o Options) withDefaults() (Options, error) {
 	if (o.Key == nil) == (o.PlaintextID == "") || o.Address == nil || o.Rand == nil {
-		return o, errors.NotValidf("link options without one of Key and Plain, Address or Rand")
+		return o, errors.NotValidf("link options without Address, Rand or exactly one of Key and PlaintextID")
 	}
-	set(&o.Path, DefaultPath)
-	set(&o.RingSize, DefaultRingSize)
-	set(&o.MaxMessage, DefaultMaxMessage)
-	set(&o.MaxAge, DefaultMaxAge)
-	set(&o.PingAfter, DefaultPingAfter)
-	set(&o.PingTimeout, DefaultPingTimeout)
-	set(&o.IdlePingInterval, DefaultIdlePingInterval)
-	set(&o.DialTimeout, DefaultDialTimeout)
-	set(&o.MinBackoff, DefaultMinBackoff)
-	set(&o.MaxBackoff, DefaultMaxBackoff)
+	setDefault(&o.Path, DefaultPath)
+	setDefault(&o.RingSize, DefaultRingSize)
+	setDefault(&o.MaxMessage, DefaultMaxMessage)
+	setDefault(&o.MaxAge, DefaultMaxAge)
+	setDefault(&o.PingAfter, DefaultPingAfter)
+	setDefault(&o.PingTimeout, DefaultPingTimeout)
+	setDefault(&o.IdlePingInterval, DefaultIdlePingInterval)
+	setDefault(&o.DialTimeout, DefaultDialTimeout)
+	setDefault(&o.MinBackoff, DefaultMinBackoff)
+	setDefault(&o.MaxBackoff, DefaultMaxBackoff)
 	if o.AllowPeer == nil {
 		o.AllowPeer = func(string) bool { return true }
 	}
@@ -121,11 +124,13 @@
 	return o, nil
 }
 
-// quickAttempts is how many attempts in a row have ConnectTimeout: a peer that takes
-// longer, as over a link that is full, is reached by the ones after.
+// quickAttempts is how many attempts in a row have ConnectTimeout. A peer that
+// answers more slowly, for example over a congested network, is reached by later
+// attempts.
 const quickAttempts = 4
 
-// connectTimeout is the bound of an attempt after so many failures in a row.
+// connectTimeout returns the bound of the TCP connect after the given number of
+// failures in a row.
 func (o *Options) connectTimeout(failures int) time.Duration {
 	if o.ConnectTimeout <= 0 || failures >= quickAttempts {
 		return o.DialTimeout
@@ -133,15 +138,15 @@
 	return min(o.ConnectTimeout, o.DialTimeout)
 }
 
-func set[T comparable](v *T, def T) {
+func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
 		*v = def
 	}
 }
 
-// backoff draws the wait after so many failures in a row. Without the jitter
-// all peers of an instance that comes back would dial it at the same moment.
+// backoff draws the wait after the given number of failures in a row. Without
+// jitter, all peers of an instance that comes back would dial it at once.
 func (o *Options) backoff(failures int, r *rand.Rand) time.Duration {
 	wait := o.MinBackoff
 	for range failures {
--- a/coord/link/peer.go
+++ b/coord/link/peer.go
@@ -9,20 +9,20 @@
 	"github.com/gullhaven/gullhaven/coord/ring"
 )
 
-// peer is another instance as this one reaches it.
+// peer is another instance with its connections and queued messages.
 type peer struct {
 	hub    *Hub
 	id     string
 	ctx    context.Context
 	cancel context.CancelFunc
-	// urgent and bulk hold what waits to be written.
+	// urgent and bulk hold the items that wait to be written.
 	urgent, bulk *ring.Ring[*item]
 	// attached wakes the writer when the peer itself has connected.
 	attached chan struct{}
-	// out is the writer's own state.
+	// out is used by the writer only.
 	out writer
 
-	// linkMu puts the calls of Options.OnLink in the order of the changes.
+	// linkMu keeps the calls of Options.OnLink in the order of the changes.
 	linkMu sync.Mutex
 	mu     sync.Mutex
 	// conns holds at most one connection per direction.
@@ -52,9 +52,9 @@
 	return p.bulk.TryPush(it)
 }
 
-// current returns the connection to write to, or nil. When both ends have
-// dialled at the same time, both write to the connection dialled by the lower
-// id and the other one falls idle, so that nothing is lost by closing it.
+// current returns the connection to write to, or nil. If both ends dialled at
+// the same time, both write to the connection dialled by the lower id, and the
+// other one becomes idle, so that closing it loses nothing.
 func (p *peer) current() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,9 +71,9 @@
 	return best
 }
 
-// attach takes in a new connection and reports whether it may be used. It
-// replaces an older one of the same direction: whoever dialled again has given
-// that one up, for example by a restart.
+// attach adds a new connection and reports whether it may be used. It replaces
+// an older one of the same direction: the side that dialled again no longer uses
+// that one, for example after a restart.
 func (p *peer) attach(c *conn) bool {
 	p.linkMu.Lock()
 	defer p.linkMu.Unlock()
@@ -116,7 +116,7 @@
 	return old, wasUp, true
 }
 
-// detach drops a connection that has ended and fails the calls on it.
+// detach removes a connection that has ended and fails the calls on it.
 func (p *peer) detach(c *conn) {
 	p.linkMu.Lock()
 	defer p.linkMu.Unlock()
@@ -130,12 +130,12 @@
 	}
 	clear(p.conns[len(kept):])
 	p.conns = kept
-	if !c.heard.Load() {
+	if !c.received.Load() {
 		p.delayDial()
 	}
 	down := before > 0 && len(kept) == 0
 	p.mu.Unlock()
-	p.hub.calls.lose(c)
+	p.hub.calls.failConn(c)
 	if down {
 		p.hub.o.OnLink(p.id, false)
 	}
@@ -151,30 +151,31 @@
 	}
 }
 
-// delayDial sets the time of the next attempt after a failure or after a
-// connection that ended before the peer said anything. p.mu is held.
+// delayDial sets the time of the next attempt after a failed one or after a
+// connection that ended before anything was read. p.mu must be held.
 func (p *peer) delayDial() {
-	p.hub.random(func(r *rand.Rand) {
+	p.hub.withRand(func(r *rand.Rand) {
 		p.nextDialAt = time.Now().Add(p.hub.o.backoff(p.failures, r))
 	})
 	p.failures++
 }
 
-// connectTimeout is that of the next attempt.
+// connectTimeout returns the bound of the next attempt's TCP connect.
 func (p *peer) connectTimeout() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hub.o.connectTimeout(p.failures)
 }
 
-// heard resets the back-off: the peer has said something.
-func (p *peer) heard() {
+// resetBackoff is called when the first batch or pong of a connection was read.
+func (p *peer) resetBackoff() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures = 0
 }
 
-// untilDial is how long the next attempt to connect has to wait.
+// untilDial returns how long the next connection attempt must wait; 0 or less if
+// it need not.
 func (p *peer) untilDial() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +185,8 @@
 	return time.Until(p.nextDialAt)
 }
 
-// backingOff reports whether a call would only wait for the next attempt.
+// backingOff reports whether there is no connection and the next attempt must
+// wait.
 func (p *peer) backingOff() bool {
 	return p.current() == nil && p.untilDial() > 0
 }
@@ -199,7 +201,7 @@
 	}, len(p.conns)
 }
 
-// watch pings connections that went silent and closes idle ones.
+// watch pings silent connections and closes idle ones.
 func (p *peer) watch(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/coord/link/stats.go
+++ b/coord/link/stats.go
@@ -2,50 +2,56 @@
 
 import "sync/atomic"
 
-// Stats are the counters of a Hub since its making.
+// Stats are the counters of a Hub since New.
 type Stats struct {
 	// Channels by name, for channels that this instance sends or handles.
 	Channels map[string]ChannelStats
-	// Peers by id, for peers that were spoken to.
+	// Peers by id, for peers that this instance sent to or was dialled by.
 	Peers map[string]PeerStats
-	// Connections open now.
+	// Connections is the number of open connections.
 	Connections int
-	// Dials and DialFailures are attempts to connect; Accepts and
-	// AcceptRefusals those of peers.
+	// Dials and DialFailures count connection attempts of this instance;
+	// Accepts and AcceptRefusals those of peers that succeeded and failed.
 	Dials, DialFailures, Accepts, AcceptRefusals uint64
-	// Pings sent, and connections given up because no pong came in time.
+	// Pings counts pings sent, PingTimeouts the connections closed because no
+	// pong arrived in time.
 	Pings, PingTimeouts uint64
-	// LateAnswers came when nobody waited for them any more, or twice, or from
-	// an instance that was not asked; they are dropped.
+	// LateAnswers counts answers that were dropped because nobody waited for
+	// them any more, as duplicates, or because they came from another instance
+	// than the called one.
 	LateAnswers uint64
-	// BadBatches could not be decoded or were too long; each ended its connection.
+	// BadBatches counts batches that could not be decoded or were too long;
+	// each ended its connection.
 	BadBatches uint64
-	// Unhandled were received for a channel without a handler.
+	// Unhandled counts messages and requests for a channel without a handler.
 	Unhandled uint64
-	// CutIn were received from a peer that Options.Allow cuts, and dropped.
+	// BlockedReceived counts messages that were received from a peer that
+	// Options.AllowPeer blocks, and dropped.
 	BlockedReceived uint64
 }
 
-// ChannelStats count the messages of one channel, calls and answers among
-// them; bytes are payload bytes.
+// ChannelStats are the counters of the messages of one channel, including calls
+// and answers; bytes are payload bytes.
 type ChannelStats struct {
 	Sent, SentBytes, Received, ReceivedBytes uint64
-	// Refused were turned away by a full ring to the peer, as too long, or as
-	// a call to an unreachable peer.
+	// Refused counts messages that were not queued: full ring to the peer, too
+	// long, or a call to an unreachable peer.
 	Refused uint64
-	// Dropped were taken and then not written: too old, given up by their
-	// caller, unreachable peer, cut pair or lost connection.
+	// Dropped counts messages that were queued and then not written: too old,
+	// abandoned by their caller, unreachable or blocked peer, or lost
+	// connection.
 	Dropped uint64
-	// Overflow were received and dropped because the handler's ring was full.
+	// Overflow counts messages and requests that were received and dropped
+	// because the handler's ring was full.
 	Overflow uint64
 }
 
-// PeerStats count what concerns one peer.
+// PeerStats are the state and counters of one peer.
 type PeerStats struct {
 	Connected bool
 	// Reconnects counts connections after the first.
 	Reconnects uint64
-	// Refused were turned away by a full ring.
+	// Refused counts messages that were not queued because a ring was full.
 	Refused uint64
 }
 
@@ -53,9 +59,9 @@
 const failuresChannel = "failures"
 
 type hubCounters struct {
-	dials, dialFailures, accepts, acceptRefusals atomic.Uint64
-	pings, pingTimeouts                          atomic.Uint64
-	lateAnswers, badBatches, unhandled, cutIn    atomic.Uint64
+	dials, dialFailures, accepts, acceptRefusals        atomic.Uint64
+	pings, pingTimeouts                                 atomic.Uint64
+	lateAnswers, badBatches, unhandled, blockedReceived atomic.Uint64
 }
 
 type channelCounters struct {
@@ -75,7 +81,7 @@
 	}
 }
 
-// Stats returns the counters now.
+// Stats returns the current counters.
 func (h *Hub) Stats() Stats {
 	n := &h.counters
 	s := Stats{
@@ -90,7 +96,7 @@
 		LateAnswers:     n.lateAnswers.Load(),
 		BadBatches:      n.badBatches.Load(),
 		Unhandled:       n.unhandled.Load(),
-		BlockedReceived: n.cutIn.Load(),
+		BlockedReceived: n.blockedReceived.Load(),
 	}
 	h.byChannel.Range(func(name, c any) bool {
 		s.Channels[name.(string)] = c.(*channelCounters).stats()
--- a/coord/link/writer.go
+++ b/coord/link/writer.go
@@ -13,33 +13,34 @@
 
 // writer is the state of a peer's writing goroutine.
 type writer struct {
-	// partial is a bulk item of which some chunks are written, on partialOn.
+	// partial is a bulk item of which some chunks were written to partialOn.
 	partial   *item
 	partialOn *conn
-	// batch are the items that the batch in hand completes.
+	// batch are the items that the current batch completes.
 	batch []*item
 }
 
 // run is the writing goroutine of a peer.
 func (p *peer) run() {
 	for {
-		it, ok := p.wait()
+		it, ok := p.waitForItem()
 		if !ok {
 			p.flush()
 			return
 		}
-		c := p.connection(it)
+		c := p.waitForConn(it)
 		if c == nil {
-			p.drain(it)
+			p.dropQueued(it)
 			continue
 		}
-		p.send(c, it)
+		p.writeBatch(c, it)
 	}
 }
 
-// wait returns the next item; nil when the partial one is to be continued;
-// false when the peer or the Hub is closed.
-func (p *peer) wait() (*item, bool) {
+// waitForItem waits for the next item and returns it. It returns nil and true if
+// the partial item must be continued, and false once the peer or the Hub is
+// closed.
+func (p *peer) waitForItem() (*item, bool) {
 	if p.ctx.Err() != nil {
 		return nil, false
 	}
@@ -61,10 +62,10 @@
 	}
 }
 
-// connection returns a connection for the item, after the back-off if there
-// must be one; nil when the attempt failed. An answer is worth no new
-// connection: its caller gave up when the old one ended.
-func (p *peer) connection(it *item) *conn {
+// waitForConn returns a connection for the item. It dials if there is none, after
+// the backoff, and returns nil if that fails. It does not dial for an answer: its
+// call ended with the old connection.
+func (p *peer) waitForConn(it *item) *conn {
 	for {
 		if c := p.current(); c != nil {
 			return c
@@ -86,35 +87,36 @@
 	}
 }
 
-// drain gives up an item and, unless it is an answer, all that wait: the peer
-// can't be reached, and what waits now would be stale by the next attempt.
-func (p *peer) drain(it *item) {
+// dropQueued drops an item and, unless it is an answer, all that wait: the peer
+// can't be reached, and the waiting items would be stale by the next attempt.
+func (p *peer) dropQueued(it *item) {
 	p.dropPartial()
 	if it != nil {
-		it.giveUp(CodeUnreachable, "no connection to "+p.id)
+		it.drop(CodeUnreachable, "no connection to "+p.id)
 		if it.isAnswer() {
 			return
 		}
 	}
-	for it := p.pick(); it != nil; it = p.pick() {
-		it.giveUp(CodeUnreachable, "no connection to "+p.id)
+	for it := p.nextItem(); it != nil; it = p.nextItem() {
+		it.drop(CodeUnreachable, "no connection to "+p.id)
 	}
 }
 
-// flush writes what is queued when the peer is closed, if it is connected.
+// flush writes the queued items when the peer is closed, if it is connected, and
+// drops the rest.
 func (p *peer) flush() {
 	for c := p.current(); c != nil && !c.closed.Load(); {
-		it := p.pick()
+		it := p.nextItem()
 		if it == nil {
 			return
 		}
-		p.send(c, it)
+		p.writeBatch(c, it)
 	}
-	p.drain(nil)
+	p.dropQueued(nil)
 }
 
-// pick takes the next item without waiting; nil when there is none.
-func (p *peer) pick() *item {
+// nextItem returns the next item without waiting; nil if there is none.
+func (p *peer) nextItem() *item {
 	select {
 	case it := <-p.urgent.C():
 		return it
@@ -131,51 +133,52 @@
 	}
 }
 
-// send writes one batch that begins with it, or with what pick gives.
-func (p *peer) send(c *conn, it *item) {
+// writeBatch writes one batch that begins with it, or with the next item if it
+// is nil.
+func (p *peer) writeBatch(c *conn, it *item) {
 	batch := p.hub.buffer()
 	defer p.hub.release(batch)
-	p.fill(batch, c, it)
+	p.fillBatch(batch, c, it)
 	if batch.Len() == 0 {
 		return
 	}
 	err := c.write(batch.Bytes())
-	p.account(err)
+	p.countBatch(err)
 	if err != nil {
 		c.close()
 		// The reader may have detached the connection before these calls were
 		// written.
-		p.hub.calls.lose(c)
+		p.hub.calls.failConn(c)
 	}
 }
 
-// fill puts frames into a batch until it is long enough or nothing waits.
-func (p *peer) fill(batch *bytes.Buffer, c *conn, it *item) {
+// fillBatch adds frames to a batch until it has batchBytes or no item waits.
+func (p *peer) fillBatch(batch *bytes.Buffer, c *conn, it *item) {
 	if p.out.partialOn != c {
 		p.dropPartial()
 	}
 	p.out.batch = p.out.batch[:0]
 	if it == nil {
-		it = p.pick()
+		it = p.nextItem()
 	}
 	for it != nil {
-		p.add(batch, c, it)
+		p.appendItem(batch, c, it)
 		if batch.Len() >= batchBytes {
 			return
 		}
-		it = p.pick()
+		it = p.nextItem()
 	}
 }
 
-// add appends an item, or its next chunk, to the batch.
-func (p *peer) add(batch *bytes.Buffer, c *conn, it *item) {
+// appendItem appends an item, or its next chunk, to the batch.
+func (p *peer) appendItem(batch *bytes.Buffer, c *conn, it *item) {
 	now := time.Now()
-	if it.offset == 0 && !p.admit(c, it, now) {
+	if it.offset == 0 && !p.claimForWrite(c, it, now) {
 		return
 	}
-	f := it.next(now)
+	f := it.nextFrame(now)
 	if err := appendFrame(batch, &f); err != nil {
-		// Not expected: every field has a fixed type.
+		// Not expected, as every field has a fixed type.
 		it.counters.dropped.Add(1)
 		return
 	}
@@ -190,29 +193,31 @@
 	p.out.batch = append(p.out.batch, it)
 }
 
-// admit claims an item for writing. From here on a call may have run.
-func (p *peer) admit(c *conn, it *item, now time.Time) bool {
+// claimForWrite claims an item for writing and reports whether to write it. From
+// here on a call may have run.
+func (p *peer) claimForWrite(c *conn, it *item, now time.Time) bool {
 	if now.Sub(it.queuedAt) > p.hub.o.MaxAge {
-		it.giveUp(CodeStale, "the request waited too long to be sent to "+p.id)
+		it.drop(CodeStale, "the request waited too long to be sent to "+p.id)
 		return false
 	}
 	if it.call != nil {
-		p.hub.calls.written(it.call, c)
+		p.hub.calls.setConn(it.call, c)
 	}
 	if !it.claim(sent) {
 		return false
 	}
 	if !p.hub.o.AllowPeer(p.id) {
-		// A cut looks like a network that swallows the message: a caller is
-		// not told.
+		// As in a network that drops the message, the caller gets no error
+		// before its timeout.
 		it.counters.dropped.Add(1)
 		return false
 	}
 	return true
 }
 
-// account counts the items of a batch after its write.
-func (p *peer) account(err error) {
+// countBatch counts the items of a batch as sent or, after a failed write, as
+// dropped.
+func (p *peer) countBatch(err error) {
 	for i, it := range p.out.batch {
 		p.out.batch[i] = nil
 		if err != nil {
@@ -224,8 +229,8 @@
 	}
 }
 
-// dropPartial gives up an item whose connection has ended in the middle of it.
-// Its call, if it is one, was ended with the connection.
+// dropPartial drops an item whose connection ended before its last chunk. Its
+// call, if any, was failed with the connection.
 func (p *peer) dropPartial() {
 	if p.out.partial == nil {
 		return
@@ -234,10 +239,10 @@
 	p.out.partial, p.out.partialOn = nil, nil
 }
 
-// dial makes one attempt to connect; nil when it failed.
+// dial makes one connection attempt and returns nil if it failed.
 func (p *peer) dial() *conn {
 	p.hub.counters.dials.Add(1)
-	ws, err := p.open()
+	ws, err := p.dialWebSocket()
 	if err != nil {
 		p.hub.counters.dialFailures.Add(1)
 		p.mu.Lock()
@@ -246,7 +251,7 @@
 		return nil
 	}
 	c := newConn(p, ws, true)
-	if !p.hub.enter() {
+	if !p.hub.addReader() {
 		c.close()
 		return nil
 	}
@@ -261,7 +266,7 @@
 	return c
 }
 
-func (p *peer) open() (*websocket.Conn, error) {
+func (p *peer) dialWebSocket() (*websocket.Conn, error) {
 	o := &p.hub.o
 	addr, ok := o.Address(p.id)
 	if !ok {
@@ -272,13 +277,13 @@
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, o.DialTimeout)
 	defer cancel()
-	transport := &http.Transport{DialContext: dialTuned(p.connectTimeout())}
-	scheme, header := "ws", http.Header{plainHeader: {o.PlaintextID}}
+	transport := &http.Transport{DialContext: dialFunc(p.connectTimeout())}
+	scheme, header := "ws", http.Header{plaintextHeader: {o.PlaintextID}}
 	if o.PlaintextID == "" {
 		transport.TLSClientConfig = o.Key.ClientConfig(p.id)
 		scheme, header = "wss", nil
 	}
-	// Without this a refused upgrade would leave its connection open.
+	// Otherwise a refused upgrade would leave its connection open.
 	defer transport.CloseIdleConnections()
 	ws, _, err := websocket.Dial(ctx, scheme+"://"+addr+o.Path, &websocket.DialOptions{
 		HTTPHeader: header,
@@ -287,13 +292,14 @@
 	return ws, errors.Annotatef(err, "link to %s", p.id)
 }
 
-// dialTuned makes connections, each within a time.
-func dialTuned(within time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
+// dialFunc returns a dial function with a timeout, whose connections have a
+// limited send buffer.
+func dialFunc(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, addr)
 		if err == nil {
-			tune(c)
+			limitSendBuffer(c)
 		}
 		return c, err
 	}
