--- a/coord/keys/authority.go
+++ b/coord/keys/authority.go
@@ -21,8 +21,8 @@
 	keyBlock         = "PRIVATE KEY"
 	// serialBits is the length of random serial numbers.
 	serialBits = 127
-	// backdate is how far validity starts in the past, so that an instance
-	// whose clock lags does not refuse a fresh certificate.
+	// backdate is how far in the past validity starts, so that an instance
+	// whose clock lags does not reject a new certificate.
 	backdate = 5 * time.Minute
 )
 
@@ -32,8 +32,9 @@
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority that is valid from now on for the given
-// time. It lives in memory until PEM is saved. name is for people.
+// NewAuthority creates an authority that is valid for the given time from now.
+// It exists only in memory unless the caller saves its PEM. name is the common
+// name of its certificate, for display only.
 func NewAuthority(name string, now time.Time, validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -55,7 +56,8 @@
 	return &Authority{certificate: c, key: key}, errors.Trace(err)
 }
 
-// LoadAuthority reads what PEM wrote.
+// LoadAuthority reads an authority from the results of Authority.PEM. It returns
+// an error if they do not belong together or are not an authority's.
 func LoadAuthority(certificate, key []byte) (*Authority, error) {
 	pair, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
@@ -66,22 +68,22 @@
 		return nil, errors.NotSupportedf("authority's private key of type %T", pair.PrivateKey)
 	}
 	if !pair.Leaf.IsCA {
-		return nil, errors.NotValidf("certificate that is not an authority's")
+		return nil, errors.NotValidf("certificate that is not a CA's")
 	}
 	return &Authority{certificate: pair.Leaf, key: private}, nil
 }
 
-// PEM returns the certificate, which every instance needs, and the private
-// key, which only the issuing of keys needs.
+// PEM returns the certificate, which every instance needs, and the private key,
+// which is needed only to issue keys.
 func (a *Authority) PEM() (certificate, key []byte, err error) {
 	key, err = keyPEM(a.key)
 	return certificatePEM(a.certificate.Raw), key, err
 }
 
-// Issue makes a key for an instance. addresses are IP numbers or host names
-// that are put into the certificate for clients which check the address;
-// instances check the identity instead. The key ends with the authority at the
-// latest.
+// Issue creates a key for an instance. addresses are IP addresses or host names
+// that the certificate names for clients which check the address; instances
+// check the identity instead. The key expires with the authority at the latest.
+// Issue returns an error if the identity or the validity is not valid.
 func (a *Authority) Issue(id Identity, addresses []string, now time.Time, validity time.Duration) (*Key, error) {
 	if err := id.Check(); err != nil {
 		return nil, err
@@ -100,8 +102,8 @@
 	t.KeyUsage = x509.KeyUsageDigitalSignature
 	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	t.URIs = []*url.URL{id.uri()}
-	t.DNSNames = []string{id.Instance + nameSuffix}
-	addAddresses(t, addresses)
+	t.DNSNames = []string{id.Instance + dnsSuffix}
+	setAddresses(t, addresses)
 	der, err := x509.CreateCertificate(rand.Reader, t, a.certificate, private.Public(), a.key)
 	if err != nil {
 		return nil, errors.Annotatef(err, "certificate of %s", id.Instance)
@@ -114,9 +116,10 @@
 	return &Key{Identity: id, Certificate: pair, Authority: a.certificate}, nil
 }
 
-// Load reads an instance's key as written by PEM, with the authority's
-// certificate. It checks that the certificate names an identity and was issued
-// by that authority; validity in time is checked in each handshake.
+// Load reads an instance's key from the results of Key.PEM. It returns an error
+// unless the parts belong together, the certificate names an identity and it was
+// issued by the given authority. The validity period is checked in each
+// handshake instead.
 func Load(certificate, key, authority []byte) (*Key, error) {
 	pair, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
@@ -135,7 +138,7 @@
 		return nil, errors.Annotate(err, "authority's certificate")
 	}
 	if err := pair.Leaf.CheckSignatureFrom(root); err != nil {
-		return nil, errors.Annotatef(err, "certificate of %s by another authority", id.Instance)
+		return nil, errors.Annotatef(err, "certificate of %s, issued by another authority", id.Instance)
 	}
 	return &Key{Identity: id, Certificate: pair, Authority: root}, nil
 }
@@ -167,7 +170,7 @@
 	}, nil
 }
 
-func addAddresses(t *x509.Certificate, addresses []string) {
+func setAddresses(t *x509.Certificate, addresses []string) {
 	for _, a := range addresses {
 		if ip := net.ParseIP(a); ip != nil {
 			t.IPAddresses = append(t.IPAddresses, ip)
--- a/coord/keys/keys.go
+++ b/coord/keys/keys.go
@@ -1,12 +1,12 @@
-// Package keys holds the keys by which instances prove to each other who they
-// are.
+// Package keys issues and checks the TLS keys by which instances authenticate
+// each other.
 //
 // A cluster has one Authority. It issues each instance a Key: a certificate
 // that names the instance and its region in a URI, together with the private
 // key and the authority's own certificate. Links between instances use mutual
 // TLS 1.3 with these keys, so a process without a key of the same authority
-// cannot complete a handshake, and a process with a key of another instance
-// cannot pass for the one that was dialled.
+// cannot complete a handshake, and a process with the key of another instance
+// cannot impersonate the one that was dialled.
 package keys
 
 import (
@@ -20,18 +20,18 @@
 )
 
 const (
-	// uriScheme marks the URI that carries an identity: instance:///REGION/ID.
+	// uriScheme is the scheme of the URI with an identity: instance:///REGION/ID.
 	uriScheme = "instance"
-	// nameSuffix ends the DNS name that a client asks for: ID.instance.
-	nameSuffix = ".instance"
-	// maxNameLength bounds an instance id and a region name, in bytes. With
-	// nameSuffix it stays below the bound of one DNS label.
-	maxNameLength = 48
-	// protocol is the only application protocol of the links.
-	protocol = "http/1.1"
+	// dnsSuffix ends the DNS name of an instance in its certificate: ID.instance.
+	dnsSuffix = ".instance"
+	// maxNameBytes bounds an instance id and a region name. With dnsSuffix it
+	// stays below the limit of one DNS label.
+	maxNameBytes = 48
+	// alpnProtocol is the only application protocol of the links.
+	alpnProtocol = "http/1.1"
 )
 
-// Identity says who an instance is.
+// Identity names an instance and its region.
 type Identity struct {
 	// Instance is the id of the instance, unique in the cluster.
 	Instance string
@@ -39,20 +39,21 @@
 	Region string
 }
 
-// Key is what one instance holds to prove its identity and to check others'.
+// Key is the credential of one instance, by which it proves its identity and
+// checks the identity of others.
 type Key struct {
-	// Identity as named in the certificate.
+	// Identity is the one named in the certificate.
 	Identity Identity
-	// Certificate of the instance with its private key.
+	// Certificate is the certificate of the instance with its private key.
 	Certificate tls.Certificate
 	// Authority is the certificate that peers' certificates must chain to.
 	Authority *x509.Certificate
-	// Now gives the time against which certificates are checked; nil means the
+	// Now returns the time at which certificates must be valid; nil means the
 	// wall clock.
 	Now func() time.Time
 }
 
-// Check returns an error unless both names are fit for a certificate: 1 to 48
+// Check returns an error unless both names are valid in a certificate: 1 to 48
 // ASCII letters, digits, '-' or '_', not starting or ending with '-'.
 func (i Identity) Check() error {
 	if err := checkName(i.Instance); err != nil {
@@ -61,8 +62,8 @@
 	return errors.Annotate(checkName(i.Region), "region")
 }
 
-// ServerConfig returns the TLS settings of a listener that lets in any
-// instance of the cluster and nobody else.
+// ServerConfig returns the TLS configuration of a listener that accepts the
+// instances of the cluster and no other clients.
 func (k *Key) ServerConfig() *tls.Config {
 	c := k.config()
 	c.ClientAuth = tls.RequireAndVerifyClientCert
@@ -74,20 +75,22 @@
 	return c
 }
 
-// ClientConfig returns the TLS settings for dialling the given instance. The
-// handshake fails when somebody else answers, for example a process that took
-// over the address of an instance that has gone.
+// ClientConfig returns the TLS configuration for dialling the given instance.
+// The handshake fails if another process answers, for example one that took over
+// the address of a removed instance.
 func (k *Key) ClientConfig(instance string) *tls.Config {
 	c := k.config()
 	c.RootCAs = k.pool()
-	c.ServerName = instance + nameSuffix
+	c.ServerName = instance + dnsSuffix
 	c.VerifyConnection = func(s tls.ConnectionState) error {
 		return checkPeer(&s, instance)
 	}
 	return c
 }
 
-// PeerIdentity returns who is at the other end of a verified connection.
+// PeerIdentity returns the identity of the peer of a verified connection. It
+// returns an error if s is nil, has no verified certificate chain or has a
+// certificate without an identity.
 func PeerIdentity(s *tls.ConnectionState) (Identity, error) {
 	if s == nil || len(s.VerifiedChains) == 0 {
 		return Identity{}, errors.Unauthorizedf("peer without a verified certificate")
@@ -99,10 +102,10 @@
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{k.Certificate},
-		NextProtos:   []string{protocol},
+		NextProtos:   []string{alpnProtocol},
 		Time:         k.Now,
-		// A resumed session would skip the check of the certificate's chain.
-		// Links live long, so a whole handshake each time costs little.
+		// A resumed session would skip the check of the certificate chain.
+		// Links are long-lived, so a full handshake each time costs little.
 		SessionTicketsDisabled: true,
 	}
 }
@@ -119,12 +122,12 @@
 		return err
 	}
 	if got.Instance != instance {
-		return errors.Unauthorizedf("peer %q, reached in place of %q", got.Instance, instance)
+		return errors.Unauthorizedf("peer %q, reached instead of %q", got.Instance, instance)
 	}
 	return nil
 }
 
-// uri is the identity as the URI in a certificate.
+// uri returns the identity as the URI in a certificate.
 func (i Identity) uri() *url.URL {
 	return &url.URL{Scheme: uriScheme, Path: "/" + i.Region + "/" + i.Instance}
 }
@@ -142,21 +145,21 @@
 }
 
 func checkName(s string) error {
-	if s == "" || len(s) > maxNameLength {
-		return errors.NotValidf("name %q of %d bytes (1 to %d)", s, len(s), maxNameLength)
+	if s == "" || len(s) > maxNameBytes {
+		return errors.NotValidf("name %q of %d bytes (1 to %d)", s, len(s), maxNameBytes)
 	}
 	if s[0] == '-' || s[len(s)-1] == '-' {
 		return errors.NotValidf("name %q that starts or ends with '-'", s)
 	}
 	for _, r := range s {
-		if !nameRune(r) {
+		if !validNameRune(r) {
 			return errors.NotValidf("name %q with %q", s, r)
 		}
 	}
 	return nil
 }
 
-func nameRune(r rune) bool {
+func validNameRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return true
--- a/coord/keys/keys_test.go
+++ b/coord/keys/keys_test.go
@@ -32,8 +32,8 @@
 	return k
 }
 
-// exchange runs a handshake and one byte each way, which a client needs to see
-// that the server has refused its certificate.
+// exchange runs a handshake and sends one byte to the client, which a client needs
+// to see that the server has refused its certificate.
 func exchange(server, client *tls.Config) (seen Identity, serverErr, clientErr error) {
 	s, c := net.Pipe()
 	done := make(chan struct{})
@@ -57,10 +57,10 @@
 	return seen, serverErr, clientErr
 }
 
-// Symptom: a process without a valid key reads or sends messages of instances.
-// Events: it dials an instance, or answers at the address of one that has gone.
-// Cause: one side does not check the chain, the time or the identity.
-func TestOnlyAValidKeyGetsThrough(t *testing.T) {
+// Guards against a process without a valid key that dials an instance, or answers
+// at the address of a removed one, and is accepted because one side does not check
+// the chain, the validity period or the identity.
+func TestOnlyAValidKeyIsAccepted(t *testing.T) {
 	ours, other := authority(t), authority(t)
 	server := issue(t, ours, a2, time.Hour)
 	good := issue(t, ours, a1, time.Hour)
@@ -68,7 +68,7 @@
 	early := issue(t, ours, a1, time.Hour)
 	early.Now = func() time.Time { return epoch.Add(-time.Hour) }
 	foreign := issue(t, other, a1, time.Hour)
-	// The forger trusts our authority, so that only the server's check is left.
+	// The forger trusts our authority, so that only the server's check can fail.
 	forged := *foreign
 	forged.Authority = server.Authority
 	noKey := good.ClientConfig(a2.Instance)
@@ -105,10 +105,10 @@
 	}
 }
 
-// Symptom: one instance passes for another that shares its DNS name in letters
-// of another case, or holds the names of two.
-// Events: MALANG-2 answers where malang-2 was dialled.
-// Cause: the handshake's check of host names ignores case and takes any name.
+// Guards against an instance that impersonates another whose DNS name differs in
+// case only (MALANG-2 answers where malang-2 was dialled), or that has the names
+// of two, as the handshake's check of host names ignores case and accepts any of
+// the names.
 func TestIdentityIsCheckedBesideTheHostName(t *testing.T) {
 	ours := authority(t)
 	server := issue(t, ours, Identity{Instance: "MALANG-2", Region: "jatim"}, time.Hour)
@@ -118,21 +118,20 @@
 	}
 }
 
-// Symptom: an instance does not start with its saved key, or starts with one by
-// which peers refuse it.
-// Events: keys are saved and loaded; files are swapped or of another authority.
-// Cause: parts loaded without a check that they belong together.
+// Guards against an instance that does not start with its saved key, or starts
+// with one that peers refuse, as Load does not check that the parts belong
+// together: files are swapped or of another authority.
 func TestKeysSurviveSavingAndLoading(t *testing.T) {
 	ours := authority(t)
 	cert, key, err := ours.PEM()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := LoadAuthority(cert, key)
+	reloaded, err := LoadAuthority(cert, key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := issue(t, again, a1, 2*time.Hour)
+	k := issue(t, reloaded, a1, 2*time.Hour)
 	if !k.Certificate.Leaf.NotAfter.Equal(epoch.Add(time.Hour)) {
 		t.Fatalf("key outlives its authority: %v", k.Certificate.Leaf.NotAfter)
 	}
@@ -161,10 +160,10 @@
 	}
 }
 
-// Symptom: an instance passes for one of another region.
-// Events: a key is asked for under a name that changes the identity's URI.
-// Cause: names written into a certificate unchecked.
-func TestUnfitNamesAreRefused(t *testing.T) {
+// Guards against an instance that impersonates one of another region by a name
+// that changes the identity's URI, as names are not checked before they are
+// written into a certificate.
+func TestInvalidNamesAreRefused(t *testing.T) {
 	ours := authority(t)
 	for _, id := range []Identity{
 		{}, {Instance: "a"}, {Region: "r"}, {Instance: "a/b", Region: "r"},
