--- a/coord/pieces/cut.go
+++ b/coord/pieces/cut.go
@@ -7,21 +7,22 @@
 )
 
 // Bounds of a piece of elements, in bytes before compression. With elements of 200 to 300
-// bytes a piece holds some tens of them and goes as one short message, and the digests of a
-// manifest are a few thousandths of the document.
+// bytes a piece contains some tens of them and is sent as one short message, and the digests
+// of a manifest are a few thousandths of the document.
 const (
-	leastBytes = 4 << 10
-	mostBytes  = 16 << 10
-	// cutOneIn is how many elements beyond leastBytes stand in a piece on average.
-	cutOneIn = 8
-	// frameBytes is the length of a piece of what is no element.
-	frameBytes = 8 << 10
+	minElementPieceBytes = 4 << 10
+	maxElementPieceBytes = 16 << 10
+	// cutDivisor is how many elements beyond minElementPieceBytes a piece contains on
+	// average.
+	cutDivisor = 8
+	// outerPieceBytes is the length of the pieces outside the elements.
+	outerPieceBytes = 8 << 10
 )
 
-// Layout says where a document's elements are.
+// Layout gives the offsets of a document's elements, in bytes.
 type Layout struct {
-	// Start is where the first one begins, Ends where each ends with what separates it from
-	// the next. No Ends means that the document has none.
+	// Start is where the first element begins; Ends are where each one ends, including the
+	// separator before the next one. Without Ends the document has no elements.
 	Start int
 	Ends  []int
 }
@@ -35,41 +36,43 @@
 		last = end
 	}
 	if l.Start < 0 || last > length {
-		return errors.NotValidf("elements from %d to %d of %d bytes", l.Start, last, length)
+		return errors.NotValidf("elements from %d to %d in a document of %d bytes", l.Start, last, length)
 	}
 	return nil
 }
 
-// Document is a document in pieces, each packed, in the order of the manifest. It is never
+// Document is a document in packed pieces, in the order of the manifest. It must not be
 // changed in place.
 type Document struct {
 	Manifest Manifest `cbor:"1,keyasint"`
 	Packed   [][]byte `cbor:"2,keyasint"`
 }
 
-// Source is a document in pieces that are not packed yet.
+// Source is a document in pieces that are not packed.
 type Source struct {
 	Manifest Manifest
 	raw      [][]byte
 }
 
-// Cut cuts a document. Where elements are added, changed or taken out, other pieces than
-// theirs stay the same.
+// Cut cuts a document into pieces. If elements are added, changed or removed, the pieces that
+// contain none of them and do not adjoin theirs stay the same, as a rule. The Source refers
+// to the bytes of document, which must not be changed. Cut returns an error if the layout
+// does not fit the document.
 func Cut(document []byte, l Layout) (*Source, error) {
 	if err := l.check(len(document)); err != nil {
 		return nil, err
 	}
 	s := &Source{Manifest: Manifest{Bytes: len(document)}}
 	if len(l.Ends) == 0 {
-		s.cutFrame(document)
+		s.cutOuter(document)
 		s.Manifest.Head = len(s.raw)
 		return s, nil
 	}
-	s.cutFrame(document[:l.Start])
+	s.cutOuter(document[:l.Start])
 	s.Manifest.Head = len(s.raw)
 	s.cutElements(document, l)
 	before := len(s.raw)
-	s.cutFrame(document[l.Ends[len(l.Ends)-1]:])
+	s.cutOuter(document[l.Ends[len(l.Ends)-1]:])
 	s.Manifest.Tail = len(s.raw) - before
 	return s, nil
 }
@@ -79,25 +82,26 @@
 	s.Manifest.Digests = append(s.Manifest.Digests, DigestOf(raw))
 }
 
-func (s *Source) cutFrame(part []byte) {
+func (s *Source) cutOuter(part []byte) {
 	for len(part) > 0 {
-		n := min(len(part), frameBytes)
+		n := min(len(part), outerPieceBytes)
 		s.add(part[:n])
 		part = part[n:]
 	}
 }
 
-// cutElements ends a piece behind elements whose content says so, whatever stands before
-// them.
+// cutElements ends a piece of at least minElementPieceBytes after an element whose digest is
+// divisible by cutDivisor, whatever precedes that element, and ends a piece before an element
+// that would make it longer than maxElementPieceBytes.
 func (s *Source) cutElements(document []byte, l Layout) {
 	begin, last := l.Start, l.Start
 	for _, end := range l.Ends {
-		if end-begin > mostBytes && last > begin {
+		if end-begin > maxElementPieceBytes && last > begin {
 			s.add(document[begin:last])
 			begin = last
 		}
 		digest := DigestOf(document[last:end])
-		if end-begin >= leastBytes && binary.BigEndian.Uint64(digest[:])%cutOneIn == 0 {
+		if end-begin >= minElementPieceBytes && binary.BigEndian.Uint64(digest[:])%cutDivisor == 0 {
 			s.add(document[begin:end])
 			begin = end
 		}
@@ -108,7 +112,7 @@
 	}
 }
 
-// Pack packs all pieces.
+// Pack returns the document with all pieces packed.
 func (s *Source) Pack() *Document {
 	d := &Document{Manifest: s.Manifest, Packed: make([][]byte, 0, len(s.raw))}
 	for _, raw := range s.raw {
@@ -117,7 +121,7 @@
 	return d
 }
 
-// PackOf packs some of the pieces, in the order of the document.
+// PackPieces returns the wanted pieces, packed, each once, in document order.
 func (s *Source) PackPieces(wanted []Digest) [][]byte {
 	want := make(map[Digest]bool, len(wanted))
 	for _, d := range wanted {
@@ -133,10 +137,10 @@
 	return out
 }
 
-// Join returns the document as it was cut. The error wraps ErrDamaged.
+// Join returns the whole document. The error wraps ErrDamaged.
 func (d *Document) Join() ([]byte, error) {
 	if len(d.Packed) != len(d.Manifest.Digests) {
-		return nil, errors.Annotatef(ErrDamaged, "%d pieces of %d", len(d.Packed), len(d.Manifest.Digests))
+		return nil, errors.Annotatef(ErrDamaged, "%d pieces instead of %d", len(d.Packed), len(d.Manifest.Digests))
 	}
 	out := make([]byte, 0, d.Manifest.Bytes)
 	for k, packed := range d.Packed {
@@ -145,14 +149,14 @@
 			return nil, err
 		}
 		if digest != d.Manifest.Digests[k] {
-			return nil, errors.Annotatef(ErrDamaged, "%s for %s", digest, d.Manifest.Digests[k])
+			return nil, errors.Annotatef(ErrDamaged, "piece %s instead of %s", digest, d.Manifest.Digests[k])
 		}
 		out = append(out, raw...)
 	}
 	return out, nil
 }
 
-// ByDigest finds the packed pieces.
+// ByDigest returns the packed pieces by their digests.
 func (d *Document) ByDigest() map[Digest][]byte {
 	out := make(map[Digest][]byte, len(d.Packed))
 	for k, packed := range d.Packed {
--- a/coord/pieces/piece.go
+++ b/coord/pieces/piece.go
@@ -11,10 +11,10 @@
 	"github.com/juju/errors"
 )
 
-// Digest names bytes by their content: the first half of their SHA-256.
+// Digest identifies bytes by their content: the first half of their SHA-256.
 type Digest [16]byte
 
-// String is the digest in hexadecimal, for logs.
+// String returns the digest in hexadecimal, for logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // DigestOf returns the digest of bytes.
@@ -23,13 +23,14 @@
 	return Digest(sum[:len(Digest{})])
 }
 
-// MaxPieceBytes bounds a piece as it is before its compression.
+// MaxPieceBytes bounds the length of a piece before compression.
 const MaxPieceBytes = 16 << 20
 
-// ErrDamaged: bytes do not have the content by which they are named.
+// ErrDamaged means that bytes can't be unpacked, or do not have the expected digest or
+// structure.
 const ErrDamaged = errors.ConstError("damaged piece")
 
-var packers = sync.Pool{New: func() any {
+var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		panic(err) // The level is a constant.
@@ -37,19 +38,20 @@
 	return w
 }}
 
-// Pack compresses a piece, as it is kept and sent.
+// Pack compresses a piece for storing and sending.
 func Pack(raw []byte) []byte {
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	var out bytes.Buffer
 	w.Reset(&out)
-	// A bytes.Buffer takes all that is written.
+	// Writes to a bytes.Buffer never fail.
 	_, _ = w.Write(raw)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// Unpack returns the bytes and the digest of a packed piece. The error wraps ErrDamaged.
+// Unpack returns the bytes of a packed piece and their digest, which the caller must compare
+// with the expected one. The error wraps ErrDamaged.
 func Unpack(packed []byte) ([]byte, Digest, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
 	raw, err := io.ReadAll(io.LimitReader(r, MaxPieceBytes+1))
@@ -57,7 +59,7 @@
 		return nil, Digest{}, errors.Annotate(ErrDamaged, err.Error())
 	}
 	if len(raw) > MaxPieceBytes {
-		return nil, Digest{}, errors.Annotatef(ErrDamaged, "over %d bytes", MaxPieceBytes)
+		return nil, Digest{}, errors.Annotatef(ErrDamaged, "longer than %d bytes", MaxPieceBytes)
 	}
 	return raw, DigestOf(raw), nil
 }
--- a/coord/pieces/pieces_test.go
+++ b/coord/pieces/pieces_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// elements makes a document of named elements, and where they end.
+// elements returns a document of named elements and its layout.
 func elements(names []string) ([]byte, Layout) {
 	var b bytes.Buffer
 	b.WriteString("head [")
@@ -41,7 +41,7 @@
 	return out
 }
 
-// A document that was cut is joined as it was, whatever its elements.
+// Guards against a document that changes when it is cut and joined, whatever its elements.
 func TestJoinedDocumentIsTheOneThatWasCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfN(rapid.StringN(0, 200, -1), 0, 400).Draw(t, "names")
@@ -64,8 +64,8 @@
 	})
 }
 
-// One element is added, taken out or changed, and no more than two pieces are others: the
-// one that holds it, and the one that another end of it begins or ends.
+// Guards against a change of one element (added, removed or changed) that changes most
+// pieces: only the piece that contains it and neighbours with a shifted end may change.
 func TestAChangeOfOneElementChangesFewPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := numbered(rapid.IntRange(500, 3000).Draw(t, "elements"), rapid.Uint64().Draw(t, "seed"))
@@ -94,15 +94,15 @@
 			}
 			bytes += len(raw)
 		}
-		// A cut that falls away joins two pieces, and the next one may be split anew where it
-		// has reached the most.
-		if bytes > 4*mostBytes {
+		// A removed cut joins two pieces, and the next piece may be split elsewhere if it
+		// has reached the maximum.
+		if bytes > 4*maxElementPieceBytes {
 			t.Fatalf("%d pieces with %d bytes of %d", len(missing), bytes, after.Manifest.Bytes)
 		}
 	})
 }
 
-// A layout or a piece that cannot be is an error and nothing else.
+// Guards against an invalid layout, piece or manifest that is accepted or causes a panic.
 func TestBadInputIsRefused(t *testing.T) {
 	for name, l := range map[string]Layout{
 		"beyond the end": {Start: 1, Ends: []int{9}}, "backwards": {Start: 1, Ends: []int{3, 2}},
@@ -113,12 +113,12 @@
 		}
 	}
 	if _, _, err := Unpack([]byte("no such thing")); err == nil {
-		t.Error("damaged bytes are unpacked")
+		t.Error("damaged bytes were unpacked")
 	}
 	d := cut(t, numbered(200, 1)).Pack()
 	d.Packed[1] = Pack([]byte("another"))
 	if _, err := d.Join(); err == nil {
-		t.Error("a document with a foreign piece is joined")
+		t.Error("a document with a foreign piece was joined")
 	}
 	for name, m := range map[string]Manifest{
 		"frame too long": {Digests: make([]Digest, 2), Head: 2, Tail: 1}, "negative": {Head: -1},
--- a/coord/pieces/transfer.go
+++ b/coord/pieces/transfer.go
@@ -7,93 +7,95 @@
 	"github.com/juju/errors"
 )
 
-// What one question asks for, in bytes of packed pieces. One question is under way at a
-// time, so this is also what a transfer adds to the queue of a link that others share.
+// Size of one request in bytes of packed pieces. One request is in flight at a time, so this
+// is also what a transfer adds to the queue of a shared link.
 const (
-	firstAsk = 32 << 10
-	mostAsk  = 64 << 10
-	leastAsk = 1
-	// mostPieces bounds the pieces named in one question.
-	mostPieces = 64
+	firstRequestBytes = 32 << 10
+	maxRequestBytes   = 64 << 10
+	minRequestBytes   = 1
+	// maxRequestPieces bounds the number of pieces named in one request.
+	maxRequestPieces = 64
 )
 
-// How long a question waits for its answer, and how long after a failure the next one is
-// asked. Both double with each failure in a row: any piece passes any link in the end, and
-// sources that are down are not asked all the time.
+// Timeout of a response, and delay after a failure until the next request. Both double with
+// each failure in a row, so that in the end any piece passes a link of any speed, and sources
+// that are down get few requests.
 const (
-	answerTime  = time.Second
-	answerMost  = 16 * time.Second
-	failedPause = 50 * time.Millisecond
-	failedMost  = time.Second
+	minResponseTimeout = time.Second
+	maxResponseTimeout = 16 * time.Second
+	minRetryDelay      = 50 * time.Millisecond
+	maxRetryDelay      = time.Second
 )
 
-// Transfer gets the pieces of the newest document that was told of. It belongs to one
-// goroutine at a time.
+// Transfer fetches the pieces of the newest announced document. It is not safe for concurrent
+// use.
 //
-// A document that is on its way is finished before a newer one is begun, as long as somebody
-// has it and answers. What goes wrong otherwise: versions follow each other faster than a
-// manifest and some pieces take from another region, each one ends the transfer of the one
-// before, and none is ever whole until the last has come.
+// A document whose transfer has started is completed before a newer one is started, as long
+// as a source has it and responds. Otherwise, if versions follow each other faster than a
+// manifest and some pieces arrive from another region, each version would abort the transfer
+// of the one before, and none would ever be complete until the last one.
 type Transfer struct {
 	root     Digest
 	manifest *Manifest
-	// got are the pieces of the manifest that have come and were not held, unpacked.
-	got map[Digest][]byte
-	// missing are still to come.
+	// received are the unpacked pieces that were received and not held.
+	received map[Digest][]byte
+	// missing are the pieces that are neither held nor received.
 	missing []Digest
 	// held reports whether the host holds a piece.
 	held func(Digest) bool
-	// sources have told of the document, the next to ask first.
+	// sources have announced the document; the first one gets the next request.
 	sources []string
-	// next is the newest document, if that is another one, and nextSources have told of it.
-	next        Digest
-	nextSources []string
-	ask         int
-	// failures in a row, since something came.
+	// newest is the newest document if that is not root, else zero. newestSources have
+	// announced it.
+	newest        Digest
+	newestSources []string
+	requestBytes  int
+	// failures is the number of failures in a row.
 	failures  int
 	notBefore time.Time
 	stats     Stats
-	began     time.Time
+	startedAt time.Time
 }
 
-// Stats tell of a Transfer since its making.
+// Stats are the counters of a Transfer since NewTransfer.
 type Stats struct {
-	// Bytes are those of packed pieces that came, Failed the questions without a use.
+	// Bytes counts the bytes of received packed pieces, FailedFetches the fetches without a
+	// useful response.
 	Bytes, FailedFetches uint64
 }
 
-// Question is what to ask whom.
+// Fetch is a request to send to a source.
 type Fetch struct {
 	To      string
 	Request Request
-	// Within is how long to wait for the answer.
+	// Timeout is how long to wait for the response.
 	Timeout time.Duration
 }
 
-// NewTransfer makes a Transfer that wants nothing. held reports whether the host holds a
-// piece already.
+// NewTransfer returns a Transfer without a document. held reports whether the host already
+// holds a piece.
 func NewTransfer(held func(Digest) bool) *Transfer { return &Transfer{held: held} }
 
-// giveUpAfter is how many failures in a row end the transfer of a document of which there is
-// a newer one.
-const giveUpAfter = 2
+// abandonAfterFailures is how many failures in a row end the transfer of a document if a
+// newer one was announced.
+const abandonAfterFailures = 2
 
-// Want names the newest document and somebody who has told of it.
+// HandleAnnouncement records that the source from has announced root as the newest document.
 func (t *Transfer) HandleAnnouncement(now time.Time, root Digest, from string) {
 	switch {
-	case t.root == (Digest{}) || t.root == root && t.next == (Digest{}):
-		t.begin(now, root)
+	case t.root == (Digest{}) || t.root == root && t.newest == (Digest{}):
+		t.start(now, root)
 		t.sources = withSource(t.sources, from)
 		return
 	case t.root == root:
-		// It is newest no more, but it is the one on its way.
+		// A newer one was announced, but this one is being transferred.
 		t.sources = withSource(t.sources, from)
 		return
-	case t.next != root:
-		t.next, t.nextSources = root, nil
+	case t.newest != root:
+		t.newest, t.newestSources = root, nil
 	}
-	t.nextSources = withSource(t.nextSources, from)
-	t.turnToNext(now)
+	t.newestSources = withSource(t.newestSources, from)
+	t.switchToNewest(now)
 }
 
 func withSource(sources []string, from string) []string {
@@ -103,45 +105,46 @@
 	return append(sources, from)
 }
 
-// begin turns to a document. What has come of another one is kept as far as this one has it,
-// too.
-func (t *Transfer) begin(now time.Time, root Digest) {
+// start starts the transfer of a document, unless it is the current one. Received pieces of
+// another document are kept as far as the new manifest names them.
+func (t *Transfer) start(now time.Time, root Digest) {
 	if t.root == root {
 		return
 	}
 	t.root, t.manifest, t.missing, t.sources = root, nil, nil, nil
-	t.ask, t.began = firstAsk, now
+	t.requestBytes, t.startedAt = firstRequestBytes, now
 	t.failures, t.notBefore = 0, time.Time{}
 }
 
-// turnToNext leaves a document that nobody has or gives any more for the newest one.
-func (t *Transfer) turnToNext(now time.Time) {
-	if t.next == (Digest{}) || t.Complete() || len(t.sources) > 0 && t.failures < giveUpAfter {
+// switchToNewest abandons the current document for the newest one if no source has it, or
+// after abandonAfterFailures.
+func (t *Transfer) switchToNewest(now time.Time) {
+	if t.newest == (Digest{}) || t.Complete() || len(t.sources) > 0 && t.failures < abandonAfterFailures {
 		return
 	}
-	root, sources := t.next, t.nextSources
-	t.next, t.nextSources = Digest{}, nil
-	t.begin(now, root)
+	root, sources := t.newest, t.newestSources
+	t.newest, t.newestSources = Digest{}, nil
+	t.start(now, root)
 	t.sources = sources
 }
 
-// Wanted is the document that the Transfer is about; zero for none.
+// Current returns the document being transferred; zero if there is none.
 func (t *Transfer) Current() Digest { return t.root }
 
-// Wants reports whether a document is the one on its way or the newest.
-func (t *Transfer) Tracks(root Digest) bool { return root == t.root || root == t.next }
+// Tracks reports whether root is the document being transferred or the newest one.
+func (t *Transfer) Tracks(root Digest) bool { return root == t.root || root == t.newest }
 
 // Stats returns the counters.
 func (t *Transfer) Stats() Stats { return t.stats }
 
-// Left are how many pieces are still to come, and since when; known is false until the
-// manifest has come.
+// Remaining returns the number of missing pieces and when the transfer started. known is
+// false until the manifest was received.
 func (t *Transfer) Remaining() (pieces int, since time.Time, known bool) {
-	return len(t.missing), t.began, t.manifest != nil
+	return len(t.missing), t.startedAt, t.manifest != nil
 }
 
-// Next returns what to ask now. Without a question it returns how long to wait for the next
-// one; negative where there is none until Want is called.
+// NextFetch returns the fetch to make now. If there is none, it returns how long to wait for
+// the next one, or a negative time if there is none before the next HandleAnnouncement.
 func (t *Transfer) NextFetch(now time.Time) (*Fetch, time.Duration) {
 	if t.root == (Digest{}) || len(t.sources) == 0 || t.Complete() {
 		return nil, -1
@@ -149,42 +152,43 @@
 	if wait := t.notBefore.Sub(now); wait > 0 {
 		return nil, wait
 	}
-	q := &Fetch{To: t.sources[0], Request: Request{Root: t.root}, Timeout: min(answerTime<<min(t.failures, 8), answerMost)}
+	f := &Fetch{To: t.sources[0], Request: Request{Root: t.root}, Timeout: min(minResponseTimeout<<min(t.failures, 8), maxResponseTimeout)}
 	if t.manifest != nil {
-		q.Request.Pieces, q.Request.MaxBytes = t.missing[:min(len(t.missing), mostPieces)], t.ask
+		f.Request.Pieces, f.Request.MaxBytes = t.missing[:min(len(t.missing), maxRequestPieces)], t.requestBytes
 	}
-	return q, 0
+	return f, 0
 }
 
-// Answered takes in the answer to a question. The error tells that it was of no use, wrapping
-// ErrDamaged where its content is wrong; the Transfer goes on with another source.
-func (t *Transfer) HandleResponse(now time.Time, q *Fetch, a *Response) error {
-	if a.Unknown {
-		if q.Request.Root == t.root {
-			// It has told of the next one all the same.
-			t.sources = slices.DeleteFunc(t.sources, func(s string) bool { return s == q.To })
+// HandleResponse handles the response to a fetch. It returns an error if the response is of
+// no use, which wraps ErrDamaged if its content is wrong. The Transfer then continues with
+// another source, if there is one.
+func (t *Transfer) HandleResponse(now time.Time, f *Fetch, r *Response) error {
+	if r.Unknown {
+		if f.Request.Root == t.root {
+			// It remains a source of the newest document.
+			t.sources = slices.DeleteFunc(t.sources, func(s string) bool { return s == f.To })
 		}
-		t.HandleFailure(now, q)
-		return errors.NotFoundf("document %s at %s", q.Request.Root, q.To)
+		t.HandleFailure(now, f)
+		return errors.NotFoundf("document %s at %s", f.Request.Root, f.To)
 	}
-	err := t.take(q, a)
+	err := t.accept(f, r)
 	if err != nil {
-		t.HandleFailure(now, q)
+		t.HandleFailure(now, f)
 		return err
 	}
 	t.failures, t.notBefore = 0, time.Time{}
-	t.ask = min(2*t.ask, mostAsk)
+	t.requestBytes = min(2*t.requestBytes, maxRequestBytes)
 	return nil
 }
 
-func (t *Transfer) take(q *Fetch, a *Response) error {
-	if q.Request.Root == t.root && t.manifest == nil && len(q.Request.Pieces) == 0 {
-		return t.takeManifest(a.Manifest)
+func (t *Transfer) accept(f *Fetch, r *Response) error {
+	if f.Request.Root == t.root && t.manifest == nil && len(f.Request.Pieces) == 0 {
+		return t.acceptManifest(r.Manifest)
 	}
-	return t.takePieces(a.Packed, q.Request.Root == t.root)
+	return t.acceptPieces(r.Packed, f.Request.Root == t.root)
 }
 
-func (t *Transfer) takeManifest(m *Manifest) error {
+func (t *Transfer) acceptManifest(m *Manifest) error {
 	if m == nil || m.Check() != nil || m.Root() != t.root {
 		return errors.Annotate(ErrDamaged, "manifest")
 	}
@@ -193,20 +197,20 @@
 	for _, d := range m.Digests {
 		named[d] = true
 	}
-	for d := range t.got {
+	for d := range t.received {
 		if !named[d] {
-			delete(t.got, d)
+			delete(t.received, d)
 		}
 	}
-	t.missing = m.Missing(func(d Digest) bool { return t.got[d] != nil || t.held(d) })
+	t.missing = m.Missing(func(d Digest) bool { return t.received[d] != nil || t.held(d) })
 	return nil
 }
 
-// takePieces takes pieces of the document wanted now. Those that were asked for as pieces of
-// the one before may be of it, too.
-func (t *Transfer) takePieces(packed [][]byte, asked bool) error {
+// acceptPieces stores pieces of the current document. requested is false if they were
+// requested for an earlier document; the current one may contain them too.
+func (t *Transfer) acceptPieces(packed [][]byte, requested bool) error {
 	if len(packed) == 0 {
-		return errors.Annotate(ErrDamaged, "answer without pieces")
+		return errors.Annotate(ErrDamaged, "response without pieces")
 	}
 	for _, p := range packed {
 		raw, digest, err := Unpack(p)
@@ -214,60 +218,62 @@
 			return err
 		}
 		t.stats.Bytes += uint64(len(p))
-		if err := t.takePiece(raw, digest, asked); err != nil {
+		if err := t.acceptPiece(raw, digest, requested); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t *Transfer) takePiece(raw []byte, digest Digest, asked bool) error {
-	if t.got == nil {
-		t.got = map[Digest][]byte{}
+func (t *Transfer) acceptPiece(raw []byte, digest Digest, requested bool) error {
+	if t.received == nil {
+		t.received = map[Digest][]byte{}
 	}
 	if t.manifest == nil {
-		// Its manifest will tell whether it is of use.
-		t.got[digest] = raw
+		// acceptManifest drops it if the document does not contain it.
+		t.received[digest] = raw
 		return nil
 	}
 	at := slices.Index(t.missing, digest)
-	if at < 0 && asked {
-		return errors.Annotatef(ErrDamaged, "%s was not asked for", digest)
+	if at < 0 && requested {
+		return errors.Annotatef(ErrDamaged, "piece %s was not requested", digest)
 	}
 	if at >= 0 {
-		t.got[digest] = raw
+		t.received[digest] = raw
 		t.missing = slices.Delete(t.missing, at, at+1)
 	}
 	return nil
 }
 
-// Failed notes a question without an answer. Less is asked for next, of another source.
-func (t *Transfer) HandleFailure(now time.Time, q *Fetch) {
+// HandleFailure records a fetch without a response. The next request is smaller and goes to
+// another source, if there is one.
+func (t *Transfer) HandleFailure(now time.Time, f *Fetch) {
 	t.stats.FailedFetches++
-	if q.Request.Root != t.root {
+	if f.Request.Root != t.root {
 		return
 	}
-	t.notBefore = now.Add(min(failedPause<<min(t.failures, 8), failedMost))
+	t.notBefore = now.Add(min(minRetryDelay<<min(t.failures, 8), maxRetryDelay))
 	t.failures++
-	t.ask = max(t.ask/4, leastAsk)
-	if len(t.sources) > 1 && t.sources[0] == q.To {
-		t.sources = append(t.sources[1:], q.To)
+	t.requestBytes = max(t.requestBytes/4, minRequestBytes)
+	if len(t.sources) > 1 && t.sources[0] == f.To {
+		t.sources = append(t.sources[1:], f.To)
 	}
-	t.turnToNext(now)
+	t.switchToNewest(now)
 }
 
-// Complete reports whether all has come.
+// Complete reports whether the manifest was received and all pieces are held or received.
 func (t *Transfer) Complete() bool { return t.manifest != nil && len(t.missing) == 0 }
 
-// Take ends the transfer of a complete document, and returns its manifest and the pieces
-// that the host did not hold. A newer document that was told of is begun.
+// Finish ends the transfer of a complete document. It returns the manifest and the unpacked
+// pieces that the host did not hold, and starts the transfer of a newer document that was
+// announced. It must be called only if Complete is true.
 func (t *Transfer) Finish(now time.Time) (*Manifest, map[Digest][]byte) {
-	m, got := t.manifest, t.got
-	next, sources := t.next, t.nextSources
-	t.root, t.manifest, t.got, t.missing, t.sources = Digest{}, nil, nil, nil, nil
-	t.next, t.nextSources = Digest{}, nil
+	m, got := t.manifest, t.received
+	next, sources := t.newest, t.newestSources
+	t.root, t.manifest, t.received, t.missing, t.sources = Digest{}, nil, nil, nil, nil
+	t.newest, t.newestSources = Digest{}, nil
 	if next != (Digest{}) {
-		t.begin(now, next)
+		t.start(now, next)
 		t.sources = sources
 	}
 	return m, got
--- a/coord/pieces/transfer_test.go
+++ b/coord/pieces/transfer_test.go
@@ -9,99 +9,99 @@
 	"pgregory.net/rapid"
 )
 
-// world is one receiver behind a link, in virtual time. Sources learn of versions one after
-// the other, are down for a while, forget all at a restart, and answers are lost.
-type world struct {
-	t    *rapid.T
-	now  time.Time
-	rate int // bytes a second that the link leaves to the transfer
-	trip time.Duration
-	loss int // one answer in so many is lost; 0 for none
+// simulation is one receiver behind a link, in virtual time. Sources get versions one by one,
+// are down for a while and lose all documents at a restart, and responses are lost.
+type simulation struct {
+	t       *rapid.T
+	now     time.Time
+	rate    int // bytes a second that the link leaves to the transfer
+	latency time.Duration
+	loss    int // one response in so many is lost; 0 for none
 
 	sources  []*Holder
 	down     []bool
 	transfer *Transfer
-	// got is what the receiver holds, and version what it has in force.
-	got     map[Digest][]byte
+	// held are the pieces that the receiver holds, version is the one in force; 0 for none.
+	held    map[Digest][]byte
 	version int
-	// told and texts are the versions that were made.
-	told  []Digest
+	// roots and texts are the published versions.
+	roots []Digest
 	texts [][]byte
-	// sent are the bytes that came over the link, of use or not.
+	// sent counts the bytes sent over the link, useful or not.
 	sent int
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		t: t, now: time.Unix(1000, 0), got: map[Digest][]byte{},
-		rate: rapid.SampledFrom([]int{4 << 10, 40 << 10, 1 << 20}).Draw(t, "rate"),
-		trip: time.Duration(rapid.IntRange(1, 200).Draw(t, "trip")) * time.Millisecond,
-		loss: rapid.SampledFrom([]int{0, 3, 20}).Draw(t, "loss"),
+func newSimulation(t *rapid.T) *simulation {
+	sim := &simulation{
+		t: t, now: time.Unix(1000, 0), held: map[Digest][]byte{},
+		rate:    rapid.SampledFrom([]int{4 << 10, 40 << 10, 1 << 20}).Draw(t, "rate"),
+		latency: time.Duration(rapid.IntRange(1, 200).Draw(t, "trip")) * time.Millisecond,
+		loss:    rapid.SampledFrom([]int{0, 3, 20}).Draw(t, "loss"),
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "sources") {
-		w.sources, w.down = append(w.sources, &Holder{}), append(w.down, false)
+		sim.sources, sim.down = append(sim.sources, &Holder{}), append(sim.down, false)
 	}
-	w.transfer = NewTransfer(func(d Digest) bool { return w.got[d] != nil })
-	return w
+	sim.transfer = NewTransfer(func(d Digest) bool { return sim.held[d] != nil })
+	return sim
 }
 
-// publish makes a version that some sources know at once.
-func (w *world) publish(names []string) {
-	s := cut(w.t, names)
+// publish adds a version that the sources which are up have at once.
+func (sim *simulation) publish(names []string) {
+	s := cut(sim.t, names)
 	d := s.Pack()
 	root := d.Manifest.Root()
 	text, _ := elements(names)
-	w.told, w.texts = append(w.told, root), append(w.texts, text)
-	for k, h := range w.sources {
-		if !w.down[k] {
+	sim.roots, sim.texts = append(sim.roots, root), append(sim.texts, text)
+	for k, h := range sim.sources {
+		if !sim.down[k] {
 			h.Put(root, d)
 		}
 	}
 }
 
-// tell has the receiver hear of the newest version from the sources that know it.
-func (w *world) tell() {
-	root := w.told[len(w.told)-1]
-	if w.version == len(w.told) {
+// announce announces the newest version to the receiver for each source that has it.
+func (sim *simulation) announce() {
+	root := sim.roots[len(sim.roots)-1]
+	if sim.version == len(sim.roots) {
 		return
 	}
-	for k, h := range w.sources {
-		if !w.down[k] && !h.Respond(&Request{Root: root}).Unknown {
-			w.transfer.HandleAnnouncement(w.now, root, fmt.Sprint(k))
+	for k, h := range sim.sources {
+		if !sim.down[k] && !h.Respond(&Request{Root: root}).Unknown {
+			sim.transfer.HandleAnnouncement(sim.now, root, fmt.Sprint(k))
 		}
 	}
 }
 
-// step asks one question, or waits.
-func (w *world) step() {
-	q, wait := w.transfer.NextFetch(w.now)
+// step makes one fetch, or waits.
+func (sim *simulation) step() {
+	q, wait := sim.transfer.NextFetch(sim.now)
 	if q == nil {
-		w.now = w.now.Add(max(wait, 50*time.Millisecond))
+		sim.now = sim.now.Add(max(wait, 50*time.Millisecond))
 		return
 	}
 	var k int
 	_, _ = fmt.Sscan(q.To, &k)
-	if w.down[k] {
-		w.fail(q)
+	if sim.down[k] {
+		sim.fail(q)
 		return
 	}
-	a := w.sources[k].Respond(&q.Request)
+	a := sim.sources[k].Respond(&q.Request)
 	bytes := sizeOf(a)
-	w.sent += bytes
-	took := w.trip + time.Duration(bytes)*time.Second/time.Duration(w.rate)
-	if took > q.Timeout || w.loss > 0 && rapid.IntRange(1, w.loss).Draw(w.t, "lost") == 1 {
-		w.fail(q)
+	sim.sent += bytes
+	took := sim.latency + time.Duration(bytes)*time.Second/time.Duration(sim.rate)
+	if took > q.Timeout || sim.loss > 0 && rapid.IntRange(1, sim.loss).Draw(sim.t, "lost") == 1 {
+		sim.fail(q)
 		return
 	}
-	w.now = w.now.Add(took)
-	// A failure is a source that has forgotten the version: the next one to tell is asked.
-	_ = w.transfer.HandleResponse(w.now, q, a)
-	w.adopt()
+	sim.now = sim.now.Add(took)
+	// An error means that the source has dropped the version: another source is tried.
+	_ = sim.transfer.HandleResponse(sim.now, q, a)
+	sim.install()
 }
 
-func (w *world) fail(q *Fetch) {
-	w.now = w.now.Add(q.Timeout)
-	w.transfer.HandleFailure(w.now, q)
+func (sim *simulation) fail(q *Fetch) {
+	sim.now = sim.now.Add(q.Timeout)
+	sim.transfer.HandleFailure(sim.now, q)
 }
 
 func sizeOf(a *Response) int {
@@ -115,116 +115,117 @@
 	return size
 }
 
-func (w *world) adopt() {
-	if !w.transfer.Complete() {
+func (sim *simulation) install() {
+	if !sim.transfer.Complete() {
 		return
 	}
-	root := w.transfer.Current()
-	m, got := w.transfer.Finish(w.now)
-	text, all := m.Join(got, w.got)
-	w.got = all
+	root := sim.transfer.Current()
+	m, got := sim.transfer.Finish(sim.now)
+	text, all := m.Join(got, sim.held)
+	sim.held = all
 	version := 1
-	for w.told[version-1] != root {
+	for sim.roots[version-1] != root {
 		version++
 	}
-	if version <= w.version {
-		w.t.Fatalf("version %d is in force after %d", version, w.version)
+	if version <= sim.version {
+		sim.t.Fatalf("version %d is in force after %d", version, sim.version)
 	}
-	w.version = version
-	if !bytes.Equal(text, w.texts[version-1]) {
-		w.t.Fatalf("version %d is not what was made", version)
+	sim.version = version
+	if !bytes.Equal(text, sim.texts[version-1]) {
+		sim.t.Fatalf("version %d is not what was published", version)
 	}
 }
 
-// Whatever the link carries, whatever is lost, whoever restarts and however fast versions
-// follow each other, the newest version arrives once no newer one comes, no older one is put
-// in force after it, and what has come of a version is not asked for again.
+// Guards against a newest version that never arrives, an older version that is put in force
+// after a newer one, and received pieces that are requested again, whatever the rate of the
+// link, lost responses, restarts of sources and rate of new versions.
 func TestNewestVersionArrivesInTheEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		sim := newSimulation(t)
 		names := numbered(rapid.IntRange(1, 900).Draw(t, "elements"), 7)
-		w.publish(names)
+		sim.publish(names)
 		for range rapid.IntRange(0, 5).Draw(t, "changes") {
 			for range rapid.IntRange(0, 6).Draw(t, "steps") {
-				w.tell()
-				w.step()
+				sim.announce()
+				sim.step()
 			}
-			k := rapid.IntRange(0, len(w.sources)-1).Draw(t, "source")
+			k := rapid.IntRange(0, len(sim.sources)-1).Draw(t, "source")
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				w.down[k] = len(w.sources) > 1 && !w.down[k]
+				sim.down[k] = len(sim.sources) > 1 && !sim.down[k]
 			case 1:
-				*w.sources[k] = Holder{}
+				*sim.sources[k] = Holder{}
 			default:
 				names = append([]string{}, names...)
-				names[rapid.IntRange(0, len(names)-1).Draw(t, "at")] = fmt.Sprintf("changed %d", len(w.told))
-				w.publish(names)
+				names[rapid.IntRange(0, len(names)-1).Draw(t, "at")] = fmt.Sprintf("changed %d", len(sim.roots))
+				sim.publish(names)
 			}
 		}
-		for k := range w.down {
-			w.down[k] = false
+		for k := range sim.down {
+			sim.down[k] = false
 		}
-		w.publish(append([]string{"last"}, names...))
+		sim.publish(append([]string{"last"}, names...))
 		d := cut(t, append([]string{"last"}, names...)).Pack()
 		whole := 0
 		for _, p := range d.Packed {
 			whole += len(p)
 		}
-		begun, failed, sent := w.now, w.transfer.Stats().FailedFetches, w.sent
-		for w.version < len(w.told) {
-			w.tell()
-			w.step()
-			if w.now.Sub(begun) > time.Hour {
-				left, _, _ := w.transfer.Remaining()
-				t.Fatalf("version %d of %d, %d pieces left after an hour", w.version, len(w.told), left)
+		begun, failed, sent := sim.now, sim.transfer.Stats().FailedFetches, sim.sent
+		for sim.version < len(sim.roots) {
+			sim.announce()
+			sim.step()
+			if sim.now.Sub(begun) > time.Hour {
+				left, _, _ := sim.transfer.Remaining()
+				t.Fatalf("version %d of %d, %d pieces left after an hour", sim.version, len(sim.roots), left)
 			}
 		}
-		failures := int(w.transfer.Stats().FailedFetches - failed)
-		// Each piece once, a manifest for each try of it, and what failed questions brought.
-		most := whole + (failures+2)*(mostAsk+len(d.Manifest.Digests)*len(Digest{})+100) + len(d.Packed)*100
-		if got := w.sent - sent; got > most {
+		failures := int(sim.transfer.Stats().FailedFetches - failed)
+		// Each piece once, the manifests, and the responses of failed fetches.
+		most := whole + (failures+2)*(maxRequestBytes+len(d.Manifest.Digests)*len(Digest{})+100) + len(d.Packed)*100
+		if got := sim.sent - sent; got > most {
 			t.Fatalf("%d bytes were sent for %d, with %d failures", got, whole, failures)
 		}
 	})
 }
 
-// Versions follow each other every 100 ms while a manifest and a piece take 160 ms each, as
-// from another region. Each one used to end the transfer of the one before, and none was ever
-// in force until the last had come.
-func TestVersionsInSeriesComeIntoForceMeanwhile(t *testing.T) {
+// Guards against a series of versions of which none is in force until the last has arrived,
+// as each one aborts the transfer of the one before: they follow every 100 ms while a manifest
+// and a piece take 160 ms each, as from another region.
+func TestRapidVersionsAreInstalledMeanwhile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		w.rate, w.loss, w.trip = 1<<20, 0, 160*time.Millisecond
+		sim := newSimulation(t)
+		sim.rate, sim.loss, sim.latency = 1<<20, 0, 160*time.Millisecond
 		names := numbered(400, 3)
-		w.publish(names)
-		for w.version == 0 {
-			w.tell()
-			w.step()
+		sim.publish(names)
+		for sim.version == 0 {
+			sim.announce()
+			sim.step()
 		}
-		end, last := w.now.Add(10*time.Second), w.now
-		next := w.now
-		for w.now.Before(end) {
-			if !w.now.Before(next) {
+		end, last := sim.now.Add(10*time.Second), sim.now
+		next := sim.now
+		for sim.now.Before(end) {
+			if !sim.now.Before(next) {
 				names = append([]string{}, names...)
-				names[rapid.IntRange(0, len(names)-1).Draw(t, "at")] = fmt.Sprint("changed ", len(w.told))
-				w.publish(names)
-				next = w.now.Add(100 * time.Millisecond)
+				names[rapid.IntRange(0, len(names)-1).Draw(t, "at")] = fmt.Sprint("changed ", len(sim.roots))
+				sim.publish(names)
+				next = sim.now.Add(100 * time.Millisecond)
 			}
-			before := w.version
-			w.tell()
-			w.step()
-			if w.version > before {
-				last = w.now
+			before := sim.version
+			sim.announce()
+			sim.step()
+			if sim.version > before {
+				last = sim.now
 			}
-			if w.now.Sub(last) > 2*time.Second {
-				t.Fatalf("version %d of %d is in force since %v", w.version, len(w.told), w.now.Sub(last))
+			if sim.now.Sub(last) > 2*time.Second {
+				t.Fatalf("version %d of %d is in force since %v", sim.version, len(sim.roots), sim.now.Sub(last))
 			}
 		}
 	})
 }
 
-// Answers that are wrong change nothing, and the next source is asked.
-func TestWrongAnswersAreLeftOut(t *testing.T) {
+// Guards against wrong responses that change the state of a transfer, and against requests
+// that are sent to the same source again although there is another.
+func TestWrongResponsesAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d, other := cut(t, numbered(300, 1)).Pack(), cut(t, numbered(300, 2)).Pack()
 	root := d.Manifest.Root()
@@ -251,7 +252,7 @@
 			t.Error(name)
 		}
 		if next := ask(); next.To == q.To {
-			t.Errorf("%s: %s is asked again", name, q.To)
+			t.Errorf("%s: %s gets the next request too", name, q.To)
 		}
 	}
 	q := ask()
@@ -277,12 +278,13 @@
 	}
 }
 
-// The only source of a document has forgotten it, as newer ones have come, and has told of the
-// newest. It is asked for that at once, and not left out for what it does not have any more.
-func TestSourceOfAForgottenDocumentIsAskedForTheNext(t *testing.T) {
+// Guards against a transfer that stops when the only source of a document has dropped it for
+// newer ones and has announced the newest: the source must get the request for that one at
+// once, and not be excluded for lacking the old one.
+func TestSourceThatDroppedADocumentIsAskedForTheNewest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	old, newest := cut(t, numbered(50, 1)).Pack().Manifest.Root(), cut(t, numbered(50, 2)).Pack().Manifest.Root()
-	for failures := range giveUpAfter + 1 {
+	for failures := range abandonAfterFailures + 1 {
 		tr := NewTransfer(func(Digest) bool { return false })
 		tr.HandleAnnouncement(now, old, "a")
 		for range failures {
