--- a/coord/ring/ring_test.go
+++ b/coord/ring/ring_test.go
@@ -7,9 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: memory grows without bound, or an item vanishes without a count.
-// Events: producers outrun the consumer.
-// Cause: a queue without a bound, or a drop that is not counted.
+// Guards against unbounded memory and uncounted drops when producers are faster
+// than the consumer.
 func TestEveryItemIsHeldOrCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 8).Draw(t, "capacity")
@@ -43,9 +42,8 @@
 	})
 }
 
-// Symptom: a goroutine stays behind when its instance is stopped.
-// Events: the context ends while a consumer waits for an item, a producer for room.
-// Cause: a wait that doesn't look at its context.
+// Guards against goroutines that leak when their instance is stopped, as Pop on an
+// empty ring or Push on a full one ignores the end of its context.
 func TestWaitingEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
