--- a/daemon/site.go
+++ b/daemon/site.go
@@ -143,7 +143,7 @@
 func (r *site) runEntry(ctx context.Context) error {
 	s := r.s
 	i, err := entry.New(entry.Options{
-		Self:    feed.Entry{ID: s.Listen.Instances, Region: s.Region, Zone: s.Zone, Callers: s.Listen.Callers},
+		Self:    feed.Entry{ID: s.Listen.Instances, Region: s.Region, Zone: s.Zone, CallerAddress: s.Listen.Callers},
 		Seeds:   s.SeedIDs(),
 		Format:  platform.Format{},
 		Dialect: platform.Dialect{},
@@ -152,17 +152,17 @@
 		Tolerance: quota.Tolerance{
 			Window: s.LimitTolerance.Window(), Share: s.LimitTolerance.Share, Units: s.LimitTolerance.Units,
 		},
-		Log: r.log, Ordinary: r.ordinary, Lines: r,
+		Log: r.log, AccessLog: r.ordinary, Lines: r,
 	})
 	if err != nil {
 		return err
 	}
 	if err := r.listen(map[string]http.Handler{
-		s.Listen.Metrics:         i.Metrics(),
-		s.Listen.BindInstances(): i.Peers(),
-		s.Listen.Callers:         i.Callers(),
+		s.Listen.Metrics:         i.MetricsHandler(),
+		s.Listen.BindInstances(): i.PeerHandler(),
+		s.Listen.Callers:         i.CallerHandler(),
 		s.Listen.Ready:           platform.ReadyCall(i.Ready),
-		s.Listen.Directory:       platform.DirectoryCall(i.Addresses),
+		s.Listen.Directory:       platform.DirectoryCall(i.CallerAddresses),
 	}); err != nil {
 		return err
 	}
