--- a/coord/keys/authority.go
+++ b/coord/keys/authority.go
@@ -68,7 +68,7 @@
 		return nil, errors.NotSupportedf("authority's private key of type %T", pair.PrivateKey)
 	}
 	if !pair.Leaf.IsCA {
-		return nil, errors.NotValidf("certificate that is not a CA's")
+		return nil, errors.NotValidf("certificate that is not an authority's")
 	}
 	return &Authority{certificate: pair.Leaf, key: private}, nil
 }
