--- a/operate/burn.go
+++ b/operate/burn.go
@@ -36,7 +36,7 @@
 }
 
 // Silent is an address that gave no answer, and why.
-type Silent struct {
+type Unreachable struct {
 	Address string `json:"address"`
 	Error   string `json:"error"`
 }
@@ -47,7 +47,7 @@
 	// Version of the bundle that the objectives are of: the newest that was told.
 	Version uint64 `json:"version"`
 	// Silent instances are missing, with what only they have seen.
-	Silent []Silent `json:"silent,omitempty"`
+	Unreachable []Unreachable `json:"silent,omitempty"`
 }
 
 // Burn asks all addresses at once and joins their histories. The error wraps
@@ -75,7 +75,7 @@
 			err = failures[i]
 		}
 		if err != nil {
-			report.Silent = append(report.Silent, Silent{Address: addresses[i], Error: err.Error()})
+			report.Unreachable = append(report.Unreachable, Unreachable{Address: addresses[i], Error: err.Error()})
 			continue
 		}
 		joined = burn.Merge(joined, snapshot)
@@ -84,8 +84,8 @@
 			report.Version, objectives = answers[i].Version, answers[i].objectives()
 		}
 	}
-	if len(report.Silent) == len(addresses) {
-		return nil, errors.Annotatef(ErrUnreachable, "%s", report.Silent[0].Error)
+	if len(report.Unreachable) == len(addresses) {
+		return nil, errors.Annotatef(ErrUnreachable, "%s", report.Unreachable[0].Error)
 	}
 	now := time.UnixMilli(at)
 	report.Report = burn.NewReport(joined.Since(now), objectives, now)
--- a/operate/capacity/capacity_test.go
+++ b/operate/capacity/capacity_test.go
@@ -77,7 +77,7 @@
 	for name, spoil := range map[string]func(*Size){
 		"no region":           func(s *Size) { s.Regions = 0 },
 		"fewer than regions":  func(s *Size) { s.Instances = 3 },
-		"share beyond one":    func(s *Size) { s.Once = 1.5 },
+		"share beyond one":    func(s *Size) { s.AtMostOnceShare = 1.5 },
 		"skew below one":      func(s *Size) { s.Skew = 0.5 },
 		"negative requests":   func(s *Size) { s.Requests = -1 },
 		"negative workspaces": func(s *Size) { s.Workspaces = -1 },
--- a/operate/capacity/duties.go
+++ b/operate/capacity/duties.go
@@ -264,7 +264,7 @@
 }
 
 // claimRate is claims in a second in the largest region.
-func (w worker) claimRate() float64 { return w.region.requests * w.size.Once }
+func (w worker) claimRate() float64 { return w.region.requests * w.size.AtMostOnceShare }
 
 func (w worker) claims() Duty {
 	commits := commitsPerClaim * w.claimRate()
--- a/operate/capacity/play_test.go
+++ b/operate/capacity/play_test.go
@@ -23,16 +23,16 @@
 }
 
 func TestReportsAreComparedBySize(t *testing.T) {
-	var reports []*Play
+	var reports []*Run
 	for _, text := range []string{reportOf(100, 40), reportOf(10, 4)} {
-		m, err := ReadPlay(writeReport(t, text))
+		m, err := ReadRun(writeReport(t, text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		reports = append(reports, m)
 	}
 	var out strings.Builder
-	if err := ComparePlays(&out, reports); err != nil {
+	if err := CompareRuns(&out, reports); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(out.String(), "\n")
@@ -43,11 +43,11 @@
 
 func TestReportsOfNoUseAreRefused(t *testing.T) {
 	for _, text := range []string{``, `[]`, `{}`, `{"machines":3,"load":{}}`, `{"machines":3,"load":{"core":{"of":[[1,2]]}}}`, `{"machines":"3"}`} {
-		if m, err := ReadPlay(writeReport(t, text)); err == nil {
+		if m, err := ReadRun(writeReport(t, text)); err == nil {
 			t.Errorf("%s was read as %+v", text, m)
 		}
 	}
-	if _, err := ReadPlay(filepath.Join(t.TempDir(), "none")); err == nil {
+	if _, err := ReadRun(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("a report that is not there was read")
 	}
 }
--- a/operate/capacity/size.go
+++ b/operate/capacity/size.go
@@ -21,7 +21,7 @@
 	// between are taken as evenly spaced.
 	Skew float64 `json:"skew"`
 	// Once is the share of requests that may run at most once.
-	Once float64 `json:"once_share"`
+	AtMostOnceShare float64 `json:"once_share"`
 	// ClaimLifetime of their records, in seconds.
 	ClaimLifetime float64 `json:"claim_lifetime_s"`
 	// Voters of the global group.
@@ -33,7 +33,7 @@
 func Planned() Size {
 	return Size{
 		Instances: 360, Targets: 690, Accelerators: 5500, Requests: 3800, Tokens: 980_000, Workspaces: 10_000,
-		Models: 36, Regions: 11, Zones: 40, Changes: 2500, Skew: 10, Once: 0.01, ClaimLifetime: 86_400, Voters: 5,
+		Models: 36, Regions: 11, Zones: 40, Changes: 2500, Skew: 10, AtMostOnceShare: 0.01, ClaimLifetime: 86_400, Voters: 5,
 	}
 }
 
@@ -57,8 +57,8 @@
 		return fmt.Errorf("counts must not be negative")
 	case s.Skew < 1:
 		return fmt.Errorf("skew is %g, but must be at least 1", s.Skew)
-	case s.Once < 0 || s.Once > 1:
-		return fmt.Errorf("the share that runs at most once is %g, but must be from 0 to 1", s.Once)
+	case s.AtMostOnceShare < 0 || s.AtMostOnceShare > 1:
+		return fmt.Errorf("the share that runs at most once is %g, but must be from 0 to 1", s.AtMostOnceShare)
 	case s.Requests < 0 || s.Tokens < 0 || s.Changes < 0 || s.ClaimLifetime < 0:
 		return fmt.Errorf("rates and times must not be negative")
 	}
--- a/operate/capacity/table.go
+++ b/operate/capacity/table.go
@@ -94,7 +94,7 @@
 	Disks    int `json:"disks"`
 	// ClaimTime is how long a claim table lasts until it refuses new keys, in
 	// seconds, if it is shorter than the lifetime of claims; else 0.
-	ClaimTime float64 `json:"claim_table_full_after_s"`
+	ClaimTableFullAfter float64 `json:"claim_table_full_after_s"`
 }
 
 // Change is how long an accepted change takes, in seconds.
@@ -144,7 +144,7 @@
 	r.Change, r.Path = w.change(), w.path()
 	r.Disks = min(size.Voters+3*size.Regions, size.Instances)
 	if held := w.claimRate() * size.ClaimLifetime; held > maxClaims {
-		r.ClaimTime = maxClaims / w.claimRate()
+		r.ClaimTableFullAfter = maxClaims / w.claimRate()
 	}
 	return r, nil
 }
--- a/operate/capacity/write.go
+++ b/operate/capacity/write.go
@@ -25,7 +25,7 @@
 	t.line("%d instances, %d targets, %d accelerators, %.0f requests and %.0f tokens a second, %d workspaces, %d models, %d regions, %d zones, %.0f changes a day.",
 		s.Instances, s.Targets, s.Accelerators, s.Requests, s.Tokens, s.Workspaces, s.Models, s.Regions, s.Zones, s.Changes)
 	t.line("Largest region: %d instances, %d targets. Assumed: %.3g of the requests run at most once, claims live %.0f s, %d voters.",
-		r.Members, r.Targets, s.Once, s.ClaimLifetime, s.Voters)
+		r.Members, r.Targets, s.AtMostOnceShare, s.ClaimLifetime, s.Voters)
 	t.line("")
 	t.roles(r.Roles)
 	t.totals(r.Roles)
@@ -36,10 +36,10 @@
 	t.line("")
 	t.line("Request path, no control: %.1f cores for requests and %.1f for tokens over all instances, %.3f cores an instance of the largest region.",
 		r.Path.RequestCores, r.Path.TokenCores, r.Path.PerInstance)
-	if r.ClaimTime > 0 {
+	if r.ClaimTableFullAfter > 0 {
 		t.line("")
 		t.line("A claim table of %d records is full after %.1f hours, before claims of %.1f hours end: new keys are refused then.",
-			maxClaims, r.ClaimTime/3600, s.ClaimLifetime/3600)
+			maxClaims, r.ClaimTableFullAfter/3600, s.ClaimLifetime/3600)
 	}
 	return t.err
 }
--- a/operate/cli/bundle_roll.go
+++ b/operate/cli/bundle_roll.go
@@ -80,7 +80,7 @@
 		if err != nil {
 			return errors.Annotatef(err, "version %d is accepted, but its progress is unknown", version)
 		}
-		lacking := status.Lacking(version)
+		lacking := status.RegionsWithout(version)
 		seconds := c.env.Now().Sub(start).Seconds()
 		if len(lacking) == 0 && len(status.Regions) > 0 {
 			c.done(status, version, seconds)
--- a/operate/cli/capacity.go
+++ b/operate/cli/capacity.go
@@ -56,7 +56,7 @@
 	return &capacityCommand{
 		env: env, Instances: s.Instances, Targets: s.Targets, Accelerators: s.Accelerators, Requests: s.Requests,
 		Tokens: s.Tokens, Workspaces: s.Workspaces, Models: s.Models, Regions: s.Regions, Zones: s.Zones,
-		Changes: s.Changes, Skew: s.Skew, Once: s.Once, ClaimLifetime: s.ClaimLifetime, Voters: s.Voters,
+		Changes: s.Changes, Skew: s.Skew, Once: s.AtMostOnceShare, ClaimLifetime: s.ClaimLifetime, Voters: s.Voters,
 	}
 }
 
@@ -64,7 +64,7 @@
 	s := capacity.Size{
 		Instances: c.Instances, Targets: c.Targets, Accelerators: c.Accelerators, Requests: c.Requests,
 		Tokens: c.Tokens, Workspaces: c.Workspaces, Models: c.Models, Regions: c.Regions, Zones: c.Zones,
-		Changes: c.Changes, Skew: c.Skew, Once: c.Once, ClaimLifetime: c.ClaimLifetime, Voters: c.Voters,
+		Changes: c.Changes, Skew: c.Skew, AtMostOnceShare: c.Once, ClaimLifetime: c.ClaimLifetime, Voters: c.Voters,
 	}
 	if c.Times == 1 {
 		return s
@@ -98,9 +98,9 @@
 }
 
 func (c *capacityCommand) compareReports() error {
-	var reports []*capacity.Play
+	var reports []*capacity.Run
 	for _, path := range c.Reports {
-		m, err := capacity.ReadPlay(path)
+		m, err := capacity.ReadRun(path)
 		if err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 	if c.JSON {
 		return json.NewEncoder(c.env.Out).Encode(reports)
 	}
-	return capacity.ComparePlays(c.env.Out, reports)
+	return capacity.CompareRuns(c.env.Out, reports)
 }
 
 func (c *capacityCommand) write(report *capacity.Report) error {
@@ -129,7 +129,7 @@
 			return true
 		}
 	}
-	return r.Change.Whole > capacity.BudgetChange || r.SetAside > capacity.BudgetSetAside || r.ClaimTime > 0
+	return r.Change.Whole > capacity.BudgetChange || r.SetAside > capacity.BudgetSetAside || r.ClaimTableFullAfter > 0
 }
 
 func (c *capacityCommand) listSlopes() error {
--- a/operate/cli/explain.go
+++ b/operate/cli/explain.go
@@ -40,7 +40,7 @@
 	for _, s := range logs.Skipped {
 		c.env.Progress("%s:%d: left out: %s", s.File, s.Number, s.Reason)
 	}
-	story, ok := logs.Tell(c.Args.ID)
+	story, ok := logs.Timeline(c.Args.ID)
 	if !ok {
 		c.env.Printf("no line of these files names the request %q\n", c.Args.ID)
 		return ErrRefused
--- a/operate/cli/load.go
+++ b/operate/cli/load.go
@@ -67,7 +67,7 @@
 	if len(args) > 0 {
 		return fmt.Errorf("unexpected argument %q", args[0])
 	}
-	report, err := load.Run(c.env.Context, c.config(), load.Host{
+	report, err := load.Run(c.env.Context, c.config(), load.Env{
 		Now: c.env.Now, Sleep: c.env.Sleep,
 		Progress: func(line string) { c.env.Progress("%s", line) },
 	})
@@ -90,11 +90,11 @@
 func (c *loadCommand) config() load.Config {
 	return load.Config{
 		To: commas(c.To), Keys: c.Keys, Model: c.Model, Plain: c.Plain, Region: c.Region, Zone: c.Zone,
-		Callers: c.Callers, Rate: c.Rate, For: c.For, Concurrency: c.Concurrency,
+		Callers: c.Callers, Rate: c.Rate, Duration: c.For, Concurrency: c.Concurrency,
 		Tokens: c.Tokens, PromptTokens: c.PromptTokens, SharedPrefix: c.SharedPrefix,
 		Deadline:    time.Duration(c.DeadlineMS) * time.Millisecond,
 		ResendShare: c.Resend, Audit: commas(c.Audit), Baseline: c.Baseline,
-		UncheckedText: c.AnyEngine, Seed: c.Seed,
+		SkipTextCheck: c.AnyEngine, Seed: c.Seed,
 	}
 }
 
--- a/operate/cli/report_burn.go
+++ b/operate/cli/report_burn.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	for _, s := range report.Silent {
+	for _, s := range report.Unreachable {
 		c.env.Progress("%s did not answer: %s", s.Address, s.Error)
 	}
 	if err := c.write(report); err != nil {
@@ -91,7 +91,7 @@
 
 func silentNames(report *operate.BurnReport) []string {
 	var names []string
-	for _, s := range report.Silent {
+	for _, s := range report.Unreachable {
 		names = append(names, s.Address)
 	}
 	return names
@@ -110,7 +110,7 @@
 		t.row(burnCells(row)...)
 	}
 	t.end()
-	if len(report.Silent) > 0 {
+	if len(report.Unreachable) > 0 {
 		c.env.Printf("\nnot answered: %s\n", strings.Join(silentNames(report), ", "))
 	}
 }
--- a/operate/cli/report_burn_test.go
+++ b/operate/cli/report_burn_test.go
@@ -63,7 +63,7 @@
 			var report operate.BurnReport
 			convey.So(json.Unmarshal(b.out.Bytes(), &report), convey.ShouldBeNil)
 			convey.So(report.Rows[0].Verdict, convey.ShouldEqual, burn.Slow)
-			convey.So(report.Silent, convey.ShouldHaveLength, 1)
+			convey.So(report.Unreachable, convey.ShouldHaveLength, 1)
 			convey.So(report.Worst(), convey.ShouldEqual, burn.Fast)
 		})
 		convey.Convey("the page stands alone and takes no markup from names", func() {
--- a/operate/cli/status.go
+++ b/operate/cli/status.go
@@ -71,7 +71,7 @@
 	if err := c.print(status); err != nil {
 		return err
 	}
-	if c.Check && len(status.Trouble()) > 0 {
+	if c.Check && len(status.Problems()) > 0 {
 		return ErrRefused
 	}
 	return nil
--- a/operate/cli/status_table.go
+++ b/operate/cli/status_table.go
@@ -41,7 +41,7 @@
 		strings.Join(s.Roles, ", "), millisText(s.UptimeMillis), s.InFlight)
 	_, _ = fmt.Fprintf(out, "bundle: version %d, digest %s\n", s.Version, s.Digest)
 	_, _ = fmt.Fprintf(out, "leader: %s\n", leader(s.Leader, s.Lease))
-	printTrouble(out, s.Trouble())
+	printTrouble(out, s.Problems())
 	printRegions(out, s)
 	if len(s.Voters) > 0 {
 		printVoters(out, s)
@@ -58,7 +58,7 @@
 	if l == nil {
 		return orNone(name)
 	}
-	return fmt.Sprintf("%s (term %d, lease %d ms)", l.Instance, l.Term, l.LeftMillis)
+	return fmt.Sprintf("%s (term %d, lease %d ms)", l.Instance, l.Term, l.RemainingMillis)
 }
 
 // printTrouble tells what to look at first.
@@ -124,7 +124,7 @@
 	for _, x := range s.Services {
 		q := x.FirstByte
 		t.row(x.Service, x.Region, fmt.Sprintf("%.0f s", x.WindowSeconds), fmt.Sprint(x.Requests), fmt.Sprint(x.Refused),
-			fmt.Sprint(x.Failed), fmt.Sprintf("%.2f%%", x.SentAway*100), fmt.Sprintf("%.1f", x.TargetSeconds), fmt.Sprintf("%.1f", x.Cost),
+			fmt.Sprint(x.Failed), fmt.Sprintf("%.2f%%", x.SpillShare*100), fmt.Sprintf("%.1f", x.TargetSeconds), fmt.Sprintf("%.1f", x.Cost),
 			millis(q.P50), millis(q.P90), millis(q.P99), millis(q.P999))
 	}
 	t.end()
--- a/operate/explain/explain.go
+++ b/operate/explain/explain.go
@@ -99,7 +99,7 @@
 var beliefs = []string{"in force", "leader", "list of targets changed", "started", "leaving"}
 
 // Story is what the logs tell of one request.
-type Story struct {
+type Timeline struct {
 	// Lines in the order of their times: those of the request, and before them the last
 	// ones that tell what its instances believed.
 	Lines []Line
@@ -108,7 +108,7 @@
 }
 
 // Tell finds the story of a request; false if no line names it.
-func (l *Logs) Tell(id string) (Story, bool) {
+func (l *Logs) Timeline(id string) (Timeline, bool) {
 	var own []Line
 	instances := map[string]bool{}
 	for _, line := range l.Lines {
@@ -118,10 +118,10 @@
 		}
 	}
 	if len(own) == 0 {
-		return Story{}, false
+		return Timeline{}, false
 	}
 	slices.SortStableFunc(own, func(a, b Line) int { return a.At.Compare(b.At) })
-	s := Story{Lines: append(l.beliefs(own[0].At, instances), own...)}
+	s := Timeline{Lines: append(l.beliefs(own[0].At, instances), own...)}
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	s.Gaps = l.gaps(own, instances)
 	return s, true
@@ -183,7 +183,7 @@
 }
 
 // Write prints a story: a line for each line, times from the first one of the request.
-func (s Story) Write(w io.Writer, id string) error {
+func (s Timeline) Write(w io.Writer, id string) error {
 	var zero time.Time
 	for _, line := range s.Lines {
 		if line.Fields["id"] == id {
--- a/operate/explain/explain_test.go
+++ b/operate/explain/explain_test.go
@@ -26,7 +26,7 @@
 		So(len(l.Skipped), ShouldEqual, 2)
 		So(l.Skipped[0].Number, ShouldEqual, 7)
 		So(l.Skipped[1].Number, ShouldEqual, 8)
-		s, ok := l.Tell("abc")
+		s, ok := l.Timeline("abc")
 		So(ok, ShouldBeTrue)
 		var out strings.Builder
 		So(s.Write(&out, "abc"), ShouldBeNil)
@@ -38,7 +38,7 @@
 	Convey("an id that is nowhere", t, func() {
 		var l explain.Logs
 		So(l.Read("one", strings.NewReader(one)), ShouldBeNil)
-		_, ok := l.Tell("nowhere")
+		_, ok := l.Timeline("nowhere")
 		So(ok, ShouldBeFalse)
 	})
 }
@@ -49,7 +49,7 @@
 		So(l.Read("two", strings.NewReader(`{"ts":"2026-03-01T10:00:02Z","msg":"attempt lost","instance":"e1","id":"abc","place":"10.0.0.1:7660"}
 {"ts":"2026-03-01T10:00:02.5Z","msg":"log lines missing","instance":"e1","left_out":7,"dropped":0}
 `)), ShouldBeNil)
-		s, ok := l.Tell("abc")
+		s, ok := l.Timeline("abc")
 		So(ok, ShouldBeTrue)
 		So(len(s.Gaps), ShouldEqual, 3)
 		So(s.Gaps[0], ShouldContainSubstring, "its end at e1 is not logged")
--- a/operate/load/config.go
+++ b/operate/load/config.go
@@ -47,7 +47,7 @@
 	// Rate is the mean of arrivals per second.
 	Rate float64
 	// For is how long requests arrive.
-	For time.Duration
+	Duration time.Duration
 	// Concurrency bounds the requests under way.
 	Concurrency int
 	// Tokens of each answer, PromptTokens of each prompt, SharedPrefix of them
@@ -63,7 +63,7 @@
 	// Baseline is a stand-in engine that gets the same load straight.
 	Baseline string
 	// UncheckedText leaves out the comparison with the stand-in's answer.
-	UncheckedText bool
+	SkipTextCheck bool
 	Seed          uint64
 }
 
@@ -79,7 +79,7 @@
 	fault(len(c.Keys) == 0, "key: no workspace key")
 	fault((c.Model == "") == (c.Plain == ""), "give either a model or a plain service")
 	fault(!(c.Rate > 0 && c.Rate <= MaxRate), "rate: %g is not above 0 and at most %d a second", c.Rate, MaxRate)
-	fault(c.For <= 0 || c.For > MaxDuration, "for: %v is not above 0 and at most %v", c.For, MaxDuration)
+	fault(c.Duration <= 0 || c.Duration > MaxDuration, "for: %v is not above 0 and at most %v", c.Duration, MaxDuration)
 	fault(outside(c.Concurrency, 1, MaxConcurrency), "concurrency: %d is not from 1 to %d", c.Concurrency, MaxConcurrency)
 	fault(outside(c.Callers, 1, MaxCallers), "callers: %d is not from 1 to %d", c.Callers, MaxCallers)
 	fault(outside(c.Tokens, 1, MaxTokens), "tokens: %d is not from 1 to %d", c.Tokens, MaxTokens)
--- a/operate/load/load_test.go
+++ b/operate/load/load_test.go
@@ -18,7 +18,7 @@
 )
 
 // atOnce is a host whose sleeps end at once; a closed context still ends them.
-var atOnce = Host{Now: time.Now, Sleep: func(ctx context.Context, _ time.Duration) error { return ctx.Err() }}
+var atOnce = Env{Now: time.Now, Sleep: func(ctx context.Context, _ time.Duration) error { return ctx.Err() }}
 
 // fakeGateway has a directory that lists given addresses, and passes the rest on.
 type fakeGateway struct {
@@ -57,7 +57,7 @@
 
 func modelConfig(to string) Config {
 	return Config{
-		To: []string{to}, Keys: []string{"k"}, Model: "m", Callers: 3, Rate: 60, For: time.Second,
+		To: []string{to}, Keys: []string{"k"}, Model: "m", Callers: 3, Rate: 60, Duration: time.Second,
 		Concurrency: 256, Tokens: 8, PromptTokens: 20, SharedPrefix: 10, Seed: 7,
 	}
 }
@@ -72,7 +72,7 @@
 func arrivals(c Config) (n int64) {
 	p := NewPlan(&c)
 	for r, more := p.Next(); more; r, more = p.Next() {
-		if r.Side == Through {
+		if r.Dest == ToGateway {
 			n++
 		}
 	}
@@ -146,40 +146,40 @@
 	for _, c := range []struct {
 		name   string
 		h      http.Handler
-		want   func(*SideReport) int64
+		want   func(*DestReport) int64
 		code   string
 		faulty bool
 	}{
-		{"whole", engine(), func(s *SideReport) int64 { return s.Answered }, "", false},
-		{"short", engine(standin.Fault{Kind: standin.FaultShort, Chunk: 3}), func(s *SideReport) int64 { return s.Unmarked }, "", true},
-		{"gap", engine(standin.Fault{Kind: standin.FaultGap, Chunk: 3}), func(s *SideReport) int64 { return s.Wrong }, "", true},
-		{"duplicate", engine(standin.Fault{Kind: standin.FaultDuplicate, Chunk: 1}), func(s *SideReport) int64 { return s.Wrong }, "", true},
-		{"foreign", engine(standin.Fault{Kind: standin.FaultForeign, Chunk: 2}), func(s *SideReport) int64 { return s.Wrong }, "", true},
-		{"cut", engine(standin.Fault{Kind: standin.FaultCut, Chunk: 2}), func(s *SideReport) int64 { return s.Broken }, "", false},
-		{"error event", cutWithEvent(engine()), func(s *SideReport) int64 { return s.CutWithEvent }, "stream_cut ran", false},
-		{"refused", refusal(503, "no_target", verdict.NotRun, "1", 500), func(s *SideReport) int64 { return s.Refused }, "no_target not_run", false},
-		{"another's answer", anothers(engine()), func(s *SideReport) int64 { return s.Wrong }, "", true},
-		{"another's answer, cut", cutWithEvent(anothers(engine())), func(s *SideReport) int64 { return s.Wrong }, "stream_cut ran", true},
-		{"marked whole too early", twoChunks(engine(), "data: [DONE]\n\n"), func(s *SideReport) int64 { return s.Wrong }, "", true},
-		{"goes on after its end", twoChunks(engine(), "data: [DONE]\n\ndata: [DONE]\n\n"), func(s *SideReport) int64 { return s.Wrong }, "", true},
-		{"error event, then the mark", twoChunks(engine(), streamCut+"data: [DONE]\n\n"), func(s *SideReport) int64 { return s.Wrong }, "stream_cut ran", true},
-		{"without header", refusal(503, "no_target", verdict.NotRun, "", 500), func(s *SideReport) int64 { return s.BadRefusal }, "no_target not_run", true},
-		{"come back at once", refusal(429, "no_target", verdict.NotRun, "0", 500), func(s *SideReport) int64 { return s.BadRefusal }, "no_target not_run", true},
-		{"without retry_after_ms", refusal(503, "no_target", verdict.NotRun, "1", 0), func(s *SideReport) int64 { return s.BadRefusal }, "no_target not_run", true},
+		{"whole", engine(), func(s *DestReport) int64 { return s.Answered }, "", false},
+		{"short", engine(standin.Fault{Kind: standin.FaultShort, Chunk: 3}), func(s *DestReport) int64 { return s.Unmarked }, "", true},
+		{"gap", engine(standin.Fault{Kind: standin.FaultGap, Chunk: 3}), func(s *DestReport) int64 { return s.Wrong }, "", true},
+		{"duplicate", engine(standin.Fault{Kind: standin.FaultDuplicate, Chunk: 1}), func(s *DestReport) int64 { return s.Wrong }, "", true},
+		{"foreign", engine(standin.Fault{Kind: standin.FaultForeign, Chunk: 2}), func(s *DestReport) int64 { return s.Wrong }, "", true},
+		{"cut", engine(standin.Fault{Kind: standin.FaultCut, Chunk: 2}), func(s *DestReport) int64 { return s.Broken }, "", false},
+		{"error event", cutWithEvent(engine()), func(s *DestReport) int64 { return s.CutWithEvent }, "stream_cut ran", false},
+		{"refused", refusal(503, "no_target", verdict.NotRun, "1", 500), func(s *DestReport) int64 { return s.Refused }, "no_target not_run", false},
+		{"another's answer", anothers(engine()), func(s *DestReport) int64 { return s.Wrong }, "", true},
+		{"another's answer, cut", cutWithEvent(anothers(engine())), func(s *DestReport) int64 { return s.Wrong }, "stream_cut ran", true},
+		{"marked whole too early", twoChunks(engine(), "data: [DONE]\n\n"), func(s *DestReport) int64 { return s.Wrong }, "", true},
+		{"goes on after its end", twoChunks(engine(), "data: [DONE]\n\ndata: [DONE]\n\n"), func(s *DestReport) int64 { return s.Wrong }, "", true},
+		{"error event, then the mark", twoChunks(engine(), streamCut+"data: [DONE]\n\n"), func(s *DestReport) int64 { return s.Wrong }, "stream_cut ran", true},
+		{"without header", refusal(503, "no_target", verdict.NotRun, "", 500), func(s *DestReport) int64 { return s.BadRefusal }, "no_target not_run", true},
+		{"come back at once", refusal(429, "no_target", verdict.NotRun, "0", 500), func(s *DestReport) int64 { return s.BadRefusal }, "no_target not_run", true},
+		{"without retry_after_ms", refusal(503, "no_target", verdict.NotRun, "1", 0), func(s *DestReport) int64 { return s.BadRefusal }, "no_target not_run", true},
 		{"two verdicts", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			refusal(503, "no_target", verdict.NotRun, "1", 500)(&keptVerdict{w}, r)
-		}), func(s *SideReport) int64 { return s.BadRefusal }, "no_target not_run", true},
-		{"untyped", http.NotFoundHandler(), func(s *SideReport) int64 { return s.BadRefusal }, "", true},
+		}), func(s *DestReport) int64 { return s.BadRefusal }, "no_target not_run", true},
+		{"untyped", http.NotFoundHandler(), func(s *DestReport) int64 { return s.BadRefusal }, "", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := modelConfig(serve(t, c.h))
 			r := mustRun(t, cfg)
 			n := arrivals(cfg)
-			if n == 0 || c.want(&r.Through) != n || r.Through.Sent != n || (r.Faults() > 0) != c.faulty {
-				t.Fatalf("of %d: %+v, notes %q", n, r.Through, r.Notes)
+			if n == 0 || c.want(&r.Gateway) != n || r.Gateway.Sent != n || (r.Faults() > 0) != c.faulty {
+				t.Fatalf("of %d: %+v, notes %q", n, r.Gateway, r.Notes)
 			}
-			if c.code != "" && (len(r.Through.Codes) != 1 || r.Through.Codes[0] != CodeCount{c.code, n}) {
-				t.Fatalf("codes %+v", r.Through.Codes)
+			if c.code != "" && (len(r.Gateway.Codes) != 1 || r.Gateway.Codes[0] != CodeCount{c.code, n}) {
+				t.Fatalf("codes %+v", r.Gateway.Codes)
 			}
 		})
 	}
@@ -194,8 +194,8 @@
 	cfg.Concurrency = 1
 	cfg.Rate = 20
 	r := mustRun(t, cfg)
-	if r.Through.Answered+r.Through.Unsent != arrivals(cfg) || r.Through.Answered == 0 || r.Through.Moved > int64(cfg.Callers) {
-		t.Fatalf("%+v", r.Through)
+	if r.Gateway.Answered+r.Gateway.Unsent != arrivals(cfg) || r.Gateway.Answered == 0 || r.Gateway.Failovers > int64(cfg.Callers) {
+		t.Fatalf("%+v", r.Gateway)
 	}
 }
 
@@ -205,7 +205,7 @@
 	cfg := modelConfig(serve(t, e))
 	cfg.Baseline = listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { straight.Add(1); e.ServeHTTP(w, r) }))
 	r := mustRun(t, cfg)
-	if r.Baseline == nil || r.Baseline.Answered != straight.Load() || straight.Load() == 0 || r.Through.Answered != arrivals(cfg) || r.Added == nil {
+	if r.Baseline == nil || r.Baseline.Answered != straight.Load() || straight.Load() == 0 || r.Gateway.Answered != arrivals(cfg) || r.Overhead == nil {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -291,11 +291,11 @@
 				cfg.Audit = []string{listen(t, plain), listen(t, other)}
 			}
 			r := mustRun(t, cfg)
-			if r.Once.Keys != arrivals(cfg) || r.Once.Audited != c.audit || r.Through.Resends != r.Once.Keys {
-				t.Fatalf("%+v, %+v", r.Once, r.Through)
+			if r.AtMostOnce.Keys != arrivals(cfg) || r.AtMostOnce.Audited != c.audit || r.Gateway.Resends != r.AtMostOnce.Keys {
+				t.Fatalf("%+v, %+v", r.AtMostOnce, r.Gateway)
 			}
-			if (r.Once.Doubled > 0) != c.doubled || (r.Once.Lied > 0) != c.lied || (r.Faults() > 0) != (c.doubled || c.lied) {
-				t.Fatalf("%+v, notes %q", r.Once, r.Notes)
+			if (r.AtMostOnce.DuplicateRuns > 0) != c.doubled || (r.AtMostOnce.WrongVerdicts > 0) != c.lied || (r.Faults() > 0) != (c.doubled || c.lied) {
+				t.Fatalf("%+v, notes %q", r.AtMostOnce, r.Notes)
 			}
 		})
 	}
@@ -324,8 +324,8 @@
 			cfg.Audit = []string{listen(t, plain)}
 			r := mustRun(t, cfg)
 			n := arrivals(cfg)
-			if r.Through.Broken+r.Through.Refused != n || r.Through.Resends != n || r.Once.Answered != n || r.Faults() != 0 {
-				t.Fatalf("%+v, %+v, notes %q", r.Through, r.Once, r.Notes)
+			if r.Gateway.Broken+r.Gateway.Refused != n || r.Gateway.Resends != n || r.AtMostOnce.Answered != n || r.Faults() != 0 {
+				t.Fatalf("%+v, %+v, notes %q", r.Gateway, r.AtMostOnce, r.Notes)
 			}
 		})
 	}
--- a/operate/load/outcome.go
+++ b/operate/load/outcome.go
@@ -45,7 +45,7 @@
 // outcome is the end of one sending.
 type outcome struct {
 	kind Kind
-	side Side
+	side Dest
 	// resend marks sendings after a key's first.
 	resend bool
 	// began is when the sending began.
--- a/operate/load/plain.go
+++ b/operate/load/plain.go
@@ -103,7 +103,7 @@
 
 // plain sends once.
 func (s *sender) plain(ctx context.Context, x sending) *outcome {
-	o := &outcome{side: Through, resend: x.resend}
+	o := &outcome{side: ToGateway, resend: x.resend}
 	body, path := s.plainBody(x.Request), s.plainPath(x.Request)
 	open := func(address string) (*http.Request, error) {
 		url := "http://" + address + "/services/" + s.cfg.Plain + path
--- a/operate/load/plan.go
+++ b/operate/load/plan.go
@@ -8,14 +8,14 @@
 )
 
 // Side is where a request goes.
-type Side uint8
+type Dest uint8
 
 // Sides of a run.
 const (
 	// Through the gateway.
-	Through Side = iota
+	ToGateway Dest = iota
 	// Straight to the engine.
-	Straight
+	ToEngine
 )
 
 // Resend is when a key is sent a second time.
@@ -40,7 +40,7 @@
 	// Number counts arrivals of a side from 0; both sides send the same text
 	// under a number.
 	Number int
-	Side   Side
+	Dest   Dest
 	Caller int
 	Resend Resend
 	// Pick, 0 to 1, chooses among the caller's instances.
@@ -62,8 +62,8 @@
 // NewPlan makes the plan of a checked configuration.
 func NewPlan(c *Config) *Plan {
 	p := &Plan{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, planStream))}
-	for _, side := range []Side{Through, Straight} {
-		p.next[side] = Request{Side: side, Number: -1}
+	for _, side := range []Dest{ToGateway, ToEngine} {
+		p.next[side] = Request{Dest: side, Number: -1}
 		p.advance(side)
 	}
 	return p
@@ -71,12 +71,12 @@
 
 // Next returns the next arrival, or false after the last.
 func (p *Plan) Next() (Request, bool) {
-	side := Through
-	if p.cfg.Baseline != "" && p.next[Straight].At < p.next[Through].At {
-		side = Straight
+	side := ToGateway
+	if p.cfg.Baseline != "" && p.next[ToEngine].At < p.next[ToGateway].At {
+		side = ToEngine
 	}
 	r := p.next[side]
-	if r.At >= p.cfg.For {
+	if r.At >= p.cfg.Duration {
 		return Request{}, false
 	}
 	p.advance(side)
@@ -84,7 +84,7 @@
 }
 
 // advance draws the next arrival of a side.
-func (p *Plan) advance(side Side) {
+func (p *Plan) advance(side Dest) {
 	r := &p.next[side]
 	r.Number++
 	r.At += time.Duration(p.rng.ExpFloat64() / p.cfg.Rate * float64(time.Second))
--- a/operate/load/plan_test.go
+++ b/operate/load/plan_test.go
@@ -50,7 +50,7 @@
 		c.PromptTokens = rapid.IntRange(10, 100).Draw(t, "prompt")
 		c.SharedPrefix = rapid.IntRange(0, c.PromptTokens).Draw(t, "prefix")
 		one, two := NewPlan(&c), NewPlan(&c)
-		numbers := map[Side]int{}
+		numbers := map[Dest]int{}
 		last := time.Duration(0)
 		texts := map[string]bool{}
 		for {
@@ -59,16 +59,16 @@
 			if r != again || !more {
 				break
 			}
-			if r.At < last || r.At >= c.For || r.Number != numbers[r.Side] || r.Caller >= c.Callers {
+			if r.At < last || r.At >= c.Duration || r.Number != numbers[r.Dest] || r.Caller >= c.Callers {
 				t.Fatalf("%+v after %v", r, last)
 			}
 			last = r.At
-			numbers[r.Side]++
+			numbers[r.Dest]++
 			text := promptText(&c, r.Number)
-			if r.Side == Through && texts[text] || len(text) < c.PromptTokens*bytesPerToken {
+			if r.Dest == ToGateway && texts[text] || len(text) < c.PromptTokens*bytesPerToken {
 				t.Fatalf("prompt %q", text)
 			}
-			texts[text] = texts[text] || r.Side == Through
+			texts[text] = texts[text] || r.Dest == ToGateway
 		}
 		if _, more := one.Next(); more {
 			t.Fatal("two plans of one seed differ")
--- a/operate/load/report.go
+++ b/operate/load/report.go
@@ -15,7 +15,7 @@
 // Side's figures, of one side of a run. Counts are of sendings, resends
 // included; times are of answers that were whole, time to first token also of
 // streams that ended with an error event.
-type SideReport struct {
+type DestReport struct {
 	Sent         int64       `json:"sent"`
 	Answered     int64       `json:"answered"`
 	InTime       int64       `json:"in_time"`
@@ -30,16 +30,16 @@
 	BadRefusal   int64       `json:"bad_refusal"`
 	Codes        []CodeCount `json:"codes"`
 	Resends      int64       `json:"resends"`
-	Moved        int64       `json:"moved"`
+	Failovers    int64       `json:"moved"`
 	Redirected   int64       `json:"redirected"`
 
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	TokensPerSecond   float64 `json:"tokens_per_second"`
 
-	Wait    Quantiles `json:"wait"`
-	First   Quantiles `json:"first"`
-	Between Quantiles `json:"between"`
-	Whole   Quantiles `json:"whole"`
+	StartDelay    Quantiles `json:"wait"`
+	FirstToken    Quantiles `json:"first"`
+	BetweenTokens Quantiles `json:"between"`
+	Total         Quantiles `json:"whole"`
 }
 
 // KeysReport counts requests that run at most once, by key over all sendings.
@@ -52,15 +52,15 @@
 	Ran      int64 `json:"ran"`
 	Unknown  int64 `json:"unknown"`
 	// Doubled and Lied must be 0.
-	Doubled int64 `json:"doubled"`
-	Lied    int64 `json:"verdict_wrong"`
+	DuplicateRuns int64 `json:"doubled"`
+	WrongVerdicts int64 `json:"verdict_wrong"`
 	// Audited: the targets were asked after the run.
 	Audited bool `json:"audited"`
 }
 
 // Added is what the gateway adds to the baseline, in milliseconds: differences
 // of quantiles.
-type Added struct {
+type Overhead struct {
 	FirstP50 float64 `json:"first_p50_ms"`
 	FirstP99 float64 `json:"first_p99_ms"`
 	// PerToken is the difference of the mean time between tokens.
@@ -71,44 +71,44 @@
 type Report struct {
 	Seed            uint64      `json:"seed"`
 	Seconds         float64     `json:"seconds"`
-	Through         SideReport  `json:"through"`
-	Baseline        *SideReport `json:"baseline,omitempty"`
-	Added           *Added      `json:"added,omitempty"`
-	Once            *KeysReport `json:"once,omitempty"`
+	Gateway         DestReport  `json:"through"`
+	Baseline        *DestReport `json:"baseline,omitempty"`
+	Overhead        *Overhead   `json:"added,omitempty"`
+	AtMostOnce      *KeysReport `json:"once,omitempty"`
 	DirectoryFaults int64       `json:"directory_faults"`
 	Notes           []string    `json:"notes"`
 }
 
 // Faults counts what must never happen.
 func (r *Report) Faults() int64 {
-	n := r.Through.faults()
+	n := r.Gateway.faults()
 	if r.Baseline != nil {
 		n += r.Baseline.faults()
 	}
-	if r.Once != nil {
-		n += r.Once.Doubled + r.Once.Lied
+	if r.AtMostOnce != nil {
+		n += r.AtMostOnce.DuplicateRuns + r.AtMostOnce.WrongVerdicts
 	}
 	return n
 }
 
-func (s *SideReport) faults() int64 { return s.Unmarked + s.Wrong + s.BadRefusal }
+func (s *DestReport) faults() int64 { return s.Unmarked + s.Wrong + s.BadRefusal }
 
 // report makes the figures of a side over the time that the run took.
-func (s *sideTally) report(took time.Duration) SideReport {
+func (s *sideTally) report(took time.Duration) DestReport {
 	sent := int64(0)
 	for _, n := range s.kinds {
 		sent += n
 	}
-	return SideReport{
+	return DestReport{
 		Sent: sent - s.kinds[Unsent], Answered: s.kinds[Answered], InTime: s.kinds[Answered] - s.late,
 		Refused: s.kinds[Refused], CutWithEvent: s.kinds[CutWithEvent], Broken: s.kinds[Broken],
 		Unreached: s.kinds[Unreached], Unsent: s.kinds[Unsent], Unfinished: s.kinds[Unfinished],
 		Unmarked: s.kinds[Unmarked], Wrong: s.kinds[Wrong], BadRefusal: s.kinds[BadRefusal],
-		Codes: s.sortedCodes(), Resends: s.resends, Moved: s.moved, Redirected: s.redirects,
+		Codes: s.sortedCodes(), Resends: s.resends, Failovers: s.moved, Redirected: s.redirects,
 		RequestsPerSecond: float64(s.kinds[Answered]) / took.Seconds(),
 		TokensPerSecond:   float64(s.tokens) / took.Seconds(),
-		Wait:              s.wait.quantiles(), First: s.first.quantiles(),
-		Between: s.between.quantiles(), Whole: s.whole.quantiles(),
+		StartDelay:        s.wait.quantiles(), FirstToken: s.first.quantiles(),
+		BetweenTokens: s.between.quantiles(), Total: s.whole.quantiles(),
 	}
 }
 
@@ -127,11 +127,11 @@
 			k.Unknown++
 		}
 		if h.doubled != "" {
-			k.Doubled++
+			k.DuplicateRuns++
 			t.note("doubled: " + h.doubled)
 		}
 		if h.lied != "" {
-			k.Lied++
+			k.WrongVerdicts++
 			t.note("wrong verdict: " + h.lied)
 		}
 	}
@@ -140,18 +140,18 @@
 
 // report makes the whole report.
 func (t *tally) report(c *Config, took time.Duration, audited bool) *Report {
-	r := &Report{Seed: c.Seed, Seconds: took.Seconds(), Through: t.sides[Through].report(took)}
+	r := &Report{Seed: c.Seed, Seconds: took.Seconds(), Gateway: t.sides[ToGateway].report(took)}
 	if c.Baseline != "" {
-		b := t.sides[Straight].report(took)
+		b := t.sides[ToEngine].report(took)
 		r.Baseline = &b
-		r.Added = &Added{
-			FirstP50: r.Through.First.P50 - b.First.P50,
-			FirstP99: r.Through.First.P99 - b.First.P99,
-			PerToken: r.Through.Between.Mean - b.Between.Mean,
+		r.Overhead = &Overhead{
+			FirstP50: r.Gateway.FirstToken.P50 - b.FirstToken.P50,
+			FirstP99: r.Gateway.FirstToken.P99 - b.FirstToken.P99,
+			PerToken: r.Gateway.BetweenTokens.Mean - b.BetweenTokens.Mean,
 		}
 	}
 	if c.Plain != "" {
-		r.Once = t.keysReport(audited)
+		r.AtMostOnce = t.keysReport(audited)
 	}
 	r.Notes = append([]string{}, t.notes...)
 	return r
@@ -161,15 +161,15 @@
 func (r *Report) Write(out io.Writer) {
 	p := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
 	p("seed %d, %.1f s", r.Seed, r.Seconds)
-	r.Through.write(p, "through the gateway")
+	r.Gateway.write(p, "through the gateway")
 	if r.Baseline != nil {
 		r.Baseline.write(p, "straight to the engine")
 		p("added by the gateway: first token p50 %.3f ms, p99 %.3f ms; between tokens %.4f ms on average",
-			r.Added.FirstP50, r.Added.FirstP99, r.Added.PerToken)
+			r.Overhead.FirstP50, r.Overhead.FirstP99, r.Overhead.PerToken)
 	}
-	if k := r.Once; k != nil {
+	if k := r.AtMostOnce; k != nil {
 		p("keys: %d; answered %d, told that they ran %d, not run %d, unknown %d; doubled %d, wrong verdicts %d; targets asked: %t",
-			k.Keys, k.Answered, k.Ran, k.NotRun, k.Unknown, k.Doubled, k.Lied, k.Audited)
+			k.Keys, k.Answered, k.Ran, k.NotRun, k.Unknown, k.DuplicateRuns, k.WrongVerdicts, k.Audited)
 	}
 	if r.DirectoryFaults > 0 {
 		p("directory: %d readings failed", r.DirectoryFaults)
@@ -179,7 +179,7 @@
 	}
 }
 
-func (s *SideReport) write(p func(string, ...any), name string) {
+func (s *DestReport) write(p func(string, ...any), name string) {
 	p("%s: %d sendings, %d of them resends, %d arrivals unsent", name, s.Sent, s.Resends, s.Unsent)
 	p("  answered %d (in time %d), refused %d, cut with an error event %d, broken %d, unreached %d, unfinished %d",
 		s.Answered, s.InTime, s.Refused, s.CutWithEvent, s.Broken, s.Unreached, s.Unfinished)
@@ -187,13 +187,13 @@
 	for _, c := range s.Codes {
 		p("  %d x %s", c.Count, c.Name)
 	}
-	p("  moved on from an instance %d times, sent to another region by a refusal %d times", s.Moved, s.Redirected)
+	p("  moved on from an instance %d times, sent to another region by a refusal %d times", s.Failovers, s.Redirected)
 	p("  %.1f requests/s, %.1f tokens/s", s.RequestsPerSecond, s.TokensPerSecond)
 	p("  ms             p50       p95       p99     p99.9       max")
 	for _, row := range []struct {
 		name string
 		q    Quantiles
-	}{{"start delay", s.Wait}, {"first token", s.First}, {"between", s.Between}, {"whole", s.Whole}} {
+	}{{"start delay", s.StartDelay}, {"first token", s.FirstToken}, {"between", s.BetweenTokens}, {"whole", s.Total}} {
 		p("  %-11s %9.3f %9.3f %9.3f %9.3f %9.3f", row.name, row.q.P50, row.q.P95, row.q.P99, row.q.P999, row.q.Max)
 	}
 }
--- a/operate/load/run.go
+++ b/operate/load/run.go
@@ -23,7 +23,7 @@
 )
 
 // Host is what a run uses of the world.
-type Host struct {
+type Env struct {
 	Now func() time.Time
 	// Sleep waits, or ends early with the context's error.
 	Sleep func(context.Context, time.Duration) error
@@ -40,7 +40,7 @@
 // runner is one run.
 type runner struct {
 	cfg      *Config
-	host     Host
+	host     Env
 	sender   *sender
 	tally    *tally
 	start    time.Time
@@ -51,7 +51,7 @@
 
 // Run sends the load, waits for its ends, and reports. A fault of the gateway
 // is in the report and not an error.
-func Run(ctx context.Context, c Config, host Host) (*Report, error) {
+func Run(ctx context.Context, c Config, host Env) (*Report, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 	return report, nil
 }
 
-func newRunner(c *Config, host Host) *runner {
+func newRunner(c *Config, host Env) *runner {
 	s := &sender{cfg: c, client: newClient(c), now: host.Now, sleep: host.Sleep}
 	s.run = strconv.FormatInt(host.Now().UnixNano(), runNameBase)
 	for i := range c.Callers {
@@ -136,7 +136,7 @@
 		r.open.Add(1)
 		if !r.arrivals.TryPush(next) {
 			r.open.Done()
-			r.take(&outcome{kind: Unsent, side: next.Side})
+			r.take(&outcome{kind: Unsent, side: next.Dest})
 		}
 	}
 }
--- a/operate/load/send.go
+++ b/operate/load/send.go
@@ -112,7 +112,7 @@
 		Model: s.cfg.Model, Stream: true, MaxTokens: s.cfg.Tokens,
 		Messages: []chatMessage{{Role: "user", Content: text}},
 	})
-	if err != nil || s.cfg.UncheckedText {
+	if err != nil || s.cfg.SkipTextCheck {
 		return string(data), "", err
 	}
 	parsed, err := openai.Parse(openai.Chat, data)
@@ -124,7 +124,7 @@
 
 // model sends a completion.
 func (s *sender) model(ctx context.Context, r Request) *outcome {
-	o := &outcome{side: r.Side}
+	o := &outcome{side: r.Dest}
 	body, want, err := s.completion(r)
 	if err != nil {
 		return o.end(Wrong, err.Error())
@@ -147,14 +147,14 @@
 // completionRequest addresses a completion to an instance or to the engine.
 func (s *sender) completionRequest(ctx context.Context, r Request, address, body string) (*http.Request, error) {
 	key := s.callers[r.Caller].key
-	if r.Side == Straight {
+	if r.Dest == ToEngine {
 		key = ""
 	}
 	req, err := post(ctx, "http://"+address+"/v1/chat/completions", body, key)
 	if err != nil {
 		return nil, err
 	}
-	if r.Side == Straight {
+	if r.Dest == ToEngine {
 		req.Header.Set(ports.HeaderPriority, enginePriority)
 	}
 	if s.cfg.Deadline > 0 {
@@ -193,10 +193,10 @@
 	caller := s.callers[r.Caller]
 	for range maxMoves {
 		address := s.cfg.Baseline
-		if r.Side == Through {
+		if r.Dest == ToGateway {
 			address = s.instance(ctx, caller, r.Pick, not...)
 		}
-		if address == "" && r.Side == Through {
+		if address == "" && r.Dest == ToGateway {
 			// There is no other instance than the one before.
 			address = s.instance(ctx, caller, r.Pick)
 		}
--- a/operate/load/tally.go
+++ b/operate/load/tally.go
@@ -144,7 +144,7 @@
 func (t *tally) line(at time.Duration) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.sides[Through]
+	s := t.sides[ToGateway]
 	wrong := int64(0)
 	for _, n := range s.kinds[Unmarked:] {
 		wrong += n
--- a/operate/status.go
+++ b/operate/status.go
@@ -79,7 +79,7 @@
 	Term uint64 `json:"term"`
 	// LeftMillis is what is left of the lease, on the clock of the instance
 	// that answers.
-	LeftMillis int64 `json:"left_ms"`
+	RemainingMillis int64 `json:"left_ms"`
 }
 
 // VoterStatus is a voter of the global group.
@@ -127,7 +127,7 @@
 	Refused uint64 `json:"refused"`
 	Failed  uint64 `json:"failed"`
 	// SentAway is the share of requests served outside of the home region, 0 to 1.
-	SentAway float64 `json:"sent_away"`
+	SpillShare float64 `json:"sent_away"`
 	// TargetSeconds is the time that requests held slots, by the slots of their
 	// targets.
 	TargetSeconds float64 `json:"target_seconds"`
@@ -147,7 +147,7 @@
 
 // Lacking lists the regions in which a version is not in force yet. A region
 // that is cut off counts: nobody knows what it runs.
-func (s *Status) Lacking(version uint64) []string {
+func (s *Status) RegionsWithout(version uint64) []string {
 	var lacking []string
 	for _, region := range s.Regions {
 		behind := func(i LaggingInstance) bool { return i.Version < version }
@@ -160,7 +160,7 @@
 
 // Trouble lists in a line each what an operator should look at first; empty if
 // nothing is known to be wrong.
-func (s *Status) Trouble() []string {
+func (s *Status) Problems() []string {
 	var list []string
 	add := func(format string, args ...any) { list = append(list, fmt.Sprintf(format, args...)) }
 	if s.Leader == "" && s.Lease == nil && slices.Contains(s.Roles, "voter") {
--- a/operate/status_test.go
+++ b/operate/status_test.go
@@ -18,7 +18,7 @@
 		{Region: "one-lags", Version: 7, Reachable: true, Lagging: []operate.LaggingInstance{{Instance: "b", Version: 6}}},
 	}}
 	want := []string{"old", "cut-off", "one-lags"}
-	if got := status.Lacking(7); !slices.Equal(got, want) {
+	if got := status.RegionsWithout(7); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
@@ -33,7 +33,7 @@
 		Instances: []operate.InstanceStatus{{ID: "a", State: "alive"}, {ID: "b", State: "leaving"}},
 		Targets:   []operate.TargetStatus{{ID: "r1", State: "warm"}, {ID: "r2", State: "loading"}},
 	}
-	if got := healthy.Trouble(); len(got) > 0 {
+	if got := healthy.Problems(); len(got) > 0 {
 		t.Errorf("healthy, but %q", got)
 	}
 	for name, fault := range map[string]func(*operate.Status){
@@ -48,7 +48,7 @@
 	} {
 		s := healthy
 		fault(&s)
-		if got := s.Trouble(); len(got) != 1 {
+		if got := s.Problems(); len(got) != 1 {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
