--- a/operate/burn.go
+++ b/operate/burn.go
@@ -15,11 +15,11 @@
 // BurnPath answers GET with a BurnAnswer.
 const BurnPath = "/operator/v1/burn"
 
-// BurnAnswer is what one instance knows of burn, as api/design describes it.
+// BurnAnswer is the burn that one instance knows, in the form of api/design.
 type BurnAnswer struct {
 	Instance string `json:"instance"`
 	Region   string `json:"region"`
-	// Version of the bundle that the objectives are of.
+	// Version of the bundle that the objectives come from.
 	Version uint64 `json:"version"`
 	// AtMillis is the clock of the instance, in Unix milliseconds.
 	AtMillis int64           `json:"at_ms"`
@@ -28,30 +28,30 @@
 	History []byte `json:"history"`
 }
 
-// BurnObjective is the objective of one service in that answer.
+// BurnObjective is the objective of one service in a BurnAnswer.
 type BurnObjective struct {
 	Service          string  `json:"service"`
 	Objective        float64 `json:"objective"`
 	FirstTokenMillis float64 `json:"first_token_ms"`
 }
 
-// Silent is an address that gave no answer, and why.
+// Unreachable is an address without a readable answer, and the reason.
 type Unreachable struct {
 	Address string `json:"address"`
 	Error   string `json:"error"`
 }
 
-// BurnReport is the burn as all instances that answered have seen it.
+// BurnReport is the burn over all instances that answered.
 type BurnReport struct {
 	burn.Report
-	// Version of the bundle that the objectives are of: the newest that was told.
+	// Version of the bundle that the objectives come from: the newest reported.
 	Version uint64 `json:"version"`
-	// Silent instances are missing, with what only they have seen.
+	// Unreachable instances: requests that only they have seen are missing.
 	Unreachable []Unreachable `json:"silent,omitempty"`
 }
 
-// Burn asks all addresses at once and joins their histories. The error wraps
-// ErrUnreachable if none answers.
+// Burn asks all addresses concurrently and merges their histories. The error
+// wraps ErrUnreachable if none answers.
 func (c *Client) Burn(ctx context.Context) (*BurnReport, error) {
 	answers := make([]BurnAnswer, len(c.Addresses))
 	failures := make([]error, len(c.Addresses))
@@ -60,11 +60,11 @@
 		wg.Go(func() { failures[i] = c.call(ctx, http.MethodGet, address, BurnPath, nil, &answers[i]) })
 	}
 	wg.Wait()
-	return joinBurn(c.Addresses, answers, failures)
+	return mergeBurn(c.Addresses, answers, failures)
 }
 
-// joinBurn makes the report of those that answered with a readable history.
-func joinBurn(addresses []string, answers []BurnAnswer, failures []error) (*BurnReport, error) {
+// mergeBurn makes the report from the answers with a readable history.
+func mergeBurn(addresses []string, answers []BurnAnswer, failures []error) (*BurnReport, error) {
 	report := &BurnReport{}
 	var joined burn.Snapshot
 	var objectives []burn.Objective
@@ -92,7 +92,7 @@
 	return report, nil
 }
 
-// objectives are never nil.
+// objectives never returns nil.
 func (a *BurnAnswer) objectives() []burn.Objective {
 	list := []burn.Objective{}
 	for _, s := range a.Services {
@@ -101,8 +101,8 @@
 	return list
 }
 
-// Worst is the gravest verdict of a service, in a region or in all. Workspaces
-// don't count: a few misses of a quiet one are no alarm.
+// Worst returns the worst verdict of a service, in a region or in all. Workspaces
+// don't count: a few misses of a workspace with little traffic are no alarm.
 func (r *BurnReport) Worst() burn.Verdict {
 	order := []burn.Verdict{burn.Idle, burn.Fine, burn.Slow, burn.Fast}
 	worst := 0
--- a/operate/client.go
+++ b/operate/client.go
@@ -16,30 +16,30 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// ErrUnreachable marks that no address gave an answer. Whether a bundle was
-// accepted is unknown then; sending the same bytes again is safe.
+// ErrUnreachable means that no address answered. Whether a bundle was accepted
+// is unknown then; sending the same bytes again is safe.
 const ErrUnreachable = errors.ConstError("no instance answered")
 
-// maxAnswer bounds an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxAnswerBytes bounds the body of an answer.
+const maxAnswerBytes = 64 << 20
 
-// Client talks to the operators' interface of any of several instances.
+// Client calls the operators' interface of any of several instances.
 type Client struct {
-	// Addresses are IP:port, tried in turn.
+	// Addresses are IP:port, tried in order.
 	Addresses []string
 	// HTTP sends the requests; its timeout bounds each attempt.
 	HTTP *http.Client
-	// Rounds over all addresses before giving up; at least 1.
+	// Rounds is how often all addresses are tried; below 1 counts as 1.
 	Rounds int
 	// Pause is the time between rounds.
 	Pause time.Duration
-	// Sleep waits, or ends early with the context's error.
+	// Sleep waits, or returns early with the context's error.
 	Sleep func(context.Context, time.Duration) error
-	// Report learns of each failed attempt; nil reports nothing.
+	// Report, if not nil, is called after each failed attempt.
 	Report func(address string, err error)
 }
 
-// Sleep is the wall clock's Client.Sleep.
+// Sleep implements Client.Sleep on the wall clock.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -51,30 +51,30 @@
 	}
 }
 
-// RollAnswer is the answer to a bundle that was accepted, now or before.
+// RollAnswer is the answer to a bundle that was accepted, now or earlier.
 type RollAnswer struct {
 	Version  uint64        `json:"version"`
 	Digest   bundle.Digest `json:"digest"`
 	Accepted bool          `json:"accepted"`
 }
 
-// Refusal is an answer that any other instance would give as well.
+// Refusal is an error that any other instance would return as well.
 type Refusal struct {
-	// Status is that of HTTP.
+	// Status is the HTTP status.
 	Status int
 	// Code is stable across releases; Message is for people.
 	Code    string
 	Message string
 }
 
-// Error is the message with its code.
+// Error returns code, status and message.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("refused (%s, status %d): %s", r.Code, r.Status, r.Message)
 }
 
-// Roll sends a signed bundle. After a lost answer it sends the same bytes to
-// the next address; acceptance gives them the same answer as the first time.
-// The error is a *Refusal or wraps ErrUnreachable.
+// Roll sends a signed bundle. After a failure it sends the same bytes to the next
+// address; an instance answers a repeated bundle as it did the first time, so a
+// lost answer does no harm. The error is a *Refusal or wraps ErrUnreachable.
 func (c *Client) Roll(ctx context.Context, signed []byte) (RollAnswer, error) {
 	var result RollAnswer
 	err := c.try(ctx, func(address string) error {
@@ -88,7 +88,8 @@
 	return result, err
 }
 
-// Status reads what one instance knows.
+// Status returns the status of the first instance that answers. The error is a
+// *Refusal or wraps ErrUnreachable.
 func (c *Client) Status(ctx context.Context) (*Status, error) {
 	status := new(Status)
 	err := c.try(ctx, func(address string) error {
@@ -98,7 +99,7 @@
 	return status, err
 }
 
-// try runs one call at each address in turn until one answers.
+// try calls each address in order until one answers or refuses.
 func (c *Client) try(ctx context.Context, call func(address string) error) error {
 	var failures []error
 	for round := range max(c.Rounds, 1) {
@@ -123,7 +124,7 @@
 	return stderrors.Join(append([]error{ErrUnreachable}, failures...)...)
 }
 
-// call sends one request and decodes its answer.
+// call sends one request and decodes its answer into the given value.
 func (c *Client) call(ctx context.Context, method, address, path string, body []byte, into any) error {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -137,15 +138,16 @@
 		return err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return errors.Annotate(err, address)
 	}
-	return answer(address, response.StatusCode, data, into)
+	return decodeAnswer(address, response.StatusCode, data, into)
 }
 
-// answer tells a refusal from a failure that another instance may not have.
-func answer(address string, status int, data []byte, into any) error {
+// decodeAnswer decodes an answer with status 200 into the given value. Other
+// answers are errors: a *Refusal, or a failure that another instance may not have.
+func decodeAnswer(address string, status int, data []byte, into any) error {
 	switch {
 	case status == http.StatusOK:
 		if err := json.Unmarshal(data, into); err != nil {
@@ -153,14 +155,15 @@
 		}
 		return nil
 	case status >= http.StatusInternalServerError || status == http.StatusTooManyRequests:
-		return errors.Errorf("%s: status %d: %s", address, status, short(data))
+		return errors.Errorf("%s: status %d: %s", address, status, excerpt(data))
 	default:
-		return refusal(status, data)
+		return parseRefusal(status, data)
 	}
 }
 
-// refusal reads the error form of api/design, or takes the body as it is.
-func refusal(status int, data []byte) *Refusal {
+// parseRefusal reads the error form of api/design; of another body it takes the
+// start as the message.
+func parseRefusal(status int, data []byte) *Refusal {
 	var form struct {
 		Error struct {
 			Code    string `json:"code"`
@@ -168,16 +171,16 @@
 		} `json:"error"`
 	}
 	if err := json.Unmarshal(data, &form); err != nil || form.Error.Code == "" {
-		return &Refusal{Status: status, Code: "unknown", Message: short(data)}
+		return &Refusal{Status: status, Code: "unknown", Message: excerpt(data)}
 	}
 	return &Refusal{Status: status, Code: form.Error.Code, Message: form.Error.Message}
 }
 
-// short is the start of an answer, on one line.
-func short(data []byte) string {
-	const most = 300
-	if len(data) > most {
-		data = data[:most]
+// excerpt returns the start of an answer, on one line.
+func excerpt(data []byte) string {
+	const maxBytes = 300
+	if len(data) > maxBytes {
+		data = data[:maxBytes]
 	}
 	return strings.Join(strings.Fields(string(data)), " ")
 }
--- a/operate/explain/explain.go
+++ b/operate/explain/explain.go
@@ -1,9 +1,9 @@
-// Package explain tells the story of one request from the log lines of the instances of
-// a site.
+// Package explain shows the timeline of one request from the log lines of the
+// instances of a site.
 //
-// It takes the lines that name the request, those that tell what the instances that
-// touched it believed at the time, and says what was not logged. Lines that are no log
-// lines, torn ones for example, are told and left out.
+// A timeline has the lines that name the request, the earlier lines on the state
+// of its instances, and sentences on what was not logged. Lines that can't be
+// parsed, for example truncated ones, are listed and skipped.
 package explain
 
 import (
@@ -17,22 +17,21 @@
 	"time"
 )
 
-// maxLine bounds one line of a log in bytes.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Line is one log line.
 type Line struct {
 	At       time.Time
 	Instance string
 	Message  string
-	// Fields are all others, as they were written.
+	// Fields are all other fields of the line, as written.
 	Fields map[string]any
-	// File and Number say where it stands.
+	// File and Number (from 1) locate the line.
 	File   string
 	Number int
 }
 
-// Skipped is a line that was left out.
+// Skipped is a line that could not be parsed.
 type Skipped struct {
 	File   string
 	Number int
@@ -45,13 +44,14 @@
 	Skipped []Skipped
 }
 
-// common are the fields that Line names itself.
-var common = []string{"ts", "instance", "msg", "level"}
+// lineFields are the log fields that are not kept in Line.Fields.
+var lineFields = []string{"ts", "instance", "msg", "level"}
 
-// Read adds the lines of one file. The error is of the reading, not of a line.
+// Read adds the lines of one file. A line that can't be parsed goes to Skipped;
+// the error is that of the reader or bufio.ErrTooLong for a line beyond 1 MiB.
 func (l *Logs) Read(file string, r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 64<<10), maxLine)
+	s.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for n := 1; s.Scan(); n++ {
 		text := bytes.TrimSpace(s.Bytes())
 		if len(text) == 0 {
@@ -68,7 +68,8 @@
 	return s.Err()
 }
 
-// parse reads one line. What a collector wrote before the object is passed over.
+// parse reads one line. Text before the JSON object, as log collectors write it,
+// is ignored.
 func parse(text []byte) (Line, error) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
@@ -86,28 +87,28 @@
 	line := Line{At: at, Fields: fields}
 	line.Instance, _ = fields["instance"].(string)
 	line.Message, _ = fields["msg"].(string)
-	for _, name := range common {
+	for _, name := range lineFields {
 		delete(fields, name)
 	}
 	return line, nil
 }
 
-// ends are the messages that end a request at an instance.
-var ends = []string{"served", "refused", "broke off", "caller left"}
+// endMessages are logged when a request ends at an instance.
+var endMessages = []string{"served", "refused", "broke off", "caller left"}
 
-// beliefs are the messages that tell what an instance believes from then on.
-var beliefs = []string{"in force", "leader", "list of targets changed", "started", "leaving"}
+// stateMessages are logged when what an instance knows changes.
+var stateMessages = []string{"in force", "leader", "list of targets changed", "started", "leaving"}
 
-// Story is what the logs tell of one request.
+// Timeline holds the log lines about one request.
 type Timeline struct {
-	// Lines in the order of their times: those of the request, and before them the last
-	// ones that tell what its instances believed.
+	// Lines in the order of time: those of the request, and the last state messages
+	// that its instances logged before it.
 	Lines []Line
-	// Gaps says in sentences what was not logged.
+	// Gaps says in a sentence each what was not logged.
 	Gaps []string
 }
 
-// Tell finds the story of a request; false if no line names it.
+// Timeline returns the timeline of a request, or false if no line names it.
 func (l *Logs) Timeline(id string) (Timeline, bool) {
 	var own []Line
 	instances := map[string]bool{}
@@ -121,17 +122,18 @@
 		return Timeline{}, false
 	}
 	slices.SortStableFunc(own, func(a, b Line) int { return a.At.Compare(b.At) })
-	s := Timeline{Lines: append(l.beliefs(own[0].At, instances), own...)}
+	s := Timeline{Lines: append(l.stateBefore(own[0].At, instances), own...)}
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	s.Gaps = l.gaps(own, instances)
 	return s, true
 }
 
-// beliefs are the last lines of each kind before a time.
-func (l *Logs) beliefs(before time.Time, instances map[string]bool) []Line {
+// stateBefore returns the last line of each state message that each of the
+// instances logged up to a time.
+func (l *Logs) stateBefore(before time.Time, instances map[string]bool) []Line {
 	last := map[string]Line{}
 	for _, line := range l.Lines {
-		if !instances[line.Instance] || line.At.After(before) || !slices.Contains(beliefs, line.Message) {
+		if !instances[line.Instance] || line.At.After(before) || !slices.Contains(stateMessages, line.Message) {
 			continue
 		}
 		key := line.Instance + " " + line.Message
@@ -146,12 +148,14 @@
 	return out
 }
 
-// gaps says what is missing: ends, other regions, lines that were dropped.
+// gaps returns a sentence for each instance without an end of the request, for a
+// request that was forwarded to an instance without lines, and for lines that the
+// logger left out or dropped during the request or up to a second after it.
 func (l *Logs) gaps(own []Line, instances map[string]bool) []string {
 	var out []string
-	for _, instance := range sorted(instances) {
+	for _, instance := range sortedNames(instances) {
 		ended := slices.ContainsFunc(own, func(line Line) bool {
-			return line.Instance == instance && slices.Contains(ends, line.Message)
+			return line.Instance == instance && slices.Contains(endMessages, line.Message)
 		})
 		if !ended {
 			out = append(out, fmt.Sprintf("its end at %s is not logged: answered requests have a budget of lines, and callers that leave are logged at the level debug", instance))
@@ -173,7 +177,7 @@
 	return out
 }
 
-func sorted(set map[string]bool) []string {
+func sortedNames(set map[string]bool) []string {
 	out := make([]string, 0, len(set))
 	for name := range set {
 		out = append(out, name)
@@ -182,7 +186,8 @@
 	return out
 }
 
-// Write prints a story: a line for each line, times from the first one of the request.
+// Write prints one line for each log line, with the time in seconds since the first
+// line that names the request, and one for each gap.
 func (s Timeline) Write(w io.Writer, id string) error {
 	var zero time.Time
 	for _, line := range s.Lines {
@@ -192,7 +197,7 @@
 		}
 	}
 	for _, line := range s.Lines {
-		if _, err := fmt.Fprintf(w, "%+9.3f s  %s  %s  %s\n", line.At.Sub(zero).Seconds(), line.Instance, line.Message, fieldsOf(line)); err != nil {
+		if _, err := fmt.Fprintf(w, "%+9.3f s  %s  %s  %s\n", line.At.Sub(zero).Seconds(), line.Instance, line.Message, formatFields(line)); err != nil {
 			return err
 		}
 	}
@@ -204,8 +209,8 @@
 	return nil
 }
 
-// fieldsOf writes the fields in the order of their names.
-func fieldsOf(line Line) string {
+// formatFields formats the fields except id, in the order of their names.
+func formatFields(line Line) string {
 	names := make([]string, 0, len(line.Fields))
 	for name := range line.Fields {
 		if name != "id" {
--- a/operate/explain/explain_test.go
+++ b/operate/explain/explain_test.go
@@ -9,7 +9,7 @@
 	"github.com/gullhaven/gullhaven/operate/explain"
 )
 
-const one = `{"level":"info","ts":"2026-03-01T10:00:00.1Z","msg":"in force","instance":"e1","version":3}
+const sampleLog = `{"level":"info","ts":"2026-03-01T10:00:00.1Z","msg":"in force","instance":"e1","version":3}
 {"level":"info","ts":"2026-03-01T10:00:01.1Z","msg":"in force","instance":"e1","version":4}
 {"level":"info","ts":"2026-03-01T10:00:02.5Z","msg":"attempt lost","instance":"e1","id":"abc","target":"i-1","error":"EOF"}
   2.6 e1 {"level":"info","ts":"2026-03-01T10:00:02.6Z","msg":"refused","instance":"e1","id":"abc","status":502}
@@ -19,10 +19,10 @@
 panic: something else
 `
 
-func TestStoryIsToldInOrder(t *testing.T) {
-	Convey("the lines of one request with what its instance believed", t, func() {
+func TestTimelineIsInOrder(t *testing.T) {
+	Convey("the lines of one request with the state of its instance", t, func() {
 		var l explain.Logs
-		So(l.Read("one", strings.NewReader(one)), ShouldBeNil)
+		So(l.Read("one", strings.NewReader(sampleLog)), ShouldBeNil)
 		So(len(l.Skipped), ShouldEqual, 2)
 		So(l.Skipped[0].Number, ShouldEqual, 7)
 		So(l.Skipped[1].Number, ShouldEqual, 8)
@@ -35,16 +35,16 @@
    +0.100 s  e1  refused  status=502
 `)
 	})
-	Convey("an id that is nowhere", t, func() {
+	Convey("an id that no line names", t, func() {
 		var l explain.Logs
-		So(l.Read("one", strings.NewReader(one)), ShouldBeNil)
+		So(l.Read("one", strings.NewReader(sampleLog)), ShouldBeNil)
 		_, ok := l.Timeline("nowhere")
 		So(ok, ShouldBeFalse)
 	})
 }
 
-func TestWhatIsNotLoggedIsSaid(t *testing.T) {
-	Convey("no end, lines left out, and another region", t, func() {
+func TestGapsAreReported(t *testing.T) {
+	Convey("no end, lines left out, and another region without lines", t, func() {
 		var l explain.Logs
 		So(l.Read("two", strings.NewReader(`{"ts":"2026-03-01T10:00:02Z","msg":"attempt lost","instance":"e1","id":"abc","place":"10.0.0.1:7660"}
 {"ts":"2026-03-01T10:00:02.5Z","msg":"log lines missing","instance":"e1","left_out":7,"dropped":0}
--- a/operate/status.go
+++ b/operate/status.go
@@ -1,5 +1,5 @@
-// Package operate is the operators' side of an instance's interface: the form
-// of the status and a client that rolls bundles and reads it.
+// Package operate has the client of the operators' interface and the forms of its
+// answers. The client rolls bundles and reads status and burn.
 package operate
 
 import (
@@ -11,16 +11,16 @@
 
 // Paths of the operators' interface.
 const (
-	// BundlesPath takes a signed bundle by POST and answers with RollAnswer.
+	// BundlesPath answers POST of a signed bundle with RollAnswer.
 	BundlesPath = "/operator/v1/bundles"
 	// StatusPath answers GET with Status.
 	StatusPath = "/operator/v1/status"
 )
 
-// Status is what one instance knows about the whole system, as api/design
-// describes it. Parts that an instance doesn't report are absent.
+// Status is what one instance knows about the whole system, in the form of
+// api/design. Parts that an instance doesn't report are absent.
 type Status struct {
-	// Instance, Region and Zone that answer, and the roles of that instance.
+	// Instance, Region, Zone and Roles of the instance that answers.
 	Instance string   `json:"instance"`
 	Region   string   `json:"region"`
 	Zone     string   `json:"zone"`
@@ -28,43 +28,43 @@
 	// Version and Digest are in force at the instance that answers.
 	Version uint64        `json:"version"`
 	Digest  bundle.Digest `json:"digest"`
-	// Leader of the log, as far as is known; empty if not.
+	// Leader of the global log; empty if unknown.
 	Leader string `json:"leader"`
-	// InFlight counts requests under way at the instance that answers.
+	// InFlight counts requests in flight at the instance that answers.
 	InFlight int64 `json:"in_flight"`
-	// UptimeMillis is the time since its start.
+	// UptimeMillis is the time since that instance started.
 	UptimeMillis int64 `json:"uptime_ms"`
-	// Regions of the bundle, with what is in force in each.
+	// Regions of the bundle, with the version in force in each.
 	Regions   []RegionStatus   `json:"regions"`
 	Targets   []TargetStatus   `json:"targets"`
 	Instances []InstanceStatus `json:"instances"`
-	// Lease of the leader of the log.
+	// Lease of the leader of the global log.
 	Lease    *LeaseStatus    `json:"lease,omitempty"`
 	Voters   []VoterStatus   `json:"voters,omitempty"`
 	Services []ServiceStatus `json:"services,omitempty"`
 }
 
-// RegionStatus is what is in force in a region.
+// RegionStatus is the bundle in force in a region.
 type RegionStatus struct {
 	Region string `json:"region"`
-	// Version that all its reachable instances have at least.
+	// Version that all reachable instances of the region have at least.
 	Version uint64        `json:"version"`
 	Digest  bundle.Digest `json:"digest"`
-	// Reachable is false while the region is cut off from the one that answers;
-	// Version is then the last that was heard.
+	// Reachable is false while the region is cut off from the instance that answers;
+	// Version is then the last one reported.
 	Reachable bool `json:"reachable"`
-	// Behind is true where the region lacks the accepted version, or where
-	// nobody knows.
+	// Behind is true if the region lacks the accepted version, or if that is
+	// unknown.
 	Behind bool `json:"behind"`
-	// AgeMillis is the age of what is told of the region.
+	// AgeMillis is the age of this information.
 	AgeMillis int64 `json:"age_ms"`
-	// Lagging lists instances that lack the accepted version.
+	// Lagging lists the instances that lack the accepted version.
 	Lagging []LaggingInstance `json:"lagging,omitempty"`
-	// Lease of the leader that gives the orders to the region's targets.
+	// Lease of the leader that sends orders to the region's targets.
 	Lease *LeaseStatus `json:"lease,omitempty"`
 }
 
-// LaggingInstance lacks the accepted version.
+// LaggingInstance is an instance that lacks the accepted version.
 type LaggingInstance struct {
 	Instance string `json:"instance"`
 	Version  uint64 `json:"version"`
@@ -75,10 +75,9 @@
 // LeaseStatus is a leader with its lease.
 type LeaseStatus struct {
 	Instance string `json:"instance"`
-	// Term of the global leader, or the fencing number of a region's.
+	// Term of the global leader, or the fencing number of a region's leader.
 	Term uint64 `json:"term"`
-	// LeftMillis is what is left of the lease, on the clock of the instance
-	// that answers.
+	// RemainingMillis of the lease, by the clock of the instance that answers.
 	RemainingMillis int64 `json:"left_ms"`
 }
 
@@ -90,11 +89,11 @@
 	State string `json:"state"`
 	// Disk is ok, empty, readmitting, failed or unknown.
 	Disk string `json:"disk"`
-	// Index is the last log index that is known to be on its disk.
+	// Index is the last log index known to be on its disk.
 	Index uint64 `json:"index"`
 }
 
-// InstanceStatus is one instance.
+// InstanceStatus is the membership state of an instance.
 type InstanceStatus struct {
 	ID     string `json:"id"`
 	Region string `json:"region"`
@@ -103,41 +102,41 @@
 	State string `json:"state"`
 }
 
-// TargetStatus is one target.
+// TargetStatus is the state and load of a target.
 type TargetStatus struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	// State is warm, loading, leaving, suspect or down.
 	State string `json:"state"`
-	// Running and Waiting count requests, by the target's last report.
+	// Running and Waiting count requests, by the target's last load report.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	// AgeMillis is the age of that report.
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// ServiceStatus is how one service is served for one home region.
+// ServiceStatus are the figures of a service for a home region.
 type ServiceStatus struct {
 	Service string `json:"service"`
 	Region  string `json:"region"`
-	// WindowSeconds is the time that the figures cover.
+	// WindowSeconds is the period that the figures cover.
 	WindowSeconds float64 `json:"window_s"`
 	Requests      uint64  `json:"requests"`
-	// Refused requests were not run; Failed ones may have run.
+	// Refused requests were not run; Failed requests may have run.
 	Refused uint64 `json:"refused"`
 	Failed  uint64 `json:"failed"`
-	// SentAway is the share of requests served outside of the home region, 0 to 1.
+	// SpillShare of the requests was served outside of the home region, 0 to 1.
 	SpillShare float64 `json:"sent_away"`
-	// TargetSeconds is the time that requests held slots, by the slots of their
-	// targets.
+	// TargetSeconds is the time that requests held slots, divided by the number
+	// of slots of their targets.
 	TargetSeconds float64 `json:"target_seconds"`
 	// Cost of serving, in the unit of the targets' cost_per_second.
 	Cost float64 `json:"cost"`
-	// FirstByte is the time to the first byte of an answer.
+	// FirstByte is the time to the first byte of an answer, in milliseconds.
 	FirstByte Quantiles `json:"first_byte_ms"`
 }
 
-// Quantiles of a time, in milliseconds.
+// Quantiles of a duration, in milliseconds.
 type Quantiles struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -145,8 +144,8 @@
 	P999 float64 `json:"p99_9"`
 }
 
-// Lacking lists the regions in which a version is not in force yet. A region
-// that is cut off counts: nobody knows what it runs.
+// RegionsWithout lists the regions in which a version is not in force everywhere.
+// A region that is cut off is listed: which version it runs is unknown.
 func (s *Status) RegionsWithout(version uint64) []string {
 	var lacking []string
 	for _, region := range s.Regions {
@@ -158,8 +157,7 @@
 	return lacking
 }
 
-// Trouble lists in a line each what an operator should look at first; empty if
-// nothing is known to be wrong.
+// Problems returns one line for each known problem, or none.
 func (s *Status) Problems() []string {
 	var list []string
 	add := func(format string, args ...any) { list = append(list, fmt.Sprintf(format, args...)) }
--- a/operate/status_test.go
+++ b/operate/status_test.go
@@ -7,8 +7,8 @@
 	"github.com/gullhaven/gullhaven/operate"
 )
 
-// Symptom: an operator reads "in force everywhere" while a region runs the old
-// rules. Cause: a region that is cut off, or one lagging instance, passed over.
+// Guards against reporting a version as in force everywhere while a region is cut
+// off or one of its instances lags.
 func TestLacking(t *testing.T) {
 	status := operate.Status{Regions: []operate.RegionStatus{
 		{Region: "current", Version: 7, Reachable: true},
@@ -23,8 +23,7 @@
 	}
 }
 
-// Symptom: a status that looks fine while something is down. Cause: a state that
-// no line is told of.
+// Guards against a bad state that no line of the status reports.
 func TestTrouble(t *testing.T) {
 	healthy := operate.Status{
 		Roles: []string{"entry", "voter"}, Leader: "a",
