--- a/operate/load/config.go
+++ b/operate/load/config.go
@@ -1,14 +1,14 @@
 // Package load sends a bounded, seeded load to instances on loopback and checks
 // every answer.
 //
-// It is an open loop: requests arrive when the plan says, whether or not
-// earlier ones have ended, so that a slow gateway is not spared the requests
-// that its callers would have sent meanwhile. What finds no free sender is
-// counted as unsent and not put off.
+// It is an open loop: requests arrive as planned, whether or not earlier ones have
+// ended, so that a slow gateway still gets the requests that its callers would
+// have sent meanwhile. An arrival that finds no free sender is counted as unsent
+// and not delayed.
 //
-// The duties are joined by bounded rings: one goroutine hands out arrivals,
-// Concurrency of them send, one tallies. Decisions (Plan, directory, stream,
-// history of a key) are plain types without I/O.
+// One goroutine enqueues arrivals, Config.Concurrency goroutines send, one counts
+// outcomes; bounded rings connect them. Plan, caller directory, stream and history
+// of a key are plain types without I/O.
 package load
 
 import (
@@ -21,7 +21,8 @@
 	"github.com/gullhaven/gullhaven/bundle/strict"
 )
 
-// Bounds of a run. It is a tool for one machine, not for breaking one.
+// Bounds of a run, which keep the load bearable for one machine. Rate is in
+// requests per second.
 const (
 	MaxRate         = 20_000
 	MaxDuration     = 10 * time.Minute
@@ -31,43 +32,45 @@
 	MaxCallers      = 1024
 )
 
-// Config is what to send.
+// Config describes the load.
 type Config struct {
-	// To are callers' addresses, IP:port on loopback, whose directory is asked.
+	// To are the callers' addresses of instances, IP:port on loopback, that are asked
+	// for the directory.
 	To []string
-	// Keys of workspaces; callers take them in turn.
+	// Keys of workspaces, assigned to callers round-robin.
 	Keys []string
-	// Model is asked for completions, or, if Plain is set, that plain service
-	// for requests that run at most once.
+	// Model to ask for completions, or Plain, the plain service to ask with requests
+	// that run at most once. Exactly one is set.
 	Model, Plain string
-	// Region and Zone of the callers, for the directory; empty means unknown.
+	// Region and Zone of the callers, sent to the directory; empty means unknown.
 	Region, Zone string
-	// Callers is the number of callers, each with a directory of its own.
+	// Callers is the number of callers; each reads the directory itself.
 	Callers int
-	// Rate is the mean of arrivals per second.
+	// Rate is the mean number of arrivals per second.
 	Rate float64
-	// For is how long requests arrive.
+	// Duration is how long requests arrive.
 	Duration time.Duration
-	// Concurrency bounds the requests under way.
+	// Concurrency bounds the requests in flight.
 	Concurrency int
-	// Tokens of each answer, PromptTokens of each prompt, SharedPrefix of them
-	// the same in all prompts.
+	// Tokens of each answer, PromptTokens of each prompt, of which the first
+	// SharedPrefix are the same in all prompts.
 	Tokens, PromptTokens, SharedPrefix int
-	// Deadline of each request; zero leaves it to the service.
+	// Deadline of each request; 0 means that of the service.
 	Deadline time.Duration
-	// ResendShare of plain requests, 0 to 1, is sent again to another instance.
+	// ResendShare of plain requests, 0 to 1, is sent to a second instance as well.
 	ResendShare float64
-	// Audit are the addresses of the plain service's stand-in targets. After the
-	// run each is asked how often it ran each key.
+	// Audit are the addresses of the plain service's stand-in targets, which are
+	// asked after the run how often they ran each key.
 	Audit []string
-	// Baseline is a stand-in engine that gets the same load straight.
+	// Baseline is the address of a stand-in engine that gets the same load directly;
+	// empty means none.
 	Baseline string
-	// UncheckedText leaves out the comparison with the stand-in's answer.
+	// SkipTextCheck turns off the comparison of texts with the stand-in's answer.
 	SkipTextCheck bool
 	Seed          uint64
 }
 
-// Check names all faults at once.
+// Check returns all faults of the configuration, joined.
 func (c *Config) Check() error {
 	var faults []error
 	fault := func(wrong bool, format string, args ...any) {
@@ -80,11 +83,11 @@
 	fault((c.Model == "") == (c.Plain == ""), "give either a model or a plain service")
 	fault(!(c.Rate > 0 && c.Rate <= MaxRate), "rate: %g is not above 0 and at most %d a second", c.Rate, MaxRate)
 	fault(c.Duration <= 0 || c.Duration > MaxDuration, "for: %v is not above 0 and at most %v", c.Duration, MaxDuration)
-	fault(outside(c.Concurrency, 1, MaxConcurrency), "concurrency: %d is not from 1 to %d", c.Concurrency, MaxConcurrency)
-	fault(outside(c.Callers, 1, MaxCallers), "callers: %d is not from 1 to %d", c.Callers, MaxCallers)
-	fault(outside(c.Tokens, 1, MaxTokens), "tokens: %d is not from 1 to %d", c.Tokens, MaxTokens)
-	fault(outside(c.PromptTokens, 1, MaxPromptTokens), "prompt-tokens: %d is not from 1 to %d", c.PromptTokens, MaxPromptTokens)
-	fault(outside(c.SharedPrefix, 0, c.PromptTokens), "shared-prefix: %d is not from 0 to prompt-tokens", c.SharedPrefix)
+	fault(outsideRange(c.Concurrency, 1, MaxConcurrency), "concurrency: %d is not from 1 to %d", c.Concurrency, MaxConcurrency)
+	fault(outsideRange(c.Callers, 1, MaxCallers), "callers: %d is not from 1 to %d", c.Callers, MaxCallers)
+	fault(outsideRange(c.Tokens, 1, MaxTokens), "tokens: %d is not from 1 to %d", c.Tokens, MaxTokens)
+	fault(outsideRange(c.PromptTokens, 1, MaxPromptTokens), "prompt-tokens: %d is not from 1 to %d", c.PromptTokens, MaxPromptTokens)
+	fault(outsideRange(c.SharedPrefix, 0, c.PromptTokens), "shared-prefix: %d is not from 0 to prompt-tokens", c.SharedPrefix)
 	fault(c.Deadline < 0, "deadline-ms: below 0")
 	fault(!(c.ResendShare >= 0 && c.ResendShare <= 1), "resend: %g is not from 0 to 1", c.ResendShare)
 	fault(c.Baseline != "" && c.Model == "", "baseline: only for a model")
@@ -105,10 +108,10 @@
 	return list
 }
 
-func outside(n, low, high int) bool { return n < low || n > high }
+func outsideRange(n, low, high int) bool { return n < low || n > high }
 
-// CheckLoopback refuses an address that is not IP:port on loopback. A wrong
-// address would put the load onto a machine of somebody else.
+// CheckLoopback returns an error for an address that is not IP:port on loopback,
+// so that a wrong address can't put the load onto somebody else's machine.
 func CheckLoopback(address string) error {
 	if err := strict.CheckAddress(address); err != nil {
 		return err
@@ -123,5 +126,5 @@
 	return nil
 }
 
-// hostOf is the address in an instance's URL.
-func hostOf(url string) string { return strings.TrimSuffix(strings.TrimPrefix(url, "http://"), "/") }
+// addressOf returns the IP:port of an instance's URL.
+func addressOf(url string) string { return strings.TrimSuffix(strings.TrimPrefix(url, "http://"), "/") }
--- a/operate/load/directory.go
+++ b/operate/load/directory.go
@@ -13,137 +13,137 @@
 )
 
 const (
-	// directoryBytes bounds an answer of the directory.
-	directoryBytes = 1 << 20
-	// directoryPause is how long a caller goes on with its old list after no
-	// instance gave a new one.
-	directoryPause = 500 * time.Millisecond
+	// maxDirectoryBytes bounds an answer of the directory.
+	maxDirectoryBytes = 1 << 20
+	// directoryRetryDelay is how long a caller keeps its old list after no instance
+	// returned a new one.
+	directoryRetryDelay = 500 * time.Millisecond
 )
 
-// entry is an instance in the directory's answer.
 type entry struct {
 	Instance string  `json:"instance"`
 	URL      string  `json:"url"`
 	Weight   float64 `json:"weight"`
 }
 
-// listing is the directory's answer.
-type listing struct {
+// directoryAnswer is the body of the directory's answer.
+type directoryAnswer struct {
 	Instances []entry `json:"instances"`
 	TTLMillis int64   `json:"ttl_ms"`
 }
 
-// check refuses instances that are not on loopback.
-func (l *listing) check() error {
+// check returns an error for an empty list and for instances that are not on
+// loopback.
+func (l *directoryAnswer) check() error {
 	if len(l.Instances) == 0 {
 		return fmt.Errorf("the directory lists no instance")
 	}
 	for _, e := range l.Instances {
-		if err := CheckLoopback(hostOf(e.URL)); err != nil {
+		if err := CheckLoopback(addressOf(e.URL)); err != nil {
 			return fmt.Errorf("directory: instance %s: %w", e.Instance, err)
 		}
 	}
 	return nil
 }
 
-// choose picks an instance by weight, pick from 0 up to 1, leaving some out.
-// Those of weight 0, which are of other regions, are used in equal parts, and
-// only if no other is left. It returns "" if all are left out.
-func choose(entries []entry, pick float64, without map[string]bool) string {
-	var weighted, far []entry
-	sum := 0.0
+// chooseInstance returns the address of an instance by weight; pick is in [0, 1).
+// Instances with weight 0, which are in other regions, are used in equal shares
+// and only if no other is left. It returns "" if all are excluded.
+func chooseInstance(entries []entry, pick float64, excluded map[string]bool) string {
+	var weighted, otherRegions []entry
+	totalWeight := 0.0
 	for _, e := range entries {
 		switch {
-		case without[hostOf(e.URL)]:
+		case excluded[addressOf(e.URL)]:
 		case e.Weight > 0:
 			weighted = append(weighted, e)
-			sum += e.Weight
+			totalWeight += e.Weight
 		default:
-			far = append(far, e)
+			otherRegions = append(otherRegions, e)
 		}
 	}
 	for _, e := range weighted {
-		if pick -= e.Weight / sum; pick < 0 {
-			return hostOf(e.URL)
+		if pick -= e.Weight / totalWeight; pick < 0 {
+			return addressOf(e.URL)
 		}
 	}
-	if len(weighted) > 0 { // what rounding left over
-		return hostOf(weighted[len(weighted)-1].URL)
+	if len(weighted) > 0 { // pick reached the totalWeight by rounding
+		return addressOf(weighted[len(weighted)-1].URL)
 	}
-	if len(far) == 0 {
+	if len(otherRegions) == 0 {
 		return ""
 	}
-	return hostOf(far[int(pick*float64(len(far)))].URL)
+	return addressOf(otherRegions[int(pick*float64(len(otherRegions)))].URL)
 }
 
-// caller keeps what the directory told one caller.
+// caller is one caller with its copy of the directory.
 type caller struct {
 	name string
 	key  string
 
-	mu      sync.Mutex
-	entries []entry
-	until   time.Time
-	// gone are instances that could not be reached since the list was read.
-	gone map[string]bool
+	mu         sync.Mutex
+	entries    []entry
+	validUntil time.Time
+	// unreachable are addresses that took no connection since the list was read.
+	unreachable map[string]bool
 }
 
 func newCaller(c *Config, i int) *caller {
 	return &caller{
-		name: fmt.Sprintf("load-%d", i),
-		key:  c.Keys[i%len(c.Keys)],
-		gone: map[string]bool{},
+		name:        fmt.Sprintf("load-%d", i),
+		key:         c.Keys[i%len(c.Keys)],
+		unreachable: map[string]bool{},
 	}
 }
 
-// instance returns the address to use now, other than those in not. It reads
-// the directory again after its time to live, and returns "" if none is known.
-func (s *sender) instance(ctx context.Context, c *caller, pick float64, not ...string) string {
+// instance returns the address to use now, other than the excluded ones, or "" if
+// none is known. It reads the directory again after its time to live.
+func (s *sender) instance(ctx context.Context, c *caller, pick float64, exclude ...string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := s.now(); !now.Before(c.until) {
+	if now := s.now(); !now.Before(c.validUntil) {
 		s.refresh(ctx, c, now)
 	}
-	without := map[string]bool{}
-	for address := range c.gone {
-		without[address] = true
+	excluded := map[string]bool{}
+	for address := range c.unreachable {
+		excluded[address] = true
 	}
-	for _, address := range not {
-		without[address] = true
+	for _, address := range exclude {
+		excluded[address] = true
 	}
-	return choose(c.entries, pick, without)
+	return chooseInstance(c.entries, pick, excluded)
 }
 
-// left says that an instance could not be reached.
-func (c *caller) left(address string) {
+// markUnreachable excludes an instance until the directory is read again.
+func (c *caller) markUnreachable(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone[address] = true
+	c.unreachable[address] = true
 }
 
-// refresh asks the known instances in turn, then the addresses that were given.
+// refresh asks the known instances in order, then the configured addresses.
 func (s *sender) refresh(ctx context.Context, c *caller, now time.Time) {
-	c.until = now.Add(directoryPause)
+	c.validUntil = now.Add(directoryRetryDelay)
 	var addresses []string
 	for _, e := range c.entries {
-		addresses = append(addresses, hostOf(e.URL))
+		addresses = append(addresses, addressOf(e.URL))
 	}
 	addresses = append(addresses, s.cfg.To...)
-	addresses = slices.DeleteFunc(addresses, func(a string) bool { return c.gone[a] && !slices.Contains(s.cfg.To, a) })
+	addresses = slices.DeleteFunc(addresses, func(a string) bool { return c.unreachable[a] && !slices.Contains(s.cfg.To, a) })
 	for _, address := range addresses {
 		got, err := s.readDirectory(ctx, address, c.name)
 		if err != nil {
-			s.noteDirectory(err)
+			s.recordDirectoryError(err)
 			continue
 		}
 		c.entries = got.Instances
-		c.until = now.Add(time.Duration(got.TTLMillis) * time.Millisecond)
-		clear(c.gone)
+		c.validUntil = now.Add(time.Duration(got.TTLMillis) * time.Millisecond)
+		clear(c.unreachable)
 		return
 	}
 }
 
-func (s *sender) readDirectory(ctx context.Context, address, name string) (*listing, error) {
+func (s *sender) readDirectory(ctx context.Context, address, name string) (*directoryAnswer, error) {
 	q := url.Values{"caller": {name}}
 	if s.cfg.Region != "" {
 		q.Set("region", s.cfg.Region)
@@ -165,12 +165,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("directory of %s: status %d", address, resp.StatusCode)
 	}
-	var l listing
-	if err := json.NewDecoder(io.LimitReader(resp.Body, directoryBytes)).Decode(&l); err != nil {
+	var l directoryAnswer
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxDirectoryBytes)).Decode(&l); err != nil {
 		return nil, fmt.Errorf("directory of %s: %w", address, err)
 	}
 	return &l, l.check()
 }
 
-// directoryTimeout bounds one reading.
+// directoryTimeout bounds one read of the directory.
 const directoryTimeout = 2 * time.Second
--- a/operate/load/fixedseed_test.go
+++ b/operate/load/fixedseed_test.go
@@ -1,3 +1,3 @@
 package load
 
-import _ "github.com/gullhaven/gullhaven/coord/fixedseed" // Draws the same cases in every run.
+import _ "github.com/gullhaven/gullhaven/coord/fixedseed" // Makes rapid draw the same cases in every run.
--- a/operate/load/history.go
+++ b/operate/load/history.go
@@ -6,7 +6,8 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// plainAnswer is what the stand-in plain service answers.
+// plainAnswer is the answer of the stand-in plain service. Execution counts its
+// runs of the key, from 1.
 type plainAnswer struct {
 	Service   string `json:"service"`
 	Method    string `json:"method"`
@@ -15,87 +16,87 @@
 	Execution int    `json:"execution"`
 }
 
-// history is what the sendings of one key were told, in the order in which the
-// answers came.
+// history collects the outcomes of the attempts of one key, in the order in which
+// they ended.
 type history struct {
 	key string
-	// answered is the first answer of the service.
+	// answered is the latest answer of the service.
 	answered *plainAnswer
-	// ran: an answer or a verdict said so.
-	ran bool
-	// notRun: a refusal said so.
-	notRun bool
-	// known: some sending was refused or answered; if not, nothing was promised.
+	// reportedRun: an answer or a verdict says that the key ran.
+	reportedRun bool
+	// reportedNotRun: a refusal says that the key did not run.
+	reportedNotRun bool
+	// known: some attempt was refused or answered; if not, no result was promised.
 	known bool
-	// allNotRun: every sending was refused with not_run.
-	allNotRun bool
-	doubled   string
-	lied      string
+	// allNotRun: every attempt was refused with not_run or found no connection.
+	allNotRun    bool
+	duplicateRun string
+	wrongVerdict string
 }
 
 func newHistory(key string) *history { return &history{key: key, allNotRun: true} }
 
-// add takes the end of a sending. after says that the sending began after the
-// ends that were added before.
+// add takes the outcome of an attempt. after tells that the attempt began after the
+// outcomes that were added before.
 func (h *history) add(o *outcome, after bool) {
 	switch o.kind {
 	case Answered:
 		h.known = true
-		h.answer(o.plain)
+		h.addAnswer(o.plain)
 	case Refused:
 		h.known = true
-		h.refusal(o, after)
+		h.addRefusal(o, after)
 	case Unreached:
 	default:
 		h.allNotRun = false
 	}
 }
 
-func (h *history) answer(a *plainAnswer) {
+func (h *history) addAnswer(a *plainAnswer) {
 	h.allNotRun = false
 	if a.Execution != 1 {
-		h.double("run %d at %s", a.Execution, a.Service)
+		h.recordDuplicateRun("run %d at %s", a.Execution, a.Service)
 	}
 	if h.answered != nil && h.answered.Service != a.Service {
-		h.double("ran at %s and at %s", h.answered.Service, a.Service)
+		h.recordDuplicateRun("ran at %s and at %s", h.answered.Service, a.Service)
 	}
-	h.answered, h.ran = a, true
+	h.answered, h.reportedRun = a, true
 }
 
-// refusal keeps the verdict. A verdict covers the earlier sendings of its key,
-// so it may not fall below what was told before the sending began.
-func (h *history) refusal(o *outcome, after bool) {
+// addRefusal takes the verdict of a refusal. A verdict covers the earlier attempts
+// of its key, so it must not be below one reported before the attempt began.
+func (h *history) addRefusal(o *outcome, after bool) {
 	if o.verdict != verdict.NotRun {
 		h.allNotRun = false
-		h.ran = h.ran || o.verdict == verdict.Ran
+		h.reportedRun = h.reportedRun || o.verdict == verdict.Ran
 		return
 	}
-	if h.ran && after {
-		h.lie("told not_run (%s, by %s) after it had run", o.code, o.at)
+	if h.reportedRun && after {
+		h.recordWrongVerdict("told not_run (%s, by %s) after it had run", o.code, o.instance)
 	}
-	h.notRun = true
+	h.reportedNotRun = true
 }
 
-// audit takes how often the targets ran the key, over all of them.
-func (h *history) audit(runs int) {
+// addAudit takes the number of runs of the key over all targets.
+func (h *history) addAudit(runs int) {
 	switch {
 	case runs > 1:
-		h.double("ran %d times", runs)
+		h.recordDuplicateRun("ran %d times", runs)
 	case runs == 0 && h.answered != nil:
-		h.lie("answered, but no target ran it")
-	case runs == 1 && h.allNotRun && h.notRun:
-		h.lie("every sending was told not_run, but it ran")
+		h.recordWrongVerdict("answered, but no target ran it")
+	case runs == 1 && h.allNotRun && h.reportedNotRun:
+		h.recordWrongVerdict("every sending was told not_run, but it ran")
 	}
 }
 
-func (h *history) double(format string, args ...any) {
-	if h.doubled == "" {
-		h.doubled = h.key + ": " + fmt.Sprintf(format, args...)
+func (h *history) recordDuplicateRun(format string, args ...any) {
+	if h.duplicateRun == "" {
+		h.duplicateRun = h.key + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
-func (h *history) lie(format string, args ...any) {
-	if h.lied == "" {
-		h.lied = h.key + ": " + fmt.Sprintf(format, args...)
+func (h *history) recordWrongVerdict(format string, args ...any) {
+	if h.wrongVerdict == "" {
+		h.wrongVerdict = h.key + ": " + fmt.Sprintf(format, args...)
 	}
 }
--- a/operate/load/load_test.go
+++ b/operate/load/load_test.go
@@ -17,10 +17,11 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// atOnce is a host whose sleeps end at once; a closed context still ends them.
-var atOnce = Env{Now: time.Now, Sleep: func(ctx context.Context, _ time.Duration) error { return ctx.Err() }}
+// noSleep is an environment whose Sleep returns immediately, with the error of a
+// context that has ended.
+var noSleep = Env{Now: time.Now, Sleep: func(ctx context.Context, _ time.Duration) error { return ctx.Err() }}
 
-// fakeGateway has a directory that lists given addresses, and passes the rest on.
+// fakeGateway serves a directory of the given addresses and forwards the rest.
 type fakeGateway struct {
 	list func() []string
 	next http.Handler
@@ -31,20 +32,20 @@
 		g.next.ServeHTTP(w, r)
 		return
 	}
-	l := listing{TTLMillis: 60_000}
+	l := directoryAnswer{TTLMillis: 60_000}
 	for i, address := range g.list() {
 		l.Instances = append(l.Instances, entry{Instance: fmt.Sprint("i-", i), URL: "http://" + address, Weight: 1})
 	}
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// serve starts an instance that lists itself and others.
-func serve(t *testing.T, h http.Handler, others ...string) string {
+// serveInstance starts an instance that lists itself and others.
+func serveInstance(t *testing.T, h http.Handler, others ...string) string {
 	t.Helper()
 	var self string
 	s := httptest.NewServer(&fakeGateway{list: func() []string { return append([]string{self}, others...) }, next: h})
 	t.Cleanup(s.Close)
-	self = hostOf(s.URL)
+	self = addressOf(s.URL)
 	return self
 }
 
@@ -52,7 +53,7 @@
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
-	return hostOf(s.URL)
+	return addressOf(s.URL)
 }
 
 func modelConfig(to string) Config {
@@ -68,7 +69,7 @@
 	return c
 }
 
-// arrivals is how many requests of a side a configuration makes.
+// arrivals counts the requests to the gateway that a configuration makes.
 func arrivals(c Config) (n int64) {
 	p := NewPlan(&c)
 	for r, more := p.Next(); more; r, more = p.Next() {
@@ -81,14 +82,14 @@
 
 func mustRun(t *testing.T, c Config) *Report {
 	t.Helper()
-	r, err := Run(t.Context(), c, atOnce)
+	r, err := Run(t.Context(), c, noSleep)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// refusal answers with a refusal; retryAfter is the header, if any.
+// refusal answers with a refusal; retryAfter is the header's value, or "" for none.
 func refusal(status int, code string, v verdict.Verdict, retryAfter string, retryMillis int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerVerdict, v.String())
@@ -100,20 +101,20 @@
 	}
 }
 
-// keptVerdict writes an answer whose header says "ran".
-type keptVerdict struct{ http.ResponseWriter }
+// ranVerdictWriter sets the verdict header to "ran" whatever the handler set.
+type ranVerdictWriter struct{ http.ResponseWriter }
 
-func (k *keptVerdict) WriteHeader(status int) {
+func (k *ranVerdictWriter) WriteHeader(status int) {
 	k.Header().Set(headerVerdict, verdict.Ran.String())
 	k.ResponseWriter.WriteHeader(status)
 }
 
 const streamCut = "event: error\ndata: {\"error\":{\"code\":\"stream_cut\",\"verdict\":\"ran\",\"message\":\"m\"}}\n\n"
 
-// cutWithEvent passes two chunks of the engine on, then an error event.
+// cutWithEvent forwards two chunks of the engine, then an error event.
 func cutWithEvent(e http.Handler) http.HandlerFunc { return twoChunks(e, streamCut) }
 
-// twoChunks passes two chunks of the engine on, then a last event.
+// twoChunks forwards two chunks of the engine, then a last event.
 func twoChunks(e http.Handler, last string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
@@ -125,8 +126,8 @@
 	}
 }
 
-// anothers answers a prompt with the answer to another one of its length.
-func anothers(e http.Handler) http.HandlerFunc {
+// answerToAnotherPrompt answers with the answer to another prompt of equal length.
+func answerToAnotherPrompt(e http.Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var body bytes.Buffer
 		_, _ = body.ReadFrom(r.Body)
@@ -135,9 +136,9 @@
 	}
 }
 
-// Symptom: a run is called clean though answers were short, another's or
-// without an end mark, or though refusals broke their promise.
-func TestEachEndIsCountedAsWhatItIs(t *testing.T) {
+// Guards against a report without faults though answers were short, without an end
+// mark or another request's, or refusals were not in the documented form.
+func TestEachOutcomeIsCountedByKind(t *testing.T) {
 	engine := func(f ...standin.Fault) http.Handler {
 		e := standin.NewEngine(standin.EngineConfig{Slots: 256})
 		e.SetFaults(f...)
@@ -158,8 +159,8 @@
 		{"cut", engine(standin.Fault{Kind: standin.FaultCut, Chunk: 2}), func(s *DestReport) int64 { return s.Broken }, "", false},
 		{"error event", cutWithEvent(engine()), func(s *DestReport) int64 { return s.CutWithEvent }, "stream_cut ran", false},
 		{"refused", refusal(503, "no_target", verdict.NotRun, "1", 500), func(s *DestReport) int64 { return s.Refused }, "no_target not_run", false},
-		{"another's answer", anothers(engine()), func(s *DestReport) int64 { return s.Wrong }, "", true},
-		{"another's answer, cut", cutWithEvent(anothers(engine())), func(s *DestReport) int64 { return s.Wrong }, "stream_cut ran", true},
+		{"another's answer", answerToAnotherPrompt(engine()), func(s *DestReport) int64 { return s.Wrong }, "", true},
+		{"another's answer, cut", cutWithEvent(answerToAnotherPrompt(engine())), func(s *DestReport) int64 { return s.Wrong }, "stream_cut ran", true},
 		{"marked whole too early", twoChunks(engine(), "data: [DONE]\n\n"), func(s *DestReport) int64 { return s.Wrong }, "", true},
 		{"goes on after its end", twoChunks(engine(), "data: [DONE]\n\ndata: [DONE]\n\n"), func(s *DestReport) int64 { return s.Wrong }, "", true},
 		{"error event, then the mark", twoChunks(engine(), streamCut+"data: [DONE]\n\n"), func(s *DestReport) int64 { return s.Wrong }, "stream_cut ran", true},
@@ -167,12 +168,12 @@
 		{"come back at once", refusal(429, "no_target", verdict.NotRun, "0", 500), func(s *DestReport) int64 { return s.BadRefusal }, "no_target not_run", true},
 		{"without retry_after_ms", refusal(503, "no_target", verdict.NotRun, "1", 0), func(s *DestReport) int64 { return s.BadRefusal }, "no_target not_run", true},
 		{"two verdicts", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			refusal(503, "no_target", verdict.NotRun, "1", 500)(&keptVerdict{w}, r)
+			refusal(503, "no_target", verdict.NotRun, "1", 500)(&ranVerdictWriter{w}, r)
 		}), func(s *DestReport) int64 { return s.BadRefusal }, "no_target not_run", true},
 		{"untyped", http.NotFoundHandler(), func(s *DestReport) int64 { return s.BadRefusal }, "", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cfg := modelConfig(serve(t, c.h))
+			cfg := modelConfig(serveInstance(t, c.h))
 			r := mustRun(t, cfg)
 			n := arrivals(cfg)
 			if n == 0 || c.want(&r.Gateway) != n || r.Gateway.Sent != n || (r.Faults() > 0) != c.faulty {
@@ -185,12 +186,12 @@
 	}
 }
 
-// Symptom: a caller goes on asking an instance that has died.
-// Events: the directory still lists it.
-func TestCallersMoveOnFromAnInstanceThatTakesNoConnection(t *testing.T) {
+// Guards against asking a dead instance again and again while the directory still
+// lists it.
+func TestCallersFailOverFromAnInstanceThatAcceptsNoConnection(t *testing.T) {
 	dead := httptest.NewServer(nil)
 	dead.Close()
-	cfg := modelConfig(serve(t, standin.NewEngine(standin.EngineConfig{Slots: 256}), hostOf(dead.URL)))
+	cfg := modelConfig(serveInstance(t, standin.NewEngine(standin.EngineConfig{Slots: 256}), addressOf(dead.URL)))
 	cfg.Concurrency = 1
 	cfg.Rate = 20
 	r := mustRun(t, cfg)
@@ -200,55 +201,55 @@
 }
 
 func TestBaselineGetsTheSameLoad(t *testing.T) {
-	var straight atomic.Int64
+	var direct atomic.Int64
 	e := standin.NewEngine(standin.EngineConfig{Slots: 512})
-	cfg := modelConfig(serve(t, e))
-	cfg.Baseline = listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { straight.Add(1); e.ServeHTTP(w, r) }))
+	cfg := modelConfig(serveInstance(t, e))
+	cfg.Baseline = listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { direct.Add(1); e.ServeHTTP(w, r) }))
 	r := mustRun(t, cfg)
-	if r.Baseline == nil || r.Baseline.Answered != straight.Load() || straight.Load() == 0 || r.Gateway.Answered != arrivals(cfg) || r.Overhead == nil {
+	if r.Baseline == nil || r.Baseline.Answered != direct.Load() || direct.Load() == 0 || r.Gateway.Answered != arrivals(cfg) || r.Overhead == nil {
 		t.Fatalf("%+v", r)
 	}
 }
 
-// gatewayOnce is a correct at-most-once gateway before one target: it keeps the
+// atMostOnceGateway is a correct at-most-once gateway with one target: it repeats the
 // first answer of a key.
-type gatewayOnce struct {
-	target http.Handler
-	gate   chan map[string]*httptest.ResponseRecorder
+type atMostOnceGateway struct {
+	target  http.Handler
+	answers chan map[string]*httptest.ResponseRecorder
 }
 
-func newGatewayOnce(target http.Handler) *gatewayOnce {
-	g := &gatewayOnce{target: target, gate: make(chan map[string]*httptest.ResponseRecorder, 1)}
-	g.gate <- map[string]*httptest.ResponseRecorder{}
+func newAtMostOnceGateway(target http.Handler) *atMostOnceGateway {
+	g := &atMostOnceGateway{target: target, answers: make(chan map[string]*httptest.ResponseRecorder, 1)}
+	g.answers <- map[string]*httptest.ResponseRecorder{}
 	return g
 }
 
-func (g *gatewayOnce) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	kept := <-g.gate
-	rec := kept[r.Header.Get(headerKey)]
+func (g *atMostOnceGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	byKey := <-g.answers
+	rec := byKey[r.Header.Get(headerKey)]
 	if rec == nil {
 		rec = httptest.NewRecorder()
 		http.StripPrefix("/services/desk", g.target).ServeHTTP(rec, r)
-		kept[r.Header.Get(headerKey)] = rec
+		byKey[r.Header.Get(headerKey)] = rec
 	}
-	g.gate <- kept
+	g.answers <- byKey
 	_, _ = w.Write(rec.Body.Bytes())
 }
 
-// Symptom: a booking is made twice and the run is called clean.
-// Events: a gateway passes resends on; or answers "not run" for what ran; or
-// sends to two targets, each of which runs the key once.
-func TestDoubledRunsAndWrongVerdictsAreSeen(t *testing.T) {
+// Guards against a report without faults though a request ran twice: the gateway
+// forwards resends, answers "not run" for a request that ran, or sends to two
+// targets, each of which runs the key once.
+func TestDuplicateRunsAndWrongVerdictsAreFound(t *testing.T) {
 	strip := func(h http.Handler) http.Handler { return http.StripPrefix("/services/desk", h) }
 	for _, c := range []struct {
-		name                 string
-		gateway              func(plain, other http.Handler) http.Handler
-		audit, doubled, lied bool
+		name                           string
+		gateway                        func(plain, other http.Handler) http.Handler
+		audit, duplicate, wrongVerdict bool
 	}{
-		{"correct", func(p, _ http.Handler) http.Handler { return newGatewayOnce(p) }, true, false, false},
+		{"correct", func(p, _ http.Handler) http.Handler { return newAtMostOnceGateway(p) }, true, false, false},
 		{"passes resends on", func(p, _ http.Handler) http.Handler { return strip(p) }, false, true, false},
 		{"two targets, hidden", func(p, o http.Handler) http.Handler {
-			once := newGatewayOnce(p)
+			once := newAtMostOnceGateway(p)
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get(headerResend) == "true" {
 					strip(o).ServeHTTP(httptest.NewRecorder(), r.Clone(r.Context()))
@@ -266,7 +267,7 @@
 			})
 		}, false, true, false},
 		{"says not run after an answer", func(p, _ http.Handler) http.Handler {
-			once := newGatewayOnce(p)
+			once := newAtMostOnceGateway(p)
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get(headerResend) == "true" {
 					refusal(503, "no_target", verdict.NotRun, "1", 500)(w, r)
@@ -286,7 +287,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			plain, other := standin.NewPlain("one"), standin.NewPlain("two")
-			cfg := plainConfig(serve(t, c.gateway(plain, other)))
+			cfg := plainConfig(serveInstance(t, c.gateway(plain, other)))
 			if c.audit {
 				cfg.Audit = []string{listen(t, plain), listen(t, other)}
 			}
@@ -294,28 +295,27 @@
 			if r.AtMostOnce.Keys != arrivals(cfg) || r.AtMostOnce.Audited != c.audit || r.Gateway.Resends != r.AtMostOnce.Keys {
 				t.Fatalf("%+v, %+v", r.AtMostOnce, r.Gateway)
 			}
-			if (r.AtMostOnce.DuplicateRuns > 0) != c.doubled || (r.AtMostOnce.WrongVerdicts > 0) != c.lied || (r.Faults() > 0) != (c.doubled || c.lied) {
+			if (r.AtMostOnce.DuplicateRuns > 0) != c.duplicate || (r.AtMostOnce.WrongVerdicts > 0) != c.wrongVerdict || (r.Faults() > 0) != (c.duplicate || c.wrongVerdict) {
 				t.Fatalf("%+v, notes %q", r.AtMostOnce, r.Notes)
 			}
 		})
 	}
 }
 
-// Symptom: a caller that lost an answer never learns what became of it.
-// Events: the gateway runs the request; the connection breaks, or the instance
-// says that it may have run.
-func TestAnUnknownEndIsSettledByAResend(t *testing.T) {
-	for name, lose := range map[string]http.HandlerFunc{
+// Guards against a caller that never learns whether its request ran: the gateway
+// runs it, but the connection breaks or the verdict is "may have run".
+func TestAnUnknownResultIsResolvedByAResend(t *testing.T) {
+	for name, loseAnswer := range map[string]http.HandlerFunc{
 		"broken":       func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"may have run": refusal(502, "target_error", verdict.MayHaveRun, "", 0),
 	} {
 		t.Run(name, func(t *testing.T) {
 			plain := standin.NewPlain("one")
-			once := newGatewayOnce(plain)
-			cfg := plainConfig(serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			once := newAtMostOnceGateway(plain)
+			cfg := plainConfig(serveInstance(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get(headerResend) == "false" {
 					once.ServeHTTP(httptest.NewRecorder(), r)
-					lose(w, r)
+					loseAnswer(w, r)
 					return
 				}
 				once.ServeHTTP(w, r)
--- a/operate/load/outcome.go
+++ b/operate/load/outcome.go
@@ -6,74 +6,75 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Kind is how a sending ended.
+// Kind is how an attempt ended.
 type Kind uint8
 
-// Kinds of ends. Those from Unmarked on must never happen.
+// Kinds of outcomes. Those from Unmarked on are faults of the gateway.
 const (
-	// Answered whole.
+	// Answered: the answer is complete.
 	Answered Kind = iota
-	// Refused with a typed error before an answer began.
+	// Refused with a typed error before the answer began.
 	Refused
 	// CutWithEvent: the stream ended with an error event.
 	CutWithEvent
-	// Broken: the connection broke, as it does when an instance is killed.
+	// Broken: the connection broke, as when an instance is killed.
 	Broken
-	// Unreached: no instance took a connection.
+	// Unreached: no instance accepted a connection.
 	Unreached
-	// Unsent: no sender was free.
+	// Unsent: no sender was free at the arrival.
 	Unsent
-	// Unfinished when the run was ended.
+	// Unfinished when the run ended.
 	Unfinished
 	// Unmarked: a stream ended cleanly with neither end mark nor error event.
 	Unmarked
-	// Wrong: the answer is not whole, or not the one to its own request.
+	// Wrong: the answer is incomplete or belongs to another request.
 	Wrong
-	// BadRefusal: a refusal that is not of the promised form.
+	// BadRefusal: a refusal not in the documented form.
 	BadRefusal
-	kinds
+	kindCount
 )
 
-var kindNames = [kinds]string{
+var kindNames = [kindCount]string{
 	"answered", "refused", "cut_with_event", "broken", "unreached", "unsent", "unfinished",
 	"ended_without_mark", "wrong_answer", "bad_refusal",
 }
 
-// String returns the name in reports.
+// String returns the kind's name in reports.
 func (k Kind) String() string { return kindNames[k] }
 
-// outcome is the end of one sending.
+// outcome is the result of one attempt.
 type outcome struct {
 	kind Kind
-	side Dest
-	// resend marks sendings after a key's first.
+	dest Dest
+	// resend marks attempts after the first of a key.
 	resend bool
-	// began is when the sending began.
+	// began is when the attempt began.
 	began time.Time
-	// wait is from the planned arrival to the sending.
-	wait time.Duration
-	// first, whole are from the sending to the first token and to the end.
-	first, whole time.Duration
-	// between are the times between tokens.
-	between []time.Duration
-	tokens  int
-	// late: whole, but after the deadline.
+	// startDelay is the time from the planned arrival to the attempt.
+	startDelay time.Duration
+	// firstToken and total are the times from the start of the attempt to the first
+	// token and to the end.
+	firstToken, total time.Duration
+	// betweenTokens are the times between tokens.
+	betweenTokens []time.Duration
+	tokens        int
+	// late: answered, but after the deadline.
 	late bool
 	// code and verdict of a refusal or error event.
 	code    verdict.Code
 	verdict verdict.Verdict
-	// moved counts instances that were left because they took no connection,
-	// and redirects by a refusal that named another region.
-	moved, redirected int
-	// note says what was wrong.
+	// failovers counts instances that were skipped because they accepted no
+	// connection, redirected the redirects by a refusal that named another region.
+	failovers, redirected int
+	// note says what went wrong.
 	note string
-	// at is the instance.
-	at string
-	// plain is the answer of a plain service.
+	// instance is the address that was asked.
+	instance string
+	// plain is the answer of a plain service, if any.
 	plain *plainAnswer
 }
 
-// end closes an outcome.
+// end sets kind and note.
 func (o *outcome) end(k Kind, note string) *outcome {
 	o.kind, o.note = k, note
 	return o
--- a/operate/load/plain.go
+++ b/operate/load/plain.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// maxResends bounds how often a caller asks after a sending whose end it
-	// does not know.
+	// maxResends bounds the resends of a request whose result the caller does not
+	// know.
 	maxResends = 4
-	// resendPause is between them.
-	resendPause = 500 * time.Millisecond
-	// auditSenders ask the targets at once.
+	// resendInterval is the time between resends.
+	resendInterval = 500 * time.Millisecond
+	// auditSenders is the number of keys that are audited concurrently.
 	auditSenders = 8
 )
 
-// sending is one sending of a plain request.
-type sending struct {
+// attempt is one attempt of a plain request.
+type attempt struct {
 	Request
 	key    string
 	resend bool
-	// not is the instance that an earlier sending went to.
-	not string
+	// exclude is the instance that an earlier attempt went to.
+	exclude string
 }
 
 func (s *sender) plainPath(r Request) string { return fmt.Sprintf("/load/%d", r.Number) }
@@ -41,57 +41,58 @@
 	return fmt.Sprintf(`{"number":%d,"text":%q}`, r.Number, promptText(s.cfg, r.Number))
 }
 
-// once sends a request that runs at most once, resends it as the plan says and
-// as long as its end is not known, and hands over each end. It returns what the
-// key's sendings were told.
-func (s *sender) once(ctx context.Context, r Request, take func(*outcome)) *history {
+// sendAtMostOnce sends a request that runs at most once. It resends it as planned,
+// and while its result is unknown, at most maxResends times. Each outcome goes to
+// record. It returns the history of the key.
+func (s *sender) sendAtMostOnce(ctx context.Context, r Request, record func(*outcome)) *history {
 	h := newHistory(keyOf(s.cfg, s.run, r.Number))
-	first := sending{Request: r, key: h.key}
-	again := sending{Request: r, key: h.key, resend: true}
+	first := attempt{Request: r, key: h.key}
+	again := attempt{Request: r, key: h.key, resend: true}
 	if r.Resend == ResendDuring {
-		s.both(ctx, h, first, again, take)
+		s.sendTwice(ctx, h, first, again, record)
 		return h
 	}
-	o := s.plain(ctx, first)
+	o := s.sendPlain(ctx, first)
 	h.add(o, false)
-	take(o)
-	wanted := r.Resend == ResendAfter
+	record(o)
+	planned := r.Resend == ResendAfter
 	for range maxResends {
-		if !wanted && !unsettled(o) {
+		if !planned && !needsResend(o) {
 			break
 		}
-		wanted = false
-		again.not = o.at
-		if o.kind != Answered && s.sleep(ctx, resendPause) != nil {
+		planned = false
+		again.exclude = o.instance
+		if o.kind != Answered && s.sleep(ctx, resendInterval) != nil {
 			break
 		}
-		o = s.plain(ctx, again)
+		o = s.sendPlain(ctx, again)
 		h.add(o, true)
-		take(o)
+		record(o)
 	}
 	return h
 }
 
-// both sends twice at nearly the same time to different instances.
-func (s *sender) both(ctx context.Context, h *history, first, again sending, take func(*outcome)) {
+// sendTwice makes two attempts resendDelay apart at different instances.
+func (s *sender) sendTwice(ctx context.Context, h *history, first, again attempt, record func(*outcome)) {
 	var o [2]*outcome
-	var wait sync.WaitGroup
-	wait.Go(func() { o[0] = s.plain(ctx, first) })
+	var wg sync.WaitGroup
+	wg.Go(func() { o[0] = s.sendPlain(ctx, first) })
 	if s.sleep(ctx, resendDelay) == nil {
-		again.not = s.instance(ctx, s.callers[first.Caller], first.Pick)
-		o[1] = s.plain(ctx, again)
+		again.exclude = s.instance(ctx, s.callers[first.Caller], first.Pick)
+		o[1] = s.sendPlain(ctx, again)
 	}
-	wait.Wait()
+	wg.Wait()
 	for _, each := range o {
 		if each != nil {
 			h.add(each, false)
-			take(each)
+			record(each)
 		}
 	}
 }
 
-// unsettled reports whether a caller has to ask again to know whether it ran.
-func unsettled(o *outcome) bool {
+// needsResend reports whether a caller has to resend to know whether the request
+// ran.
+func needsResend(o *outcome) bool {
 	switch o.kind {
 	case Broken:
 		return true
@@ -101,9 +102,9 @@
 	return false
 }
 
-// plain sends once.
-func (s *sender) plain(ctx context.Context, x sending) *outcome {
-	o := &outcome{side: ToGateway, resend: x.resend}
+// sendPlain makes one attempt.
+func (s *sender) sendPlain(ctx context.Context, x attempt) *outcome {
+	o := &outcome{dest: ToGateway, resend: x.resend}
 	body, path := s.plainBody(x.Request), s.plainPath(x.Request)
 	open := func(address string) (*http.Request, error) {
 		url := "http://" + address + "/services/" + s.cfg.Plain + path
@@ -119,22 +120,22 @@
 		}
 		return req, nil
 	}
-	resp := s.reach(ctx, x.Request, o, open, x.not)
+	resp := s.sendToInstance(ctx, x.Request, o, open, x.exclude)
 	if resp == nil {
 		return o
 	}
 	defer resp.Body.Close()
-	o.first = s.now().Sub(o.began)
+	o.firstToken = s.now().Sub(o.began)
 	if resp.StatusCode != http.StatusOK {
-		return o.refused(resp)
+		return o.addRefusal(resp)
 	}
 	s.checkPlain(resp.Body, o, path, body)
-	o.whole = s.now().Sub(o.began)
-	o.late = o.kind == Answered && s.cfg.Deadline > 0 && o.whole > s.cfg.Deadline
+	o.total = s.now().Sub(o.began)
+	o.late = o.kind == Answered && s.cfg.Deadline > 0 && o.total > s.cfg.Deadline
 	return o
 }
 
-// checkPlain checks that an answer is whole and belongs to its request.
+// checkPlain checks that an answer is complete and belongs to its request.
 func (s *sender) checkPlain(body io.Reader, o *outcome, path, sent string) {
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err != nil {
@@ -155,16 +156,16 @@
 	o.end(Answered, "")
 }
 
-// audit asks each target how often it ran each key, by sending the key to it
-// once more: the stand-in counts that run too.
+// audit asks the targets how often each key ran, by sending the key once more to
+// each of them. The stand-in counts that run too.
 func (s *sender) audit(ctx context.Context, histories []*history) error {
 	next := make(chan *history)
 	errs := make(chan error, auditSenders)
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for range auditSenders {
-		wait.Go(func() {
+		wg.Go(func() {
 			for h := range next {
-				runs, err := s.runsOf(ctx, h.key)
+				runs, err := s.countRuns(ctx, h.key)
 				if err != nil {
 					select {
 					case errs <- err:
@@ -172,7 +173,7 @@
 					}
 					continue
 				}
-				h.audit(runs)
+				h.addAudit(runs)
 			}
 		})
 	}
@@ -180,7 +181,7 @@
 		next <- h
 	}
 	close(next)
-	wait.Wait()
+	wg.Wait()
 	close(errs)
 	var all []error
 	for err := range errs {
@@ -189,7 +190,7 @@
 	return errors.Join(all...)
 }
 
-func (s *sender) runsOf(ctx context.Context, key string) (int, error) {
+func (s *sender) countRuns(ctx context.Context, key string) (int, error) {
 	runs := 0
 	for _, address := range s.cfg.Audit {
 		req, err := post(ctx, "http://"+address+"/audit", "{}", "")
--- a/operate/load/plan.go
+++ b/operate/load/plan.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// Side is where a request goes.
+// Dest is where a request goes.
 type Dest uint8
 
-// Sides of a run.
+// Destinations of a run.
 const (
-	// Through the gateway.
+	// ToGateway sends through the gateway.
 	ToGateway Dest = iota
-	// Straight to the engine.
+	// ToEngine sends directly to the engine.
 	ToEngine
 )
 
-// Resend is when a key is sent a second time.
+// Resend is whether and when a key is sent a second time.
 type Resend uint8
 
 // Kinds of resends.
 const (
 	ResendNever Resend = iota
-	// ResendDuring sends again while the first sending may still run.
+	// ResendDuring resends while the first attempt may still run.
 	ResendDuring
-	// ResendAfter sends again after the first sending ended.
+	// ResendAfter resends after the first attempt ended.
 	ResendAfter
 )
 
-// resendDelay is how long after the first sending a ResendDuring begins.
+// resendDelay is the time from the first attempt to a resend by ResendDuring.
 const resendDelay = 2 * time.Millisecond
 
 // Request is one arrival.
 type Request struct {
-	// At is when it arrives, from the start.
+	// At is the time of arrival since the start of the run.
 	At time.Duration
-	// Number counts arrivals of a side from 0; both sides send the same text
-	// under a number.
+	// Number counts the arrivals of a destination from 0. Both destinations get the
+	// same text under a number.
 	Number int
 	Dest   Dest
 	Caller int
 	Resend Resend
-	// Pick, 0 to 1, chooses among the caller's instances.
+	// Pick, in [0, 1), chooses among the caller's instances.
 	Pick float64
 }
 
-// Plan gives out arrivals in the order of time. Intervals are exponential, so
-// that arrivals come in bursts as those of independent callers do. The same
+// Plan returns arrivals in the order of time. Intervals are exponential, so that
+// arrivals come in bursts like those of independent callers. The same
 // configuration gives the same plan.
 type Plan struct {
 	cfg  *Config
@@ -56,12 +56,12 @@
 	next [2]Request
 }
 
-// planStream keeps the plan's numbers apart from other uses of a seed.
-const planStream = 0x10ad
+// planStreamID makes the plan's random numbers independent of other uses of a seed.
+const planStreamID = 0x10ad
 
-// NewPlan makes the plan of a checked configuration.
+// NewPlan makes the plan of a configuration that passed Check.
 func NewPlan(c *Config) *Plan {
-	p := &Plan{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, planStream))}
+	p := &Plan{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, planStreamID))}
 	for _, side := range []Dest{ToGateway, ToEngine} {
 		p.next[side] = Request{Dest: side, Number: -1}
 		p.advance(side)
@@ -83,7 +83,7 @@
 	return r, true
 }
 
-// advance draws the next arrival of a side.
+// advance draws the next arrival of a destination.
 func (p *Plan) advance(side Dest) {
 	r := &p.next[side]
 	r.Number++
@@ -101,14 +101,14 @@
 	return ResendDuring + Resend(half)
 }
 
-// bytesPerToken is what the gateway and the stand-ins count as a token.
+// bytesPerToken is the size of a token as the gateway and the stand-ins count it.
 const bytesPerToken = 4
 
-// filler is the text of prompts.
+// filler is repeated to make prompts.
 const filler = "gust over the ridge "
 
-// promptText is a prompt of a number of tokens, unlike that of other numbers
-// and seeds behind the shared prefix.
+// promptText returns a prompt of at least c.PromptTokens tokens. After the shared
+// prefix it differs from those of other numbers and seeds.
 func promptText(c *Config, number int) string {
 	var b strings.Builder
 	b.Grow(c.PromptTokens*bytesPerToken + len(filler))
@@ -118,15 +118,16 @@
 	return b.String()
 }
 
-// fill lengthens a text to n bytes.
+// fill appends filler up to a length of n bytes.
 func fill(b *strings.Builder, n int) {
 	for b.Len() < n {
 		b.WriteString(filler[:min(len(filler), n-b.Len())])
 	}
 }
 
-// keyOf names a plain request over its resends. The run's name keeps a second
-// run of the same seed apart: its keys are claimed already.
+// keyOf returns the idempotency key of a plain request, the same for its resends.
+// The run's name makes it differ from the keys of an earlier run with the same
+// seed, which are claimed already.
 func keyOf(c *Config, run string, number int) string {
 	return fmt.Sprintf("load-%s-%d-%d", run, c.Seed, number)
 }
--- a/operate/load/plan_test.go
+++ b/operate/load/plan_test.go
@@ -24,7 +24,7 @@
 
 		convey.Convey("also if a directory names them, or a redirect", func() {
 			g := &fakeGateway{list: func() []string { return []string{"192.0.2.1:80"} }}
-			_, err := Run(t.Context(), modelConfig(listen(t, g)), atOnce)
+			_, err := Run(t.Context(), modelConfig(listen(t, g)), noSleep)
 			convey.So(err, convey.ShouldNotBeNil)
 			convey.So(err.Error(), convey.ShouldContainSubstring, "not on loopback")
 			_, err = newClient(&c).Get("http://192.0.2.1:80")
@@ -39,8 +39,8 @@
 	})
 }
 
-// The plan is the same for the same seed, in the order of time, ends in time,
-// and both sides send the same texts.
+// A plan is the same for the same seed, is ordered by time, stays within the
+// duration, and gives both destinations the same texts.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := modelConfig("127.0.0.1:80")
@@ -76,32 +76,32 @@
 	})
 }
 
-// Chosen by weight: each instance gets its share of the picks.
+// Each instance gets its share of the picks, by weight.
 func TestChoose(t *testing.T) {
 	entries := []entry{{URL: "http://a", Weight: 1}, {URL: "http://b", Weight: 0.5}, {URL: "http://c", Weight: 0.5}}
 	got := map[string]int{}
 	const picks = 1000
 	for i := range picks {
-		got[choose(entries, float64(i)/picks, nil)]++
-		if choose(entries, float64(i)/picks, map[string]bool{"a": true, "b": true}) != "c" {
-			t.Fatal("chose one that is left out")
+		got[chooseInstance(entries, float64(i)/picks, nil)]++
+		if chooseInstance(entries, float64(i)/picks, map[string]bool{"a": true, "b": true}) != "c" {
+			t.Fatal("chose an excluded instance")
 		}
 	}
-	if got["a"] != 500 || got["b"] != 250 || got["c"] != 250 || choose(nil, 0, nil) != "" {
+	if got["a"] != 500 || got["b"] != 250 || got["c"] != 250 || chooseInstance(nil, 0, nil) != "" {
 		t.Fatalf("%v", got)
 	}
 }
 
-// Symptom: after a region's instances are lost, all callers crowd one instance of
-// another region. Cause: the shares of entries whose weights are all 0.
+// Guards against sending all callers of a lost region to one instance of another
+// region, where all weights are 0.
 func TestChooseSpreadsOverOtherRegions(t *testing.T) {
 	entries := []entry{{URL: "http://own", Weight: 1}, {URL: "http://a"}, {URL: "http://b"}}
 	got := map[string]int{}
 	const picks = 1000
 	for i := range picks {
 		pick := float64(i) / picks
-		got[choose(entries, pick, map[string]bool{"own": true})]++
-		if choose(entries, pick, nil) != "own" {
+		got[chooseInstance(entries, pick, map[string]bool{"own": true})]++
+		if chooseInstance(entries, pick, nil) != "own" {
 			t.Fatal("chose another region while the own one answers")
 		}
 	}
--- a/operate/load/report.go
+++ b/operate/load/report.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// CodeCount counts a code with its verdict.
+// CodeCount counts refusals and error events by code and verdict.
 type CodeCount struct {
 	Name  string `json:"name"`
 	Count int64  `json:"count"`
 }
 
-// Side's figures, of one side of a run. Counts are of sendings, resends
-// included; times are of answers that were whole, time to first token also of
+// DestReport has the figures of one destination. Counts are of attempts, resends
+// included. Times are of complete answers, the time to the first token also of
 // streams that ended with an error event.
 type DestReport struct {
 	Sent         int64       `json:"sent"`
@@ -42,24 +42,24 @@
 	Total         Quantiles `json:"whole"`
 }
 
-// KeysReport counts requests that run at most once, by key over all sendings.
+// KeysReport counts the keys of requests that run at most once.
 type KeysReport struct {
 	Keys int64 `json:"keys"`
-	// Answered by at least one sending; NotRun: all sendings were told so;
-	// Ran: told that it ran, without the answer; Unknown: the rest.
+	// Answered: some attempt was answered. Ran: reported to have run, without the
+	// answer. NotRun: reported by all attempts. Unknown: the rest.
 	Answered int64 `json:"answered"`
 	NotRun   int64 `json:"not_run"`
 	Ran      int64 `json:"ran"`
 	Unknown  int64 `json:"unknown"`
-	// Doubled and Lied must be 0.
+	// DuplicateRuns and WrongVerdicts count faults of the gateway.
 	DuplicateRuns int64 `json:"doubled"`
 	WrongVerdicts int64 `json:"verdict_wrong"`
-	// Audited: the targets were asked after the run.
+	// Audited: all targets were asked after the run.
 	Audited bool `json:"audited"`
 }
 
-// Added is what the gateway adds to the baseline, in milliseconds: differences
-// of quantiles.
+// Overhead is what the gateway adds to the baseline, in milliseconds, as
+// differences of quantiles.
 type Overhead struct {
 	FirstP50 float64 `json:"first_p50_ms"`
 	FirstP99 float64 `json:"first_p99_ms"`
@@ -79,7 +79,7 @@
 	Notes           []string    `json:"notes"`
 }
 
-// Faults counts what must never happen.
+// Faults counts the faults of the gateway.
 func (r *Report) Faults() int64 {
 	n := r.Gateway.faults()
 	if r.Baseline != nil {
@@ -93,8 +93,8 @@
 
 func (s *DestReport) faults() int64 { return s.Unmarked + s.Wrong + s.BadRefusal }
 
-// report makes the figures of a side over the time that the run took.
-func (s *sideTally) report(took time.Duration) DestReport {
+// report makes the figures of a destination; took is the length of the run.
+func (s *destTally) report(took time.Duration) DestReport {
 	sent := int64(0)
 	for _, n := range s.kinds {
 		sent += n
@@ -104,45 +104,44 @@
 		Refused: s.kinds[Refused], CutWithEvent: s.kinds[CutWithEvent], Broken: s.kinds[Broken],
 		Unreached: s.kinds[Unreached], Unsent: s.kinds[Unsent], Unfinished: s.kinds[Unfinished],
 		Unmarked: s.kinds[Unmarked], Wrong: s.kinds[Wrong], BadRefusal: s.kinds[BadRefusal],
-		Codes: s.sortedCodes(), Resends: s.resends, Failovers: s.moved, Redirected: s.redirects,
+		Codes: s.sortedCodes(), Resends: s.resends, Failovers: s.failovers, Redirected: s.redirects,
 		RequestsPerSecond: float64(s.kinds[Answered]) / took.Seconds(),
 		TokensPerSecond:   float64(s.tokens) / took.Seconds(),
-		StartDelay:        s.wait.quantiles(), FirstToken: s.first.quantiles(),
-		BetweenTokens: s.between.quantiles(), Total: s.whole.quantiles(),
+		StartDelay:        s.startDelay.quantiles(), FirstToken: s.firstToken.quantiles(),
+		BetweenTokens: s.betweenTokens.quantiles(), Total: s.total.quantiles(),
 	}
 }
 
-// keysReport counts keys and adds examples of faults.
+// keysReport counts keys by result and adds examples of faults to the notes.
 func (t *tally) keysReport(audited bool) *KeysReport {
 	k := &KeysReport{Keys: int64(len(t.keys)), Audited: audited}
 	for _, h := range t.keys {
 		switch {
 		case h.answered != nil:
 			k.Answered++
-		case h.ran:
+		case h.reportedRun:
 			k.Ran++
 		case h.allNotRun:
 			k.NotRun++
 		default:
 			k.Unknown++
 		}
-		if h.doubled != "" {
+		if h.duplicateRun != "" {
 			k.DuplicateRuns++
-			t.note("doubled: " + h.doubled)
+			t.note("doubled: " + h.duplicateRun)
 		}
-		if h.lied != "" {
+		if h.wrongVerdict != "" {
 			k.WrongVerdicts++
-			t.note("wrong verdict: " + h.lied)
+			t.note("wrong verdict: " + h.wrongVerdict)
 		}
 	}
 	return k
 }
 
-// report makes the whole report.
 func (t *tally) report(c *Config, took time.Duration, audited bool) *Report {
-	r := &Report{Seed: c.Seed, Seconds: took.Seconds(), Gateway: t.sides[ToGateway].report(took)}
+	r := &Report{Seed: c.Seed, Seconds: took.Seconds(), Gateway: t.dests[ToGateway].report(took)}
 	if c.Baseline != "" {
-		b := t.sides[ToEngine].report(took)
+		b := t.dests[ToEngine].report(took)
 		r.Baseline = &b
 		r.Overhead = &Overhead{
 			FirstP50: r.Gateway.FirstToken.P50 - b.FirstToken.P50,
--- a/operate/load/run.go
+++ b/operate/load/run.go
@@ -12,60 +12,60 @@
 )
 
 const (
-	// endGrace is how long requests may end after the last arrival where they
-	// have no deadline, and beyond the deadline where they have one.
+	// endGrace is how long the run waits for requests after the last arrival, in
+	// addition to their deadline if they have one.
 	endGrace = 10 * time.Second
-	// auditTime bounds the asking of targets.
-	auditTime = time.Minute
-	// progressInterval is between lines of progress.
+	// auditTimeout bounds the audit.
+	auditTimeout     = time.Minute
 	progressInterval = time.Second
 	runNameBase      = 36
 )
 
-// Host is what a run uses of the world.
+// Env is the clock and the output of a run.
 type Env struct {
 	Now func() time.Time
-	// Sleep waits, or ends early with the context's error.
+	// Sleep waits, or returns early with the context's error.
 	Sleep func(context.Context, time.Duration) error
-	// Progress takes a line each second; nil for none.
+	// Progress, if not nil, gets a line each second.
 	Progress func(string)
 }
 
-// ErrNoInstance means that no directory could be read, so that nothing was sent.
+// ErrNoInstance means that no directory could be read and nothing was sent.
 var ErrNoInstance = errors.New("no instance gave its directory")
 
-// errAudit marks a run whose targets could not be asked.
+// errAudit is returned with the report if the audit failed.
 var errAudit = errors.New("the targets could not be asked how often they ran")
 
-// runner is one run.
+// runner holds the state of one run.
 type runner struct {
 	cfg      *Config
-	host     Env
+	env      Env
 	sender   *sender
 	tally    *tally
 	start    time.Time
 	arrivals *ring.Ring[Request]
-	ends     *ring.Ring[*outcome]
-	open     sync.WaitGroup
+	outcomes *ring.Ring[*outcome]
+	pending  sync.WaitGroup
 }
 
-// Run sends the load, waits for its ends, and reports. A fault of the gateway
-// is in the report and not an error.
-func Run(ctx context.Context, c Config, host Env) (*Report, error) {
+// Run sends the load, waits for the outcomes and reports. Faults of the gateway are
+// in the report and no error. Errors are those of Config.Check, ErrNoInstance, and
+// that of a failed audit, with which the report is returned too.
+func Run(ctx context.Context, c Config, env Env) (*Report, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	r := newRunner(&c, host)
+	r := newRunner(&c, env)
 	defer r.sender.client.CloseIdleConnections()
 	if err := r.firstDirectory(ctx); err != nil {
 		return nil, err
 	}
-	took := r.load(ctx)
+	took := r.sendLoad(ctx)
 	var err error
 	if len(c.Audit) > 0 {
-		auditing, cancel := context.WithTimeout(context.WithoutCancel(ctx), auditTime)
+		auditCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), auditTimeout)
 		defer cancel()
-		err = r.sender.audit(auditing, r.tally.keys)
+		err = r.sender.audit(auditCtx, r.tally.keys)
 	}
 	report := r.tally.report(&c, took, len(c.Audit) > 0 && err == nil)
 	report.DirectoryFaults = r.sender.directoryFaults.Load()
@@ -75,76 +75,77 @@
 	return report, nil
 }
 
-func newRunner(c *Config, host Env) *runner {
-	s := &sender{cfg: c, client: newClient(c), now: host.Now, sleep: host.Sleep}
-	s.run = strconv.FormatInt(host.Now().UnixNano(), runNameBase)
+func newRunner(c *Config, env Env) *runner {
+	s := &sender{cfg: c, client: newClient(c), now: env.Now, sleep: env.Sleep}
+	s.run = strconv.FormatInt(env.Now().UnixNano(), runNameBase)
 	for i := range c.Callers {
 		s.callers = append(s.callers, newCaller(c, i))
 	}
 	return &runner{
-		cfg: c, host: host, sender: s, tally: newTally(),
+		cfg: c, env: env, sender: s, tally: newTally(),
 		arrivals: ring.New[Request](c.Concurrency),
-		ends:     ring.New[*outcome](c.Concurrency),
+		outcomes: ring.New[*outcome](c.Concurrency),
 	}
 }
 
-// firstDirectory fails where the load would find no instance at all.
+// firstDirectory returns an error if no instance is known.
 func (r *runner) firstDirectory(ctx context.Context) error {
 	first := r.sender.callers[0]
 	if r.sender.instance(ctx, first, 0) != "" {
 		return nil
 	}
-	if err := r.sender.lastDirectory.Load(); err != nil {
+	if err := r.sender.lastDirectoryError.Load(); err != nil {
 		return fmt.Errorf("%w: %w", ErrNoInstance, *err)
 	}
 	return ErrNoInstance
 }
 
-// load runs the duties and returns how long it took.
-func (r *runner) load(ctx context.Context) time.Duration {
-	sending, cut := context.WithCancel(ctx)
-	defer cut()
-	working, stop := context.WithCancel(context.Background())
+// sendLoad runs the goroutines of the run and returns how long the load took.
+func (r *runner) sendLoad(ctx context.Context) time.Duration {
+	requestCtx, cancelRequests := context.WithCancel(ctx)
+	defer cancelRequests()
+	workerCtx, stopWorkers := context.WithCancel(context.Background())
 	var senders, tallying sync.WaitGroup
-	r.start = r.host.Now()
+	r.start = r.env.Now()
 	for range r.cfg.Concurrency {
-		senders.Go(func() { r.sendAll(working, sending) })
-	}
-	tallying.Go(func() { r.tallyAll() })
-	tallying.Go(func() { r.progressAll(working) })
-	r.arrive(ctx)
-	r.await(ctx, cut)
-	took := r.host.Now().Sub(r.start)
-	stop()
+		senders.Go(func() { r.sendArrivals(workerCtx, requestCtx) })
+	}
+	tallying.Go(func() { r.tallyOutcomes() })
+	tallying.Go(func() { r.printProgress(workerCtx) })
+	r.enqueueArrivals(ctx)
+	r.waitForOutcomes(ctx, cancelRequests)
+	took := r.env.Now().Sub(r.start)
+	stopWorkers()
 	senders.Wait()
-	_ = r.ends.Push(context.Background(), nil)
+	_ = r.outcomes.Push(context.Background(), nil)
 	tallying.Wait()
 	return took
 }
 
-// arrive hands out arrivals in their time.
-func (r *runner) arrive(ctx context.Context) {
+// enqueueArrivals enqueues each arrival at its time.
+func (r *runner) enqueueArrivals(ctx context.Context) {
 	plan := NewPlan(r.cfg)
 	for {
 		next, more := plan.Next()
 		if !more {
 			return
 		}
-		if r.host.Sleep(ctx, next.At-r.host.Now().Sub(r.start)) != nil {
+		if r.env.Sleep(ctx, next.At-r.env.Now().Sub(r.start)) != nil {
 			return
 		}
-		r.open.Add(1)
+		r.pending.Add(1)
 		if !r.arrivals.TryPush(next) {
-			r.open.Done()
-			r.take(&outcome{kind: Unsent, side: next.Dest})
+			r.pending.Done()
+			r.record(&outcome{kind: Unsent, dest: next.Dest})
 		}
 	}
 }
 
-// await waits for the ends, then cuts off what is left.
-func (r *runner) await(ctx context.Context, cut func()) {
+// waitForOutcomes waits until no request is pending; after the grace time or the end
+// of ctx it cancels the rest.
+func (r *runner) waitForOutcomes(ctx context.Context, cancelRequests func()) {
 	done := make(chan struct{})
-	go func() { r.open.Wait(); close(done) }()
+	go func() { r.pending.Wait(); close(done) }()
 	timer := time.NewTimer(r.cfg.Deadline + endGrace)
 	defer timer.Stop()
 	select {
@@ -153,43 +154,43 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	cut()
+	cancelRequests()
 	<-done
 }
 
-// sendAll takes arrivals until working ends; requests end with sending.
-func (r *runner) sendAll(working, sending context.Context) {
+// sendArrivals sends arrivals until workerCtx ends; requestCtx cancels requests.
+func (r *runner) sendArrivals(workerCtx, requestCtx context.Context) {
 	for {
-		next, err := r.arrivals.Pop(working)
+		next, err := r.arrivals.Pop(workerCtx)
 		if err != nil {
 			return
 		}
-		r.send(sending, next)
-		r.open.Done()
+		r.send(requestCtx, next)
+		r.pending.Done()
 	}
 }
 
 func (r *runner) send(ctx context.Context, next Request) {
-	wait := max(0, r.host.Now().Sub(r.start)-next.At)
-	take := func(o *outcome) {
+	startDelay := max(0, r.env.Now().Sub(r.start)-next.At)
+	record := func(o *outcome) {
 		if !o.resend {
-			o.wait = wait
+			o.startDelay = startDelay
 		}
-		r.take(o)
+		r.record(o)
 	}
 	if r.cfg.Plain == "" {
-		take(r.sender.model(ctx, next))
+		record(r.sender.sendModel(ctx, next))
 		return
 	}
-	r.tally.addKey(r.sender.once(ctx, next, take))
+	r.tally.addKey(r.sender.sendAtMostOnce(ctx, next, record))
 }
 
-func (r *runner) take(o *outcome) { _ = r.ends.Push(context.Background(), o) }
+func (r *runner) record(o *outcome) { _ = r.outcomes.Push(context.Background(), o) }
 
-// tallyAll counts ends until the nil that closes them.
-func (r *runner) tallyAll() {
+// tallyOutcomes counts outcomes up to the nil that marks the end.
+func (r *runner) tallyOutcomes() {
 	for {
-		o, err := r.ends.Pop(context.Background())
+		o, err := r.outcomes.Pop(context.Background())
 		if err != nil || o == nil {
 			return
 		}
@@ -197,11 +198,11 @@
 	}
 }
 
-func (r *runner) progressAll(working context.Context) {
-	if r.host.Progress == nil {
+func (r *runner) printProgress(workerCtx context.Context) {
+	if r.env.Progress == nil {
 		return
 	}
-	for r.host.Sleep(working, progressInterval) == nil {
-		r.host.Progress(r.tally.line(r.host.Now().Sub(r.start)))
+	for r.env.Sleep(workerCtx, progressInterval) == nil {
+		r.env.Progress(r.tally.progressLine(r.env.Now().Sub(r.start)))
 	}
 }
--- a/operate/load/send.go
+++ b/operate/load/send.go
@@ -22,13 +22,13 @@
 
 const (
 	dialTimeout = time.Second
-	// maxMoves bounds the instances that one sending tries because the earlier
-	// ones took no connection.
-	maxMoves = 3
-	// maxAnswerBytes bounds a whole answer of a plain service or a refusal.
+	// maxFailovers bounds the instances that one attempt tries until one accepts a
+	// connection.
+	maxFailovers = 3
+	// maxAnswerBytes bounds an answer of a plain service and a refusal.
 	maxAnswerBytes = 1 << 20
-	// enginePriority is what the gateway gives requests that name none. Without
-	// it, those that go straight to the engine would wait behind the others.
+	// enginePriority is the gateway's priority for requests that name none. Without
+	// it, requests sent directly to the engine would wait behind the others.
 	enginePriority = "5"
 )
 
@@ -42,7 +42,7 @@
 	headerVerdict    = "Gullhaven-Verdict"
 )
 
-// sender sends requests as callers do.
+// sender sends requests as callers do and checks the answers.
 type sender struct {
 	cfg     *Config
 	client  *http.Client
@@ -50,13 +50,14 @@
 	now     func() time.Time
 	sleep   func(context.Context, time.Duration) error
 	run     string
-	// directoryFaults counts readings that failed; lastDirectory is the last error.
-	directoryFaults atomic.Int64
-	lastDirectory   atomic.Pointer[error]
+	// directoryFaults counts failed reads of the directory; lastDirectoryError is
+	// the error of the last one.
+	directoryFaults    atomic.Int64
+	lastDirectoryError atomic.Pointer[error]
 }
 
 // newClient makes a client that connects to loopback only, follows no redirect
-// and never sends a request a second time by itself (see post).
+// and never repeats a request by itself (see post).
 func newClient(c *Config) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, Control: func(_, address string, _ syscall.RawConn) error {
 		return CheckLoopback(address)
@@ -71,14 +72,14 @@
 	}
 }
 
-func (s *sender) noteDirectory(err error) {
+func (s *sender) recordDirectoryError(err error) {
 	s.directoryFaults.Add(1)
-	s.lastDirectory.Store(&err)
+	s.lastDirectoryError.Store(&err)
 }
 
-// post makes a POST. Its body can't be read again: net/http would otherwise
-// send a request with an Idempotency-Key a second time by itself when a kept
-// connection breaks, and would call it the first sending once more.
+// post makes a POST request whose body can't be read again. Otherwise net/http
+// would repeat a request with an Idempotency-Key by itself when an idle connection
+// breaks, and mark it as the first attempt again.
 func post(ctx context.Context, url, body, key string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -92,7 +93,7 @@
 	return req, nil
 }
 
-// chatBody is the body of a completion.
+// chatBody is the body of a completion request.
 type chatBody struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
@@ -105,7 +106,8 @@
 	Content string `json:"content"`
 }
 
-// completion returns the body of a request and the stand-in's answer to it.
+// completion returns the body of a request and the text that the stand-in answers,
+// or "" if texts are not checked.
 func (s *sender) completion(r Request) (body, want string, err error) {
 	text := promptText(s.cfg, r.Number)
 	data, err := json.Marshal(chatBody{
@@ -122,9 +124,9 @@
 	return string(data), standin.Answer(parsed.Prompt, s.cfg.Tokens), nil
 }
 
-// model sends a completion.
-func (s *sender) model(ctx context.Context, r Request) *outcome {
-	o := &outcome{side: r.Dest}
+// sendModel sends a completion request.
+func (s *sender) sendModel(ctx context.Context, r Request) *outcome {
+	o := &outcome{dest: r.Dest}
 	body, want, err := s.completion(r)
 	if err != nil {
 		return o.end(Wrong, err.Error())
@@ -132,15 +134,15 @@
 	open := func(address string) (*http.Request, error) {
 		return s.completionRequest(ctx, r, address, body)
 	}
-	resp := s.reach(ctx, r, o, open)
+	resp := s.sendToInstance(ctx, r, o, open)
 	if resp == nil {
 		return o
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return o.refused(resp)
+		return o.addRefusal(resp)
 	}
-	s.followModel(resp.Body, o, want)
+	s.readModelAnswer(resp.Body, o, want)
 	return o
 }
 
@@ -163,41 +165,41 @@
 	return req, nil
 }
 
-// followModel reads a streamed answer into its outcome.
-func (s *sender) followModel(body io.Reader, o *outcome, want string) {
+// readModelAnswer reads a streamed answer into its outcome.
+func (s *sender) readModelAnswer(body io.Reader, o *outcome, want string) {
 	var st stream
 	last := o.began
-	err := st.follow(body, s.now, func(at time.Time) {
-		if o.first == 0 {
-			o.first = at.Sub(o.began)
+	err := st.read(body, s.now, func(at time.Time) {
+		if o.firstToken == 0 {
+			o.firstToken = at.Sub(o.began)
 		} else {
-			o.between = append(o.between, at.Sub(last))
+			o.betweenTokens = append(o.betweenTokens, at.Sub(last))
 		}
 		last = at
 	})
-	o.whole = s.now().Sub(o.began)
+	o.total = s.now().Sub(o.began)
 	o.tokens = st.tokens
 	kind, note := st.end(err, want)
-	if st.failed != nil {
-		o.code, o.verdict = st.failed.Error.Code, st.verdict
+	if st.errorEvent != nil {
+		o.code, o.verdict = st.errorEvent.Error.Code, st.verdict
 	}
-	o.late = kind == Answered && s.cfg.Deadline > 0 && o.whole > s.cfg.Deadline
+	o.late = kind == Answered && s.cfg.Deadline > 0 && o.total > s.cfg.Deadline
 	o.end(kind, note)
 }
 
-// reach sends to the caller's instances until one takes the connection, and
-// follows one refusal that names another place. It returns nil with the outcome
-// closed if there is no answer.
-func (s *sender) reach(ctx context.Context, r Request, o *outcome, open func(string) (*http.Request, error), not ...string) *http.Response {
+// sendToInstance sends to the caller's instances until one accepts the connection,
+// and follows one refusal that names another address. Without an answer it sets the
+// outcome and returns nil.
+func (s *sender) sendToInstance(ctx context.Context, r Request, o *outcome, open func(string) (*http.Request, error), exclude ...string) *http.Response {
 	o.began = s.now()
 	caller := s.callers[r.Caller]
-	for range maxMoves {
+	for range maxFailovers {
 		address := s.cfg.Baseline
 		if r.Dest == ToGateway {
-			address = s.instance(ctx, caller, r.Pick, not...)
+			address = s.instance(ctx, caller, r.Pick, exclude...)
 		}
 		if address == "" && r.Dest == ToGateway {
-			// There is no other instance than the one before.
+			// Only the excluded instance is left.
 			address = s.instance(ctx, caller, r.Pick)
 		}
 		if address == "" {
@@ -205,17 +207,17 @@
 		}
 		resp, err := s.try(o, address, open)
 		if err == nil {
-			return s.redirected(o, resp, open)
+			return s.followRedirect(o, resp, open)
 		}
-		if !unreached(err) {
-			o.end(brokenOr(ctx, Broken), err.Error())
+		if !dialFailed(err) {
+			o.end(unfinishedOr(ctx, Broken), err.Error())
 			return nil
 		}
 		o.note = err.Error()
-		caller.left(address)
-		o.moved++
+		caller.markUnreachable(address)
+		o.failovers++
 	}
-	o.end(brokenOr(ctx, Unreached), o.note)
+	o.end(unfinishedOr(ctx, Unreached), o.note)
 	return nil
 }
 
@@ -224,12 +226,13 @@
 	if err != nil {
 		return nil, err
 	}
-	o.at = address
+	o.instance = address
 	return s.client.Do(req)
 }
 
-// redirected follows a 421 to the place that it names.
-func (s *sender) redirected(o *outcome, resp *http.Response, open func(string) (*http.Request, error)) *http.Response {
+// followRedirect follows a 421 to the address in its Location header, if that is on
+// loopback.
+func (s *sender) followRedirect(o *outcome, resp *http.Response, open func(string) (*http.Request, error)) *http.Response {
 	if resp.StatusCode != http.StatusMisdirectedRequest {
 		return resp
 	}
@@ -247,22 +250,22 @@
 	return followed
 }
 
-// unreached reports whether no connection was made, so that nothing was sent.
-func unreached(err error) bool {
+// dialFailed reports whether no connection was made, so that nothing was sent.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// brokenOr tells the end of the run from a fault.
-func brokenOr(ctx context.Context, k Kind) Kind {
+// unfinishedOr returns Unfinished if the run has ended, else k.
+func unfinishedOr(ctx context.Context, k Kind) Kind {
 	if ctx.Err() != nil {
 		return Unfinished
 	}
 	return k
 }
 
-// refused checks a refusal and closes the outcome.
-func (o *outcome) refused(resp *http.Response) *outcome {
+// addRefusal reads and checks a refusal and sets the outcome.
+func (o *outcome) addRefusal(resp *http.Response) *outcome {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return o.end(Broken, err.Error())
@@ -278,8 +281,8 @@
 	return o.end(Refused, "")
 }
 
-// checkRefusal checks what stands beside a refusal's body. Whoever is refused
-// with 429 or 503 is told when to come back.
+// checkRefusal checks the headers of a refusal against its body. Refusals with 429
+// or 503 must say when to retry.
 func checkRefusal(resp *http.Response, body *refusalBody, v verdict.Verdict) error {
 	if got := resp.Header.Get(headerVerdict); got != v.String() {
 		return fmt.Errorf("header says verdict %q, the body %q", got, v)
--- a/operate/load/stream.go
+++ b/operate/load/stream.go
@@ -13,13 +13,13 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// endMark is the data of the last event of a whole stream.
+// endMark is the data of the last event of a complete stream.
 const endMark = "[DONE]"
 
-// streamBuffer holds the longest line of a stream.
-const streamBuffer = 64 << 10
+// maxStreamLine bounds a line of a stream, in bytes.
+const maxStreamLine = 64 << 10
 
-// chunk is the part of an event's data that is read.
+// chunk is an event's data; other fields are ignored.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -29,7 +29,7 @@
 	} `json:"choices"`
 }
 
-// refusalBody is the promised form of refusals and error events.
+// refusalBody is the documented form of refusals and error events.
 type refusalBody struct {
 	Error struct {
 		Code             verdict.Code `json:"code"`
@@ -39,7 +39,8 @@
 	} `json:"error"`
 }
 
-// parseRefusal reads a refusal; the error says what is not as promised.
+// parseRefusal reads a refusal; the error says how it differs from the documented
+// form.
 func parseRefusal(data []byte) (*refusalBody, verdict.Verdict, error) {
 	var b refusalBody
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -55,53 +56,53 @@
 	return &b, v, nil
 }
 
-// stream steps through the lines of a streamed answer.
+// stream parses a streamed answer line by line.
 type stream struct {
-	event  string
-	text   strings.Builder
-	tokens int
-	marked bool
-	failed *refusalBody
+	event      string
+	text       strings.Builder
+	tokens     int
+	done       bool
+	errorEvent *refusalBody
 	// verdict of the error event.
 	verdict verdict.Verdict
-	// fault is the first thing that was wrong.
+	// fault is the first fault of the stream.
 	fault string
 }
 
-// line takes one line without its end and reports whether it held a token.
-func (s *stream) line(line []byte) bool {
+// addLine parses a line without its end and reports whether it held a token.
+func (s *stream) addLine(line []byte) bool {
 	switch {
 	case len(line) == 0:
 		s.event = ""
 	case bytes.HasPrefix(line, []byte("event:")):
 		s.event = string(bytes.TrimSpace(line[len("event:"):]))
 	case bytes.HasPrefix(line, []byte("data:")):
-		return s.data(bytes.TrimSpace(line[len("data:"):]))
+		return s.addData(bytes.TrimSpace(line[len("data:"):]))
 	}
 	return false
 }
 
-func (s *stream) data(data []byte) bool {
-	if s.marked || s.failed != nil {
-		s.wrong("an event follows the last one")
+func (s *stream) addData(data []byte) bool {
+	if s.done || s.errorEvent != nil {
+		s.recordFault("an event follows the last one")
 		return false
 	}
 	if s.event == "error" {
 		body, v, err := parseRefusal(data)
 		if err != nil {
-			s.wrong("error event: " + err.Error())
+			s.recordFault("error event: " + err.Error())
 			return false
 		}
-		s.failed, s.verdict = body, v
+		s.errorEvent, s.verdict = body, v
 		return false
 	}
 	if string(data) == endMark {
-		s.marked = true
+		s.done = true
 		return false
 	}
 	var c chunk
 	if json.Unmarshal(data, &c) != nil || len(c.Choices) != 1 {
-		s.wrong("an event is not a chunk")
+		s.recordFault("an event is not a chunk")
 		return false
 	}
 	s.text.WriteString(c.Choices[0].Delta.Content)
@@ -110,25 +111,25 @@
 	return true
 }
 
-func (s *stream) wrong(what string) {
+func (s *stream) recordFault(what string) {
 	if s.fault == "" {
 		s.fault = what
 	}
 }
 
-// end says how the stream ended. err is that of the connection, nil after a
-// clean end; want is the whole text, or "" if it is not known.
+// end returns how the stream ended, with a note. err is the error of the connection,
+// nil after a clean end; want is the whole text, or "" if unknown.
 func (s *stream) end(err error, want string) (Kind, string) {
 	switch {
 	case s.fault != "":
 		return Wrong, s.fault
 	case want != "" && !strings.HasPrefix(want, s.text.String()):
 		return Wrong, "the text is not the answer to this prompt"
-	case s.failed != nil:
+	case s.errorEvent != nil:
 		return CutWithEvent, ""
-	case s.marked && want != "" && len(want) != s.text.Len():
+	case s.done && want != "" && len(want) != s.text.Len():
 		return Wrong, fmt.Sprintf("marked whole with %d of %d bytes", s.text.Len(), len(want))
-	case s.marked:
+	case s.done:
 		return Answered, ""
 	case err != nil:
 		return Broken, err.Error()
@@ -136,9 +137,9 @@
 	return Unmarked, fmt.Sprintf("ended after %d tokens", s.tokens)
 }
 
-// follow reads a stream to its end and notes when tokens came.
-func (s *stream) follow(body io.Reader, now func() time.Time, token func(time.Time)) error {
-	r := bufio.NewReaderSize(body, streamBuffer)
+// read reads a stream to its end and calls token with the time of each token.
+func (s *stream) read(body io.Reader, now func() time.Time, token func(time.Time)) error {
+	r := bufio.NewReaderSize(body, maxStreamLine)
 	for {
 		line, err := r.ReadSlice('\n')
 		if err == io.EOF && len(line) == 0 {
@@ -147,7 +148,7 @@
 		if err != nil && err != io.EOF {
 			return err
 		}
-		if s.line(bytes.TrimRight(line, "\r\n")) {
+		if s.addLine(bytes.TrimRight(line, "\r\n")) {
 			token(now())
 		}
 		if err == io.EOF {
--- a/operate/load/tally.go
+++ b/operate/load/tally.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// Histograms reach from a microsecond to ten minutes, in nanoseconds, with
-	// three digits.
-	shortest = int64(time.Microsecond)
-	longest  = int64(10 * time.Minute)
-	digits   = 3
+	// Range of histograms, in nanoseconds, and their precision.
+	minDuration       = int64(time.Microsecond)
+	maxDuration       = int64(10 * time.Minute)
+	significantDigits = 3
 	// maxNotes bounds the examples of faults in a report.
 	maxNotes = 10
 )
 
-// times is a histogram of durations.
-type times struct{ h *hdrhistogram.Histogram }
+// histogram counts durations.
+type histogram struct{ h *hdrhistogram.Histogram }
 
-func newTimes() times { return times{hdrhistogram.New(shortest, longest, digits)} }
+func newHistogram() histogram {
+	return histogram{hdrhistogram.New(minDuration, maxDuration, significantDigits)}
+}
 
-// add counts a duration; those out of range count at its ends.
-func (t times) add(d time.Duration) {
-	_ = t.h.RecordValue(min(max(int64(d), shortest), longest))
+// add counts a duration; one out of range counts as the nearest bound.
+func (t histogram) add(d time.Duration) {
+	_ = t.h.RecordValue(min(max(int64(d), minDuration), maxDuration))
 }
 
-// Quantiles of a duration, in milliseconds.
+// Quantiles of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -40,7 +41,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-func (t times) quantiles() Quantiles {
+func (t histogram) quantiles() Quantiles {
 	if t.h.TotalCount() == 0 {
 		return Quantiles{}
 	}
@@ -53,50 +54,49 @@
 
 func millis(nanoseconds float64) float64 { return nanoseconds / float64(time.Millisecond) }
 
-// sideTally counts the sendings to one side.
-type sideTally struct {
-	kinds     [kinds]int64
+// destTally counts the attempts to one destination.
+type destTally struct {
+	kinds     [kindCount]int64
 	codes     map[string]int64
 	resends   int64
 	late      int64
-	moved     int64
+	failovers int64
 	redirects int64
 	tokens    int64
 
-	wait, first, between, whole times
+	startDelay, firstToken, betweenTokens, total histogram
 }
 
-func newSideTally() *sideTally {
-	return &sideTally{codes: map[string]int64{}, wait: newTimes(), first: newTimes(), between: newTimes(), whole: newTimes()}
+func newDestTally() *destTally {
+	return &destTally{codes: map[string]int64{}, startDelay: newHistogram(), firstToken: newHistogram(), betweenTokens: newHistogram(), total: newHistogram()}
 }
 
-// tally counts the ends of sendings. Its user is one goroutine; others read
-// through its lock.
+// tally counts the outcomes of attempts. Its methods are safe for concurrent use.
 type tally struct {
 	mu    sync.Mutex
-	sides [2]*sideTally
+	dests [2]*destTally
 	notes []string
 	keys  []*history
 }
 
 func newTally() *tally {
-	return &tally{sides: [2]*sideTally{newSideTally(), newSideTally()}}
+	return &tally{dests: [2]*destTally{newDestTally(), newDestTally()}}
 }
 
-// add counts one end.
+// add counts one outcome.
 func (t *tally) add(o *outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.sides[o.side]
+	s := t.dests[o.dest]
 	s.add(o)
 	if o.kind >= Unmarked && len(t.notes) < maxNotes {
-		t.notes = append(t.notes, fmt.Sprintf("%s at %s: %s", o.kind, o.at, o.note))
+		t.notes = append(t.notes, fmt.Sprintf("%s at %s: %s", o.kind, o.instance, o.note))
 	}
 }
 
-func (s *sideTally) add(o *outcome) {
+func (s *destTally) add(o *outcome) {
 	s.kinds[o.kind]++
-	s.moved += int64(o.moved)
+	s.failovers += int64(o.failovers)
 	s.redirects += int64(o.redirected)
 	s.tokens += int64(o.tokens)
 	if o.resend {
@@ -108,23 +108,23 @@
 	if o.kind == Unsent {
 		return
 	}
-	s.wait.add(o.wait)
-	if o.first > 0 && (o.kind == Answered || o.kind == CutWithEvent) {
-		s.first.add(o.first)
+	s.startDelay.add(o.startDelay)
+	if o.firstToken > 0 && (o.kind == Answered || o.kind == CutWithEvent) {
+		s.firstToken.add(o.firstToken)
 	}
 	if o.kind != Answered {
 		return
 	}
-	s.whole.add(o.whole)
-	for _, d := range o.between {
-		s.between.add(d)
+	s.total.add(o.total)
+	for _, d := range o.betweenTokens {
+		s.betweenTokens.add(d)
 	}
 	if o.late {
 		s.late++
 	}
 }
 
-// addKey keeps what a key's sendings were told.
+// addKey keeps the history of a key.
 func (t *tally) addKey(h *history) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,22 +140,22 @@
 	}
 }
 
-// line is a line of progress.
-func (t *tally) line(at time.Duration) string {
+// progressLine returns the counts so far as a line of text.
+func (t *tally) progressLine(at time.Duration) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.sides[ToGateway]
+	s := t.dests[ToGateway]
 	wrong := int64(0)
 	for _, n := range s.kinds[Unmarked:] {
 		wrong += n
 	}
 	return fmt.Sprintf("%3.0f s: answered %d, refused %d, cut %d, broken %d, unreached %d, unsent %d, wrong %d; first p50 %.1f ms, p99 %.1f ms",
 		at.Seconds(), s.kinds[Answered], s.kinds[Refused], s.kinds[CutWithEvent], s.kinds[Broken], s.kinds[Unreached], s.kinds[Unsent],
-		wrong, s.first.quantiles().P50, s.first.quantiles().P99)
+		wrong, s.firstToken.quantiles().P50, s.firstToken.quantiles().P99)
 }
 
-// sortedCodes in the order of their names.
-func (s *sideTally) sortedCodes() []CodeCount {
+// sortedCodes returns the codes in the order of their names.
+func (s *destTally) sortedCodes() []CodeCount {
 	list := []CodeCount{}
 	for name, n := range s.codes {
 		list = append(list, CodeCount{Name: name, Count: n})
