--- a/operate/capacity/bench_test.go
+++ b/operate/capacity/bench_test.go
@@ -26,7 +26,7 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// processorTime of this process so far.
+// processorTime returns the processor time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -35,9 +35,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkObservation measures one load observation as a message of an owner
-// carries it, a message without any, and what a receiver spends on one but for
-// the link.
+// BenchmarkObservation measures the bytes of one load observation in an owner's
+// message, the bytes of a message without any, and the receiver's time for one
+// observation without the link.
 func BenchmarkObservation(b *testing.B) {
 	const engines = 16
 	owner, other := loads.NewTable("owner"), loads.NewTable("other")
@@ -45,12 +45,12 @@
 	for i := range engines {
 		targets = append(targets, loads.Target{ID: fmt.Sprintf("runner-%04d", i)})
 	}
-	for _, book := range []*loads.Table{owner, other} {
-		book.SetTargets(targets)
-		book.SetMembers([]string{"owner", "other"})
+	for _, table := range []*loads.Table{owner, other} {
+		table.SetTargets(targets)
+		table.SetMembers([]string{"owner", "other"})
 	}
 	now := time.Unix(1_796_000_000, 0)
-	// share is what the owner sends a while after the loads changed.
+	// share returns the owner's message after the loads of some targets changed.
 	share := func(observed int) []byte {
 		now = now.Add(5 * time.Second)
 		for i := range observed {
@@ -64,7 +64,7 @@
 		}
 		return data
 	}
-	// The first tells the details as well.
+	// The first messages carry the details as well.
 	share(engines)
 	share(engines)
 	one, all := share(1), share(engines)
@@ -79,8 +79,9 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/engines, "ns/observation")
 }
 
-// BenchmarkDemand measures one demand of a workspace's limit and its share, of
-// two in a row, a part without any and a report without parts.
+// BenchmarkDemand measures the bytes of one demand and one share of a limit (a row
+// has two of each), of a partition without rows, and of a report without
+// partitions.
 func BenchmarkDemand(b *testing.B) {
 	const workspaces = 16
 	var rows []limits.Row
@@ -115,44 +116,44 @@
 	b.ReportMetric(2*size(report(empty))-size(report(empty, empty)), "B/report")
 }
 
-// countedListener counts the bytes of its connections.
-type countedListener struct {
+// countingListener counts the bytes of its connections, both ways.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-// Accept counts what the connection carries.
-func (l countedListener) Accept() (net.Conn, error) {
+// Accept wraps the connection to count its bytes.
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return countedConn{c, l.bytes}, err
+	return countingConn{c, l.bytes}, err
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read counts.
-func (c countedConn) Read(p []byte) (int, error) {
+// Read counts the bytes read.
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts.
-func (c countedConn) Write(p []byte) (int, error) {
+// Write counts the bytes written.
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkPoll measures one poll of an engine's load over loopback: bytes of
-// HTTP both ways, and processor time of owner and stand-in together, which is an
-// upper bound for the owner.
+// BenchmarkPoll measures one poll of an engine's load over loopback: bytes of HTTP
+// both ways, and processor time of owner and stand-in together, an upper bound for
+// the owner.
 func BenchmarkPoll(b *testing.B) {
 	var bytes atomic.Int64
 	server := httptest.NewUnstartedServer(standin.NewEngine(standin.EngineConfig{ID: "e"}))
-	server.Listener = countedListener{server.Listener, &bytes}
+	server.Listener = countingListener{server.Listener, &bytes}
 	server.Start()
 	defer server.Close()
 	set := enginehttp.NewSet(sending.NewTransports(sending.Options{}))
@@ -170,8 +171,8 @@
 	b.ReportMetric(float64(processorTime(b)-used)/float64(b.N), "cpu-ns/poll")
 }
 
-// heap is what is held after a collection.
-func heap() int64 {
+// heapBytes returns the bytes in use after a garbage collection.
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -179,22 +180,22 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkBundleHeap measures what an instance holds for a bundle of the
-// planned size: the bundle with the view of it that requests use.
+// BenchmarkBundleHeap measures the memory of a bundle of the planned size, and of the
+// view of it that requests use.
 func BenchmarkBundleHeap(b *testing.B) {
 	data, err := json.Marshal(bundletest.Large(bundletest.FullSize))
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		decoded, err := bundle.Decode(data)
 		if err != nil {
 			b.Fatal(err)
 		}
-		held := heap()
+		held := heapBytes()
 		view := pipeline.NewView(decoded, "", decoded.Regions[0].ID)
-		both := heap()
+		both := heapBytes()
 		b.ReportMetric(float64(held-before), "B/bundle")
 		b.ReportMetric(float64(both-held), "B/view")
 		runtime.KeepAlive(decoded)
@@ -202,9 +203,9 @@
 	}
 }
 
-// BenchmarkInstall measures what each instance spends on one accepted change of
-// a workspace: the change is applied, its digest compared, and the view made
-// anew.
+// BenchmarkInstall measures the processor time of an instance for one accepted
+// change of a workspace: the delta is applied, the digest computed and the view
+// rebuilt.
 func BenchmarkInstall(b *testing.B) {
 	from, to := bundletest.Large(bundletest.FullSize), bundletest.Large(bundletest.FullSize)
 	digest, err := from.Digest()
--- a/operate/capacity/capacity_test.go
+++ b/operate/capacity/capacity_test.go
@@ -18,7 +18,7 @@
 	"github.com/gullhaven/gullhaven/node/loads"
 )
 
-func planned(t *testing.T, size Size) *Report {
+func newReport(t *testing.T, size Size) *Report {
 	t.Helper()
 	slopes, err := Recorded()
 	if err != nil {
@@ -31,8 +31,8 @@
 	return r
 }
 
-// Symptom: a table that shows less cost for a larger system, or fails at some
-// size. Cause: a slope used the wrong way round, a division by nothing.
+// Guards against a table with lower cost for a larger system, or one that fails at
+// some size: a slope used the wrong way round, or a division by zero.
 func TestCostGrowsWithEachSize(t *testing.T) {
 	slopes, err := Recorded()
 	if err != nil {
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestSizesThatCanNotBe(t *testing.T) {
+func TestImpossibleSizesAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(*Size){
 		"no region":           func(s *Size) { s.Regions = 0 },
 		"fewer than regions":  func(s *Size) { s.Instances = 3 },
@@ -85,27 +85,27 @@
 		s := Planned()
 		spoil(&s)
 		if s.Check() == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 }
 
-// Symptom: the table follows an older version of the code. Cause: a number that
-// was changed there and not here.
-func TestNumbersAreThoseOfTheCode(t *testing.T) {
+// Guards against constants of this package that no longer match the code they
+// stand for.
+func TestConstantsMatchTheCode(t *testing.T) {
 	if got := time.Second / loads.TimingOf(1, 0, 0).ShareInterval; got != batchesPerSecond {
 		t.Errorf("%d batches a second, here %d", got, batchesPerSecond)
 	}
 	if claim.MaxRecords != maxClaims {
 		t.Errorf("%d claims, here %d", claim.MaxRecords, maxClaims)
 	}
-	if limits.ReportInterval > demandTime*time.Second {
-		t.Errorf("limits are reported every %v, but stay in the reports for %d s", limits.ReportInterval, demandTime)
+	if limits.ReportInterval > demandSeconds*time.Second {
+		t.Errorf("limits are reported every %v, but stay in the reports for %d s", limits.ReportInterval, demandSeconds)
 	}
 }
 
-// Symptom: the table has fewer bytes of load reports than an instance receives.
-// Cause: a bound of node/loads that does not hold what a message takes.
+// Guards against a table with fewer bytes of load reports than an instance receives,
+// because a bound of node/loads is below the size of a message.
 func TestBoundsOfLoadReportsHoldTheSlopes(t *testing.T) {
 	slopes, err := Recorded()
 	if err != nil {
@@ -119,24 +119,24 @@
 	}
 }
 
-// command names the benchmark or test and the package of a slope's command.
+// command matches a slope's command with its benchmark or test and its package.
 var command = regexp.MustCompile(`-(bench|run) '?([A-Z]\w+)'?.* (\S+)$`)
 
-// Symptom: nobody can measure a figure again. Cause: its command names a test or
-// a package that is gone, or the slope is not used.
+// Guards against slopes that can't be measured again, because the command names a
+// missing test or package, and against unused slopes.
 func TestEachSlopeCanBeMeasuredAndIsUsed(t *testing.T) {
 	list, err := List()
 	if err != nil {
 		t.Fatal(err)
 	}
 	used := []string{"install_cpu", "spread_time", "accept_cpu", "path_requests", "path_tokens"}
-	for _, role := range planned(t, Planned()).Roles {
+	for _, role := range newReport(t, Planned()).Roles {
 		for _, d := range role.Duties {
 			used = append(used, d.Slopes...)
 		}
 	}
 	for _, s := range list {
-		if !slices.Contains(used, s.Name) && !slices.Contains(told, s.Name) {
+		if !slices.Contains(used, s.Name) && !slices.Contains(pageSlopes, s.Name) {
 			t.Errorf("%s is used nowhere", s.Name)
 		}
 		m := command.FindStringSubmatch(s.Command)
@@ -155,8 +155,8 @@
 	}
 }
 
-// told are slopes that docs/CAPACITY.md speaks of beside the table.
-var told = []string{"membership_found", "change_bytes", "burn_encoded", "decide_cpu", "stream_memory"}
+// pageSlopes are the slopes that docs/CAPACITY.md mentions outside the table.
+var pageSlopes = []string{"membership_found", "change_bytes", "burn_encoded", "decide_cpu", "stream_memory"}
 
 func declares(t *testing.T, folder string, name *regexp.Regexp) bool {
 	t.Helper()
@@ -170,8 +170,8 @@
 	})
 }
 
-// Symptom: the page decides by figures that the code no longer gives. Cause: a
-// slope was measured anew, and the page not written anew.
+// Guards against figures in docs/CAPACITY.md that differ from the output after a
+// slope has changed.
 func TestThePageHasTheTablesOfTheSlopes(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
@@ -179,14 +179,14 @@
 	}
 	for _, size := range []Size{Planned(), Planned().Times(10)} {
 		var want bytes.Buffer
-		if err := planned(t, size).Write(&want, Markdown); err != nil {
+		if err := newReport(t, size).Write(&want, Markdown); err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Contains(page, want.Bytes()) {
 			t.Errorf("the page lacks the output of gullhaven capacity --markdown at %d instances", size.Instances)
 		}
 	}
-	for _, name := range told {
+	for _, name := range pageSlopes {
 		if !strings.Contains(string(page), "`"+name+"`") {
 			t.Errorf("the page does not speak of %s", name)
 		}
--- a/operate/capacity/duties.go
+++ b/operate/capacity/duties.go
@@ -9,40 +9,43 @@
 	"github.com/gullhaven/gullhaven/node/loads"
 )
 
-// Numbers of the code that the duties follow.
+// Constants that follow other packages.
 const (
-	// eventsPerSecond are reads of an engine's cache events.
+	// eventsPerSecond is the rate of reads of an engine's cache events.
 	eventsPerSecond = 1
-	// batchesPerSecond bounds the batches of observations of one owner.
+	// batchesPerSecond bounds the messages with observations of one owner.
 	batchesPerSecond = 10
-	// demandTime is how long a limit stays in the reports after its last use,
-	// in seconds; resourcesPerLimit are requests and tokens.
-	demandTime        = 5
+	// demandSeconds is how long a limit stays in the reports after its last use.
+	// The resourcesPerLimit are requests and tokens.
+	demandSeconds     = 5
 	resourcesPerLimit = 2
 	// maxClaims is claim.MaxRecords.
 	maxClaims = 1 << 18
-	// commitsPerClaim: the claim and its end.
+	// commitsPerClaim: one for the claim, one for its end.
 	commitsPerClaim = 2
-	// globalHeartbeatScale: the global group beats at 200 ms and not at 100 ms.
+	// globalHeartbeatScale: heartbeats of the global group are 200 ms apart; the
+	// slope is for 100 ms.
 	globalHeartbeatScale = 0.5
-	// logEntries that a group holds in memory: until a snapshot, and those kept
-	// before it.
+	// logEntries bounds the log entries that a group holds in memory: those since
+	// the last snapshot and those kept before it.
 	logEntries = replhost.DefaultSnapshotEntries + replhost.DefaultKeepEntries
-	// measuredInterval is the time between changes when spreading was measured.
-	measuredInterval = 60.0
+	// spreadSlopeInterval is the time between changes that the slopes of spreading
+	// are for, in seconds.
+	spreadSlopeInterval = 60.0
 )
 
-// Numbers that nobody measured.
+// Assumptions without a slope.
 const (
-	// summaryBytes of a region's roster and summary, and how often relays send
-	// them to each other region in a second.
+	// summaryBytes is the size of a region's roster or summary, summariesPerSec how
+	// often relays send a summary to each other region.
 	summaryBytes    = 1000
 	summariesPerSec = 0.4
-	// busiest owner of targets by the mean one: rendezvous hashing is uneven.
-	busiest = 3
+	// busiestOwnerFactor is the number of targets of the busiest owner divided by the
+	// mean: rendezvous hashing is uneven.
+	busiestOwnerFactor = 3
 )
 
-func (w worker) links() Duty {
+func (w estimator) links() Duty {
 	peers := w.region.members - 1
 	perLink := w.slopes.of("link_heap") + w.slopes.of("link_stack")
 	return Duty{
@@ -53,9 +56,9 @@
 	}
 }
 
-func (w worker) membership() Duty {
+func (w estimator) membership() Duty {
 	n := w.slopes.of("membership_messages")
-	c := w.messages(n, w.slopes.of("membership_bytes")/n, n, w.slopes.of("membership_bytes")/n)
+	c := w.messageCost(n, w.slopes.of("membership_bytes")/n, n, w.slopes.of("membership_bytes")/n)
 	c.CPU += w.slopes.of("membership_cpu") * 1e-6
 	c.Memory = w.slopes.of("membership_memory") * w.region.members
 	return Duty{
@@ -65,22 +68,24 @@
 	}
 }
 
-// spread takes the measured minute with one change for each minute's changes:
-// what does not come of changes is counted several times, so it is a bound.
-func (w worker) spread() Duty {
-	minutes := max(w.size.changeRate()*measuredInterval, 1)
+// bundleSpread counts the traffic of a minute with one change once for each change
+// in a minute. Traffic that doesn't depend on changes is then counted several
+// times, so the cost is an upper bound.
+func (w estimator) bundleSpread() Duty {
+	minutes := max(w.size.changeRate()*spreadSlopeInterval, 1)
 	n := w.slopes.of("spread_messages") * minutes
 	payload := w.slopes.of("spread_bytes") / w.slopes.of("spread_messages")
 	return Duty{
 		Name: "bundle spreading", State: "the last changes", Mark: Derived,
-		Cost:      w.messages(n, payload, n, payload),
+		Cost:      w.messageCost(n, payload, n, payload),
 		Mechanism: "bundle/spread: a tree of changes of 652 B, two comparisons a second",
 		Slopes:    []string{"spread_messages", "spread_bytes", "link_message_cpu", "link_message_bytes"},
 	}
 }
 
-// install holds two bundles and views while one replaces the other.
-func (w worker) install() Duty {
+// bundleInstall counts the memory of two bundles and views, as both are held while
+// one replaces the other.
+func (w estimator) bundleInstall() Duty {
 	scale := w.size.bundleScale()
 	return Duty{
 		Name: "bundle in force", State: "the bundle, twice during a change", Mark: Derived,
@@ -93,26 +98,27 @@
 	}
 }
 
-// owned are the targets of a mean owner.
-func (w worker) owned() float64 { return w.region.targets / w.region.members }
+// targetsPerOwner is the mean number of targets of an owner.
+func (w estimator) targetsPerOwner() float64 { return w.region.targets / w.region.members }
 
-// pace of sharing loads in the region.
-func (w worker) pace() loads.Timing {
-	return loads.TimingOf(int(w.region.members), int(w.region.targets), int(math.Ceil(busiest*w.owned())))
+// shareTiming returns the timing of polls and of sharing loads in the region.
+func (w estimator) shareTiming() loads.Timing {
+	return loads.TimingOf(int(w.region.members), int(w.region.targets), int(math.Ceil(busiestOwnerFactor*w.targetsPerOwner())))
 }
 
-// observations are the bounds that loads.TimingOf keeps: a message of each other
-// member and a row of each target in an interval, and both within
+// observationRates returns upper bounds, in a second, of the messages, observations and
+// bytes that an instance receives. loads.TimingOf keeps them: one message of each
+// other member and one row of each target in an interval, and both within
 // SteadyBytesPerSecond.
-func (w worker) observations() (messages, rows, bytes float64) {
+func (w estimator) observationRates() (messages, rows, bytes float64) {
 	messages = min((w.region.members-1)*batchesPerSecond, loads.SteadyBytesPerSecond/(w.slopes.of("loads_message_bytes")+w.slopes.of("link_message_bytes")))
 	rows = min(w.region.targets*batchesPerSecond, loads.SteadyBytesPerSecond/w.slopes.of("observation_bytes"))
 	bytes = messages*loads.MessageBytes + rows*loads.LoadBytes
 	return messages, rows, min(bytes, loads.SteadyBytesPerSecond) + loads.ExtraBytesPerSecond
 }
 
-func (w worker) loadsIn() Duty {
-	messages, rows, bytes := w.observations()
+func (w estimator) loadsIn() Duty {
+	messages, rows, bytes := w.observationRates()
 	return Duty{
 		Name: "load reports in", State: "the last observation of each target of the region", Mark: Derived,
 		Cost: Cost{
@@ -124,9 +130,9 @@
 	}
 }
 
-// loadsOut is the mean of all owners: what one receives, others have sent.
-func (w worker) loadsOut() Duty {
-	messages, _, bytes := w.observations()
+// loadsOut is the mean over all owners, which equals what one instance receives.
+func (w estimator) loadsOut() Duty {
+	messages, _, bytes := w.observationRates()
 	return Duty{
 		Name: "load reports out", State: "what the others know of each owned target", Mark: Derived,
 		Cost:      Cost{CPU: messages * w.slopes.of("link_message_cpu") / 2 * 1e-9, Sent: bytes, Messages: messages},
@@ -135,14 +141,14 @@
 	}
 }
 
-func (w worker) polls() Duty {
-	n := w.owned() * (1/w.pace().PollInterval.Seconds() + eventsPerSecond)
+func (w estimator) polls() Duty {
+	n := w.targetsPerOwner() * (1/w.shareTiming().PollInterval.Seconds() + eventsPerSecond)
 	bytes := n * w.slopes.of("poll_bytes")
 	return Duty{
 		Name: "polls of targets", State: "when each was polled", Mark: Derived,
 		Cost: Cost{
 			CPU: n * w.slopes.of("poll_cpu") * 1e-9,
-			// The slope is that of both ways and both ends.
+			// The slope is for both directions and both ends.
 			Sent: bytes / 2, Received: bytes / 2, Messages: 2 * n,
 		},
 		Mechanism: "node/loads: one owner for each target by rendezvous hashing, a deputy when it is silent",
@@ -150,22 +156,22 @@
 	}
 }
 
-// demands that one instance reports each second. That each request of a few
-// seconds is of another workspace is assumed: it is the worst case.
-func (w worker) demands() float64 {
-	used := w.region.requests / w.region.members * demandTime
+// demands returns the number of demands in a report of one instance. It assumes the
+// worst case: each request of the last demandSeconds is of another workspace.
+func (w estimator) demands() float64 {
+	used := w.region.requestsPerSecond / w.region.members * demandSeconds
 	return resourcesPerLimit * min(used, float64(w.size.Workspaces))
 }
 
-// limitOwners are the instances that own a part of the limits, on average.
-func (w worker) limitOwners() float64 {
+// limitOwners is the mean number of instances that own a partition of the limits.
+func (w estimator) limitOwners() float64 {
 	n := w.region.members
 	return n * (1 - math.Pow(1-1/n, limits.Partitions))
 }
 
-// limitCost of one side: calls in a second, with the demands in them, of which
-// the rows of each part add.
-func (w worker) limitCost(calls, parts, demands float64) (reports, answers float64) {
+// limitCost returns the bytes in a second of reports and answers, for calls,
+// partitions and demands in a second.
+func (w estimator) limitCost(calls, parts, demands float64) (reports, answers float64) {
 	head := w.slopes.of("limit_part_bytes")
 	frame := w.slopes.of("link_message_bytes") + w.slopes.of("limit_report_bytes")
 	reports = calls*frame + parts*head + demands*w.slopes.of("demand_bytes")
@@ -173,7 +179,7 @@
 	return reports, answers
 }
 
-func (w worker) limits() Duty {
+func (w estimator) limits() Duty {
 	interval := limits.ReportInterval.Seconds()
 	calls, demands := w.limitOwners()/interval, w.demands()/interval
 	reports, answers := w.limitCost(calls, limits.Partitions/interval, demands)
@@ -190,7 +196,7 @@
 
 // allocator is the cost of an instance that owns as many parts as the mean of
 // those that own any.
-func (w worker) allocator() Duty {
+func (w estimator) allocator() Duty {
 	interval := limits.ReportInterval.Seconds()
 	share := 1 / w.limitOwners()
 	calls := w.region.members / interval
@@ -207,8 +213,8 @@
 	}
 }
 
-func (w worker) burn() Duty {
-	perSecond := w.region.requests / w.region.members
+func (w estimator) burn() Duty {
+	perSecond := w.region.requestsPerSecond / w.region.members
 	handover := burn.HandoverPeers * burn.HandoverBytes / burn.HandoverInterval.Seconds()
 	return Duty{
 		Name: "burn and figures of services", State: "six hours of counts, histograms of some minutes", Mark: Assumed,
@@ -222,24 +228,24 @@
 	}
 }
 
-// historyBytes are what a burn.History holds for a service: its slots and those
-// of sixteen workspaces, 32 bytes each.
+// historyBytes is the memory of a burn.History for a service: its slots and those of
+// sixteen workspaces, 32 bytes each.
 const historyBytes = (120 + 72 + 16*72) * 32
 
-func (w worker) roster() Duty {
+func (w estimator) roster() Duty {
 	n := w.slopes.of("roster_messages")
 	return Duty{
 		Name: "rosters of regions", State: "up to eight instances of each other region", Mark: Assumed,
-		Cost:      w.messages(n, summaryBytes, n, summaryBytes),
+		Cost:      w.messageCost(n, summaryBytes, n, summaryBytes),
 		Mechanism: "coord/roster: relays tell relays, and their own members",
 		Slopes:    []string{"roster_messages", "link_message_cpu", "link_message_bytes"},
 	}
 }
 
-func (w worker) summaries() Duty {
+func (w estimator) summaries() Duty {
 	n := float64(w.size.Regions-1) * summariesPerSec
 	perLink := w.slopes.of("link_heap") + w.slopes.of("link_stack")
-	c := w.messages(n, summaryBytes, n, summaryBytes)
+	c := w.messageCost(n, summaryBytes, n, summaryBytes)
 	c.Memory = 2 * float64(w.size.Regions-1) * perLink
 	return Duty{
 		Name: "summaries of regions", State: "connections to two relays of each region", Cost: c, Mark: Assumed,
@@ -248,28 +254,29 @@
 	}
 }
 
-// half of a group's messages are sent by the leader, the other half are answers.
-func (w worker) leader(messages, bytes float64) Cost {
+// leaderCost is the cost of a group's messages for its leader, which sends half of
+// them and receives the answers.
+func (w estimator) leaderCost(messages, bytes float64) Cost {
 	payload := bytes / messages
-	return w.messages(messages/2, payload, messages/2, payload)
+	return w.messageCost(messages/2, payload, messages/2, payload)
 }
 
-func (w worker) groupHeartbeats() Duty {
+func (w estimator) groupHeartbeats() Duty {
 	return Duty{
 		Name: "heartbeats of the region's group", State: "term, vote, log", Mark: Derived,
-		Cost:      w.leader(w.slopes.of("group3_messages"), w.slopes.of("group3_bytes")),
+		Cost:      w.leaderCost(w.slopes.of("group3_messages"), w.slopes.of("group3_bytes")),
 		Mechanism: "coord/replog: three disks of the region",
 		Slopes:    []string{"group3_messages", "group3_bytes", "link_message_cpu", "link_message_bytes"},
 	}
 }
 
-// claimRate is claims in a second in the largest region.
-func (w worker) claimRate() float64 { return w.region.requests * w.size.AtMostOnceShare }
+// claimRate returns the claims in a second in the largest region.
+func (w estimator) claimRate() float64 { return w.region.requestsPerSecond * w.size.AtMostOnceShare }
 
-func (w worker) claims() Duty {
+func (w estimator) claims() Duty {
 	commits := commitsPerClaim * w.claimRate()
 	n := commits * w.slopes.of("commit3_messages")
-	c := w.leader(max(n, 1e-9), commits*w.slopes.of("commit3_bytes"))
+	c := w.leaderCost(max(n, 1e-9), commits*w.slopes.of("commit3_bytes"))
 	c.CPU += commits * (w.slopes.of("propose_cpu") + w.slopes.of("claim_cpu")) * 1e-9
 	c.Memory = min(maxClaims, w.claimRate()*w.size.ClaimLifetime) * w.slopes.of("claim_memory")
 	return Duty{
@@ -279,9 +286,9 @@
 	}
 }
 
-// orders are those of a drain and a load for each changed target, and cost
-// nothing beside the rest.
-func (w worker) orders() Duty {
+// orders counts a drain and a load for each changed target. Their cost is negligible
+// beside the rest.
+func (w estimator) orders() Duty {
 	const ordersPerChange = 4
 	n := w.size.changeRate() * ordersPerChange
 	bytes := n * w.slopes.of("poll_bytes")
@@ -293,17 +300,17 @@
 	}
 }
 
-func (w worker) globalHeartbeats() Duty {
+func (w estimator) globalHeartbeats() Duty {
 	scale := globalHeartbeatScale * float64(w.size.Voters-1) / 4
 	return Duty{
 		Name: "heartbeats of the global group", State: "term, vote, log", Mark: Derived,
-		Cost:      w.leader(max(scale*w.slopes.of("group5_messages"), 1e-9), scale*w.slopes.of("group5_bytes")),
+		Cost:      w.leaderCost(max(scale*w.slopes.of("group5_messages"), 1e-9), scale*w.slopes.of("group5_bytes")),
 		Mechanism: "coord/replog: a few disks in several regions",
 		Slopes:    []string{"group5_messages", "group5_bytes", "link_message_cpu", "link_message_bytes"},
 	}
 }
 
-func (w worker) acceptance() Duty {
+func (w estimator) acceptance() Duty {
 	scale := w.size.bundleScale()
 	return Duty{
 		Name: "acceptance of bundles", State: "the accepted bundle", Mark: Derived,
@@ -316,11 +323,11 @@
 	}
 }
 
-func (w worker) globalLog() Duty {
+func (w estimator) globalLog() Duty {
 	rate := w.size.changeRate()
 	n := rate * w.slopes.of("commit5_messages")
 	others := float64(w.size.Voters - 1)
-	c := w.leader(max(n, 1e-9), rate*others*w.slopes.of("accept_log"))
+	c := w.leaderCost(max(n, 1e-9), rate*others*w.slopes.of("accept_log"))
 	c.Memory = w.slopes.of("bundle_encoded")*w.size.bundleScale() + logEntries*w.slopes.of("accept_log")
 	return Duty{
 		Name: "log of bundles", State: "entries since the last snapshot, and that", Cost: c, Mark: Derived,
--- a/operate/capacity/play.go
+++ b/operate/capacity/run.go
@@ -13,30 +13,32 @@
 	"github.com/juju/errors"
 )
 
-// Play is what the report of one tells of the instances by role.
+// Run is the report of one run of a whole system: the load of its instances by
+// role.
 type Run struct {
-	// Machines is how many instances there were in all.
+	// Instances is the number of instances in all.
 	Instances int `json:"machines"`
-	// Served is the share of what was owed to callers that was served.
+	// Served is the share of the requests due to callers that was served, 0 to 1.
 	Served float64 `json:"served"`
-	// Load is that of each role.
+	// Load of the instances, by role.
 	Load map[string]RoleLoad `json:"load"`
-	// Acknowledged are the middle and the longest time until a configuration was acknowledged,
-	// in milliseconds; absent where there was none.
+	// ConfigAckMillis is the time until a configuration was acknowledged; 0 where
+	// there was none.
 	ConfigAckMillis int64 `json:"config_ack_ms"`
 }
 
-// RoleLoad is the load of the instances of a role: the middle one and the busiest for each of
-// the first Figures, and others that have no name here.
+// RoleLoad is the load of the instances of a role. Values holds the median and the
+// maximum over the instances: first those of Figures, then any others.
 type RoleLoad struct {
 	Instances int          `json:"machines"`
 	Values    [][2]float64 `json:"of"`
 }
 
-// Figures are the names of RoleLoad.Of, in its order.
+// Figures names the first of RoleLoad.Values, in their order.
 var Figures = []string{"processor, % of its part", "memory, MB", "KB/s both ways", "wake-ups/s", "connections"}
 
-// ReadPlay reads a report. Fields that it does not know are left out.
+// ReadRun reads a report; unknown fields are ignored. A report without instances or
+// roles, or with fewer values than Figures, is an error.
 func ReadRun(path string) (*Run, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -57,33 +59,34 @@
 	return m, nil
 }
 
-// ComparePlays compares reports, the smallest site first: a row for each figure of a role, a
-// column for each report, and the power by which the busiest instance grows with the number of
-// instances from the first to the last.
+// CompareRuns writes a table of reports: a column for each, smallest number of
+// instances first, a row for each figure of a role, and the exponent by which the
+// maximum grows with the number of instances from the first to the last report.
+// There must be at least one report.
 func CompareRuns(w io.Writer, reports []*Run) error {
 	sorted := slices.Clone(reports)
 	slices.SortStableFunc(sorted, func(a, b *Run) int { return cmp.Compare(a.Instances, b.Instances) })
-	t := &writer{out: w}
-	t.row("", "", func(m *Run) string { return fmt.Sprint(m.Instances, " instances") }, sorted, "power")
-	t.row("served", "", func(m *Run) string { return fmt.Sprintf("%.3f", m.Served) }, sorted, "")
-	t.row("acknowledged", "", func(m *Run) string { return fmt.Sprint(m.ConfigAckMillis, " ms") }, sorted, "")
+	t := &tableWriter{out: w}
+	t.compareRow("", "", func(m *Run) string { return fmt.Sprint(m.Instances, " instances") }, sorted, "power")
+	t.compareRow("served", "", func(m *Run) string { return fmt.Sprintf("%.3f", m.Served) }, sorted, "")
+	t.compareRow("acknowledged", "", func(m *Run) string { return fmt.Sprint(m.ConfigAckMillis, " ms") }, sorted, "")
 	first, last := sorted[0], sorted[len(sorted)-1]
 	for _, role := range slices.Sorted(maps.Keys(last.Load)) {
 		for k, figure := range Figures {
-			t.row(role, figure, func(m *Run) string {
+			t.compareRow(role, figure, func(m *Run) string {
 				load, ok := m.Load[role]
 				if !ok {
 					return "-"
 				}
 				return fmt.Sprintf("%.1f / %.1f", load.Values[k][0], load.Values[k][1])
-			}, sorted, power(first, last, role, k))
+			}, sorted, growthExponent(first, last, role, k))
 		}
 	}
 	return t.err
 }
 
-// row writes one row.
-func (t *writer) row(role, figure string, of func(*Run) string, reports []*Run, end string) {
+// compareRow writes one row.
+func (t *tableWriter) compareRow(role, figure string, of func(*Run) string, reports []*Run, end string) {
 	row := fmt.Sprintf("%-12s %-26s", role, figure)
 	for _, m := range reports {
 		row += fmt.Sprintf(" %18s", of(m))
@@ -91,8 +94,9 @@
 	t.line("%s %8s", row, end)
 }
 
-// power is that by which the busiest grows; empty where two sizes do not tell it.
-func power(first, last *Run, role string, k int) string {
+// growthExponent returns the exponent by which a role's maximum of figure k grows
+// with the number of instances, or "" if the two reports don't determine it.
+func growthExponent(first, last *Run, role string, k int) string {
 	a, ok := first.Load[role]
 	if !ok || first.Instances == last.Instances {
 		return ""
--- a/operate/capacity/play_test.go
+++ b/operate/capacity/run_test.go
@@ -41,13 +41,13 @@
 	}
 }
 
-func TestReportsOfNoUseAreRefused(t *testing.T) {
+func TestInvalidReportsAreRejected(t *testing.T) {
 	for _, text := range []string{``, `[]`, `{}`, `{"machines":3,"load":{}}`, `{"machines":3,"load":{"core":{"of":[[1,2]]}}}`, `{"machines":"3"}`} {
 		if m, err := ReadRun(writeReport(t, text)); err == nil {
 			t.Errorf("%s was read as %+v", text, m)
 		}
 	}
 	if _, err := ReadRun(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a report that is not there was read")
+		t.Error("a missing report was read")
 	}
 }
--- a/operate/capacity/size.go
+++ b/operate/capacity/size.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Size is what the system has to carry.
+// Size is the load that the system has to carry.
 type Size struct {
 	Instances    int     `json:"instances"`
 	Targets      int     `json:"targets"`
@@ -17,19 +17,19 @@
 	Regions      int     `json:"regions"`
 	Zones        int     `json:"zones"`
 	Changes      float64 `json:"changes_per_day"`
-	// Skew is the capacity of the largest region by that of the smallest; sizes
-	// between are taken as evenly spaced.
+	// Skew is the capacity of the largest region divided by that of the smallest.
+	// The sizes between are assumed to be evenly spaced.
 	Skew float64 `json:"skew"`
-	// Once is the share of requests that may run at most once.
+	// AtMostOnceShare is the share of requests that may run at most once, 0 to 1.
 	AtMostOnceShare float64 `json:"once_share"`
-	// ClaimLifetime of their records, in seconds.
+	// ClaimLifetime is the lifetime of their claims, in seconds.
 	ClaimLifetime float64 `json:"claim_lifetime_s"`
 	// Voters of the global group.
 	Voters int `json:"voters"`
 }
 
-// Planned is the size to design for. Once, ClaimLifetime and Voters are
-// assumed: the plan does not give them.
+// Planned returns the size to design for. AtMostOnceShare, ClaimLifetime and Voters
+// are assumptions; the plan does not give them.
 func Planned() Size {
 	return Size{
 		Instances: 360, Targets: 690, Accelerators: 5500, Requests: 3800, Tokens: 980_000, Workspaces: 10_000,
@@ -37,7 +37,8 @@
 	}
 }
 
-// Times is the size with everything grown by a factor but the regions.
+// Times returns the size with instances, targets, accelerators, workspaces, models,
+// requests, tokens and changes multiplied by a factor.
 func (s Size) Times(factor float64) Size {
 	grow := func(n int) int { return int(math.Round(float64(n) * factor)) }
 	s.Instances, s.Targets, s.Accelerators = grow(s.Instances), grow(s.Targets), grow(s.Accelerators)
@@ -46,7 +47,7 @@
 	return s
 }
 
-// Check refuses sizes that nothing can be worked out for.
+// Check returns an error for a size that New can't compute.
 func (s Size) Check() error {
 	switch {
 	case s.Instances < 1 || s.Targets < 1 || s.Regions < 1 || s.Voters < 1:
@@ -65,32 +66,32 @@
 	return nil
 }
 
-// largest is the share of the largest region: of n regions evenly spaced from 1
-// to skew.
-func (s Size) largest() float64 {
+// largestShare returns the share of the largest region in all capacity, of regions
+// evenly spaced from 1 to Skew.
+func (s Size) largestShare() float64 {
 	return 2 * s.Skew / (float64(s.Regions) * (1 + s.Skew))
 }
 
-// region is the largest region, whose instances bear the most.
+// region is the largest region, whose instances have the highest cost.
 type region struct {
-	members, targets float64
-	requests         float64
+	members, targets  float64
+	requestsPerSecond float64
 }
 
 func (s Size) region() region {
-	share := min(s.largest(), 1)
+	share := min(s.largestShare(), 1)
 	return region{
-		members:  math.Ceil(float64(s.Instances) * share),
-		targets:  math.Ceil(float64(s.Targets) * share),
-		requests: s.Requests * share,
+		members:           math.Ceil(float64(s.Instances) * share),
+		targets:           math.Ceil(float64(s.Targets) * share),
+		requestsPerSecond: s.Requests * share,
 	}
 }
 
-// changeRate is changes in a second.
+// changeRate returns the changes in a second.
 func (s Size) changeRate() float64 { return s.Changes / 86_400 }
 
-// bundleScale is the size of the bundle by that of the measured one, whose
-// workspaces and targets make nearly all of it.
+// bundleScale returns the size of the bundle divided by that of the bundle that the
+// slopes are for. Workspaces and targets are nearly all of a bundle.
 func (s Size) bundleScale() float64 {
 	p := Planned()
 	return float64(s.Workspaces+s.Targets) / float64(p.Workspaces+p.Targets)
--- a/operate/capacity/slopes.go
+++ b/operate/capacity/slopes.go
@@ -1,6 +1,6 @@
-// Package capacity works out what each role of an instance costs at a given
-// size, from slopes that were measured and are recorded in slopes.json, each
-// with the command that measures it again.
+// Package capacity computes the cost of each role of an instance at a given size,
+// from measured slopes. slopes.json records them, each with the command that
+// measures it again.
 package capacity
 
 import (
@@ -9,25 +9,26 @@
 	"fmt"
 )
 
-// Slope is one measured figure.
+// Slope is a measured cost per unit, such as bytes of a message.
 type Slope struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	// Command measures it again from the root of the repository.
+	// Command measures it again, run at the root of the repository.
 	Command string `json:"command"`
-	// Date of the measurement, year-month-day.
+	// Date of the measurement, as time.DateOnly.
 	Date string `json:"date"`
 	Note string `json:"note,omitempty"`
 }
 
 //go:embed slopes.json
-var recorded []byte
+var slopesJSON []byte
 
-// Slopes are the recorded measurements by name.
+// Slopes are the recorded slopes by name.
 type Slopes map[string]Slope
 
-// Recorded reads the slopes of this build. The error is of the embedded file.
+// Recorded returns the slopes of this build. An error means that the embedded file
+// is malformed or has a name twice.
 func Recorded() (Slopes, error) {
 	list, err := List()
 	if err != nil {
@@ -43,17 +44,17 @@
 	return slopes, nil
 }
 
-// List are the recorded measurements in their order.
+// List returns the slopes in the order of the embedded file.
 func List() ([]Slope, error) {
 	var list []Slope
-	if err := json.Unmarshal(recorded, &list); err != nil {
+	if err := json.Unmarshal(slopesJSON, &list); err != nil {
 		return nil, fmt.Errorf("slopes.json: %w", err)
 	}
 	return list, nil
 }
 
-// of is the value of a slope. A name that is not recorded is a fault of this
-// package, which a test finds.
+// of returns the value of a slope. It panics on an unknown name, which is a fault of
+// this package that a test finds.
 func (s Slopes) of(name string) float64 {
 	slope, ok := s[name]
 	if !ok {
--- a/operate/capacity/table.go
+++ b/operate/capacity/table.go
@@ -5,33 +5,33 @@
 	"math"
 )
 
-// Budget of control for one instance.
+// Budgets of control, which is all work besides the request path.
 const (
-	BudgetCPU      = 0.041      // of a core
-	BudgetMemory   = 64_000_000 // bytes
-	BudgetBytes    = 8_000      // bytes in a second
-	BudgetSetAside = 7          // instances
+	BudgetCPU      = 0.041      // of a core, for one instance
+	BudgetMemory   = 64_000_000 // bytes, for one instance
+	BudgetBytes    = 8_000      // bytes in a second each way, for one instance
+	BudgetSetAside = 7          // instances that do nothing else
 	BudgetChange   = 4.0        // seconds until a change is in force everywhere
 )
 
-// Mark says how a figure was come by.
+// Mark says what a figure is based on.
 type Mark string
 
-// Marks. A derived figure is worked out from measured slopes only; one that
-// needs a number that nobody measured is assumed.
+// Marks. A derived figure is computed from measured slopes only; one that also needs
+// a number that was not measured is assumed.
 const (
 	Measured Mark = "measured"
 	Derived  Mark = "derived"
 	Assumed  Mark = "assumed"
 )
 
-// Cost is what one instance spends.
+// Cost is the cost for one instance.
 type Cost struct {
-	// CPU is a share of a core.
+	// CPU in cores.
 	CPU float64 `json:"cpu_cores"`
 	// Memory in bytes.
 	Memory float64 `json:"memory_bytes"`
-	// Sent and Received are bytes in a second, framing included.
+	// Sent and Received are bytes in a second, including framing.
 	Sent     float64 `json:"sent_bytes_per_second"`
 	Received float64 `json:"received_bytes_per_second"`
 	// Messages sent and received in a second.
@@ -42,8 +42,8 @@
 	return Cost{c.CPU + o.CPU, c.Memory + o.Memory, c.Sent + o.Sent, c.Received + o.Received, c.Messages + o.Messages}
 }
 
-// Over names what exceeds the budget of control. Of bytes the larger direction
-// counts.
+// Over lists what exceeds the budgets, with the factor. Of the bytes the larger
+// direction counts.
 func (c Cost) Over() []string {
 	var over []string
 	add := func(name string, value, budget float64) {
@@ -57,24 +57,25 @@
 	return over
 }
 
-// Duty is one thing that a role does.
+// Duty is a task of a role.
 type Duty struct {
 	Name string `json:"name"`
 	// State that it keeps.
 	State string `json:"state"`
 	Cost  Cost   `json:"cost"`
 	Mark  Mark   `json:"mark"`
-	// Mechanism that carries it, by package.
+	// Mechanism that performs it, with its package.
 	Mechanism string `json:"mechanism"`
-	// Slopes that it is worked out from.
+	// Slopes are the names of those that Cost is computed from.
 	Slopes []string `json:"slopes"`
 }
 
-// Role is a part that an instance plays beside others.
+// Role is a role of an instance, which may have several.
 type Role struct {
 	Name   string `json:"name"`
 	Duties []Duty `json:"duties"`
-	// Own is the sum of the duties; Whole adds what every instance spends.
+	// Own is the sum of the duties; Whole adds the duties that come with the role:
+	// those of every entry instance and, except for target owners, of a target owner.
 	Own   Cost     `json:"own"`
 	Whole Cost     `json:"whole"`
 	Over  []string `json:"over"`
@@ -83,46 +84,47 @@
 // Report is the whole table.
 type Report struct {
 	Size Size `json:"size"`
-	// Members and Targets of the largest region, which the roles are those of.
+	// Members and Targets of the largest region, whose instances have the Roles.
 	Members int    `json:"largest_region_members"`
 	Targets int    `json:"largest_region_targets"`
 	Roles   []Role `json:"roles"`
 	Change  Change `json:"change"`
 	Path    Path   `json:"path"`
-	// SetAside instances do nothing but control; Disks need one.
+	// SetAside is the number of instances that do nothing but control, Disks the
+	// number that need a disk.
 	SetAside int `json:"set_aside"`
 	Disks    int `json:"disks"`
-	// ClaimTime is how long a claim table lasts until it refuses new keys, in
-	// seconds, if it is shorter than the lifetime of claims; else 0.
+	// ClaimTableFullAfter is the time until a claim table is full and refuses new
+	// keys, in seconds, if that is shorter than the lifetime of claims; else 0.
 	ClaimTableFullAfter float64 `json:"claim_table_full_after_s"`
 }
 
-// Change is how long an accepted change takes, in seconds.
+// Change is the time that an accepted change takes, in seconds.
 type Change struct {
 	Accept float64 `json:"accept_s"`
 	Spread float64 `json:"spread_s"`
-	// Install is processor time on the longest way down the tree.
+	// Install is the processor time along the longest path down the tree.
 	Install float64 `json:"install_s"`
 	Whole   float64 `json:"whole_s"`
 }
 
-// Path is what the request path needs, which is no control.
+// Path is the cost of the request path, which does not count as control.
 type Path struct {
-	// Cores over all instances for requests and for tokens.
+	// RequestCores and TokenCores are cores over all instances.
 	RequestCores float64 `json:"request_cores"`
 	TokenCores   float64 `json:"token_cores"`
-	// PerInstance in the largest region, in cores.
+	// PerInstance is the cores for one instance of the largest region.
 	PerInstance float64 `json:"per_instance_cores"`
 }
 
-// New works out the table of a size.
+// New computes the report of a size. The error is that of Size.Check.
 func New(size Size, slopes Slopes) (*Report, error) {
 	if err := size.Check(); err != nil {
 		return nil, err
 	}
-	w := worker{size: size, region: size.region(), slopes: slopes}
+	w := estimator{size: size, region: size.region(), slopes: slopes}
 	r := &Report{Size: size, Members: int(w.region.members), Targets: int(w.region.targets)}
-	entry := w.role("entry instance", w.links(), w.membership(), w.spread(), w.install(), w.loadsIn(), w.limits(), w.allocator(), w.burn())
+	entry := w.role("entry instance", w.links(), w.membership(), w.bundleSpread(), w.bundleInstall(), w.loadsIn(), w.limits(), w.allocator(), w.burn())
 	r.Roles = []Role{
 		entry,
 		w.role("target owner", w.polls(), w.loadsOut()),
@@ -136,7 +138,7 @@
 			whole = whole.plus(entry.Own)
 		}
 		if i > 1 {
-			// Every instance with targets to poll owns some.
+			// Every instance owns targets.
 			whole = whole.plus(r.Roles[1].Own)
 		}
 		r.Roles[i].Whole, r.Roles[i].Over = whole, whole.Over()
@@ -149,14 +151,14 @@
 	return r, nil
 }
 
-// worker works out duties.
-type worker struct {
+// estimator computes the cost of duties in the largest region.
+type estimator struct {
 	size   Size
 	region region
 	slopes Slopes
 }
 
-func (w worker) role(name string, duties ...Duty) Role {
+func (w estimator) role(name string, duties ...Duty) Role {
 	r := Role{Name: name, Duties: duties}
 	for _, d := range duties {
 		r.Own = r.Own.plus(d.Cost)
@@ -164,11 +166,12 @@
 	return r
 }
 
-// messages is the cost of sending and receiving messages of a mean payload.
-func (w worker) messages(sent, sentPayload, received, receivedPayload float64) Cost {
+// messageCost returns the cost of sending and receiving messages in a second, with
+// their mean payloads in bytes.
+func (w estimator) messageCost(sent, sentPayload, received, receivedPayload float64) Cost {
 	frame := w.slopes.of("link_message_bytes")
 	return Cost{
-		// The slope is that of both ends together.
+		// The slope is for both ends together.
 		CPU:      (sent + received) * w.slopes.of("link_message_cpu") / 2 * 1e-9,
 		Sent:     sent * (sentPayload + frame),
 		Received: received * (receivedPayload + frame),
@@ -176,26 +179,26 @@
 	}
 }
 
-// levels of a tree of fan-out 3 over the members of the region.
-func (w worker) levels() float64 {
+// treeLevels returns the levels of a tree of fan-out 3 over the members of the region.
+func (w estimator) treeLevels() float64 {
 	const fanOut = 3
 	return math.Ceil(math.Log(w.region.members*(fanOut-1)+1) / math.Log(fanOut))
 }
 
-func (w worker) change() Change {
+func (w estimator) change() Change {
 	const roundTrip = 0.16
 	c := Change{
 		Accept:  roundTrip + w.slopes.of("accept_cpu")*1e-3*w.size.bundleScale(),
 		Spread:  w.slopes.of("spread_time"),
-		Install: (1 + w.levels()) * w.slopes.of("install_cpu") * 1e-3 * w.size.bundleScale(),
+		Install: (1 + w.treeLevels()) * w.slopes.of("install_cpu") * 1e-3 * w.size.bundleScale(),
 	}
 	c.Whole = c.Accept + c.Spread + c.Install
 	return c
 }
 
-func (w worker) path() Path {
+func (w estimator) path() Path {
 	requests := w.size.Requests / w.slopes.of("path_requests")
 	tokens := w.size.Tokens / w.slopes.of("path_tokens")
-	share := min(w.size.largest(), 1)
+	share := min(w.size.largestShare(), 1)
 	return Path{RequestCores: requests, TokenCores: tokens, PerInstance: (requests + tokens) * share / w.region.members}
 }
--- a/operate/capacity/write.go
+++ b/operate/capacity/write.go
@@ -7,20 +7,20 @@
 	"text/tabwriter"
 )
 
-// Form of a written table.
+// Form is the format of a written report.
 type Form uint8
 
 // Forms.
 const (
 	// Text is aligned for a terminal.
 	Text Form = iota
-	// Markdown is that of docs/CAPACITY.md.
+	// Markdown is the format of docs/CAPACITY.md.
 	Markdown
 )
 
-// Write writes the table.
+// Write writes the report. The error is the first one of w.
 func (r *Report) Write(w io.Writer, form Form) error {
-	t := &writer{out: w, form: form}
+	t := &tableWriter{out: w, form: form}
 	s := r.Size
 	t.line("%d instances, %d targets, %d accelerators, %.0f requests and %.0f tokens a second, %d workspaces, %d models, %d regions, %d zones, %.0f changes a day.",
 		s.Instances, s.Targets, s.Accelerators, s.Requests, s.Tokens, s.Workspaces, s.Models, s.Regions, s.Zones, s.Changes)
@@ -44,20 +44,20 @@
 	return t.err
 }
 
-// writer remembers the first error.
-type writer struct {
+// tableWriter writes lines and keeps the first error.
+type tableWriter struct {
 	out  io.Writer
 	form Form
 	err  error
 }
 
-func (t *writer) line(format string, args ...any) {
+func (t *tableWriter) line(format string, args ...any) {
 	if t.err == nil {
 		_, t.err = fmt.Fprintf(t.out, format+"\n", args...)
 	}
 }
 
-// costColumns are the figures of a Cost.
+// costColumns are the headers of costCells.
 var costColumns = []string{"core", "MB", "sent B/s", "received B/s", "messages/s"}
 
 func costCells(c Cost) []string {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (t *writer) roles(roles []Role) {
+func (t *tableWriter) roles(roles []Role) {
 	rows := [][]string{append([]string{"role", "duty"}, append(costColumns, "mark", "state", "mechanism")...)}
 	for _, r := range roles {
 		for _, d := range r.Duties {
@@ -78,8 +78,8 @@
 	t.table(rows)
 }
 
-// totals compares each role, with what every instance spends, with the budget.
-func (t *writer) totals(roles []Role) {
+// totals compares the whole cost of each role with the budgets.
+func (t *tableWriter) totals(roles []Role) {
 	rows := [][]string{append([]string{"an instance that is"}, append(costColumns, "over budget")...)}
 	for i, r := range roles {
 		name := r.Name
@@ -97,8 +97,8 @@
 	t.table(rows)
 }
 
-// table writes rows; the first is the head.
-func (t *writer) table(rows [][]string) {
+// table writes rows; the first has the headers.
+func (t *tableWriter) table(rows [][]string) {
 	if t.form == Markdown {
 		t.line("| %s |", strings.Join(rows[0], " | "))
 		t.line("|%s", strings.Repeat("---|", len(rows[0])))
