--- a/operate/capacity/capacity_test.go
+++ b/operate/capacity/capacity_test.go
@@ -188,7 +188,7 @@
 	}
 	for _, name := range pageSlopes {
 		if !strings.Contains(string(page), "`"+name+"`") {
-			t.Errorf("the page does not speak of %s", name)
+			t.Errorf("the page does not mention %s", name)
 		}
 	}
 }
--- a/operate/cli/bundle_check.go
+++ b/operate/cli/bundle_check.go
@@ -26,7 +26,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute checks one file.
+// Execute checks the file.
 func (c *bundleCheck) Execute([]string) error {
 	signed, err := readChecked(c.Args.File)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// readChecked reads a bundle that must be without faults.
+// readChecked reads a bundle; one with faults is an error that lists them.
 func readChecked(path string) (*bundle.Signed, error) {
 	signed, err := readBundle(path)
 	if err != nil {
--- a/operate/cli/bundle_diff.go
+++ b/operate/cli/bundle_diff.go
@@ -27,7 +27,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute compares two files.
+// Execute prints the differences of two files.
 func (c *bundleDiff) Execute([]string) error {
 	a, err := readBundle(c.Args.A)
 	if err != nil {
--- a/operate/cli/bundle_digest.go
+++ b/operate/cli/bundle_digest.go
@@ -22,7 +22,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute prints one digest.
+// Execute prints the digest.
 func (c *bundleDigest) Execute([]string) error {
 	signed, err := readBundle(c.Args.File)
 	if err != nil {
--- a/operate/cli/bundle_roll.go
+++ b/operate/cli/bundle_roll.go
@@ -29,7 +29,7 @@
 const (
 	// rollRounds is how often all addresses are tried.
 	rollRounds = 5
-	// pollInterval is the time between two looks at the status.
+	// pollInterval is the time between two reads of the status.
 	pollInterval = 200 * time.Millisecond
 )
 
@@ -44,7 +44,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute rolls one bundle.
+// Execute rolls the bundle and waits as the options say.
 func (c *bundleRoll) Execute([]string) error {
 	signed, err := readChecked(c.Args.File)
 	if err != nil {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	client, err := c.client(c.env, rollRounds)
+	client, err := c.newClient(c.env, rollRounds)
 	if err != nil {
 		return err
 	}
@@ -69,8 +69,8 @@
 	return c.wait(client, result.Version)
 }
 
-// wait prints which regions lag until none does. A region that is cut off can't
-// learn a bundle, so the wait is bounded.
+// wait prints the regions that lack the version until none does. A region that is
+// cut off can't receive a bundle, so the wait is bounded.
 func (c *bundleRoll) wait(client *operate.Client, version uint64) error {
 	start := c.env.Now()
 	end := start.Add(time.Duration(c.Within * float64(time.Second)))
@@ -83,7 +83,7 @@
 		lacking := status.RegionsWithout(version)
 		seconds := c.env.Now().Sub(start).Seconds()
 		if len(lacking) == 0 && len(status.Regions) > 0 {
-			c.done(status, version, seconds)
+			c.printDone(status, version, seconds)
 			return nil
 		}
 		if line := strings.Join(lacking, ", "); line != shown {
@@ -100,9 +100,9 @@
 	}
 }
 
-// done tells that no region lacks the version. One that was accepted long ago
-// and is sent again may have been replaced since.
-func (c *bundleRoll) done(status *operate.Status, version uint64, seconds float64) {
+// printDone prints that no region lacks the version. A version that was accepted
+// before and is sent again may have been replaced since.
+func (c *bundleRoll) printDone(status *operate.Status, version uint64, seconds float64) {
 	if status.Version > version {
 		c.env.Printf("version %d has replaced it since\n", status.Version)
 		return
--- a/operate/cli/bundle_sign.go
+++ b/operate/cli/bundle_sign.go
@@ -34,7 +34,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute signs one file. A bundle with faults is not signed.
+// Execute signs the file. A bundle with faults is not signed.
 func (c *bundleSign) Execute([]string) error {
 	key, err := readOperatorKey(c.Key)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// readOperatorKey reads a private key in PEM form.
+// readOperatorKey reads an Ed25519 private key in PEM form.
 func readOperatorKey(path string) (ed25519.PrivateKey, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, inFile(path, err)
+		return nil, annotateFile(path, err)
 	}
 	private, ok := key.(ed25519.PrivateKey)
 	if !ok {
--- a/operate/cli/bundle_targets.go
+++ b/operate/cli/bundle_targets.go
@@ -28,13 +28,13 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute lists targets in the order of the file.
+// Execute lists the targets in the order of the file.
 func (c *bundleTargets) Execute([]string) error {
 	signed, err := readChecked(c.Args.File)
 	if err != nil {
 		return err
 	}
-	targets := c.chosen(&signed.Bundle)
+	targets := c.targetsOfKind(&signed.Bundle)
 	if c.Addresses {
 		var addresses []string
 		for _, target := range targets {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// chosen are the targets of the asked kind.
-func (c *bundleTargets) chosen(b *bundle.Bundle) []bundle.Target {
+// targetsOfKind returns the targets of the kind that the options ask for, or all.
+func (c *bundleTargets) targetsOfKind(b *bundle.Bundle) []bundle.Target {
 	kinds := map[string]bundle.ServiceKind{}
 	for _, service := range b.Services {
 		kinds[service.ID] = service.Kind
--- a/operate/cli/capacity.go
+++ b/operate/cli/capacity.go
@@ -22,7 +22,7 @@
 With --check the exit code is 1 if a budget is exceeded.
 
 Example: gullhaven capacity --instances 720 --targets 1400 --requests 7600`,
-	New: func(env *Env) flags.Commander { return newCapacity(env) },
+	New: func(env *Env) flags.Commander { return newCapacityCommand(env) },
 })
 
 // capacityCommand is the command `capacity`.
@@ -50,8 +50,8 @@
 	Check         bool     `long:"check" description:"exit with 1 if a budget is exceeded"`
 }
 
-// newCapacity has the planned size as its defaults.
-func newCapacity(env *Env) *capacityCommand {
+// newCapacityCommand makes the command with the planned size as defaults.
+func newCapacityCommand(env *Env) *capacityCommand {
 	s := capacity.Planned()
 	return &capacityCommand{
 		env: env, Instances: s.Instances, Targets: s.Targets, Accelerators: s.Accelerators, Requests: s.Requests,
@@ -72,7 +72,7 @@
 	return s.Times(c.Times)
 }
 
-// Execute prints the table.
+// Execute prints what the options ask for: the table, the slopes or a comparison.
 func (c *capacityCommand) Execute([]string) error {
 	if c.Slopes {
 		return c.listSlopes()
@@ -91,7 +91,7 @@
 	if err := c.write(report); err != nil {
 		return err
 	}
-	if c.Check && exceeded(report) {
+	if c.Check && overBudget(report) {
 		return ErrRefused
 	}
 	return nil
@@ -123,7 +123,7 @@
 	}
 }
 
-func exceeded(r *capacity.Report) bool {
+func overBudget(r *capacity.Report) bool {
 	for _, role := range r.Roles {
 		if len(role.Over) > 0 {
 			return true
--- a/operate/cli/capacity_test.go
+++ b/operate/cli/capacity_test.go
@@ -10,7 +10,7 @@
 
 func TestCapacity(t *testing.T) {
 	convey.Convey("The table is that of the size, and a budget can fail a check", t, func() {
-		b := newBench(t)
+		b := newHarness(t)
 		convey.So(b.run("capacity", "--check"), convey.ShouldEqual, cli.ExitRefused)
 		convey.So(b.out.String(), convey.ShouldContainSubstring, "360 instances, 690 targets")
 		convey.So(b.run("capacity", "--instances", "3", "--regions", "3", "--targets", "3", "--requests", "1", "--workspaces", "3",
--- a/operate/cli/cli.go
+++ b/operate/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the operators' command line. Each command has a file of its
-// own that registers it, so that commands are added without touching others.
+// Package cli is the operators' command line. Each command registers itself in its
+// own file.
 package cli
 
 import (
@@ -24,31 +24,31 @@
 	ExitRefused = 1
 	// ExitUsage is a wrong command line.
 	ExitUsage = 2
-	// ExitUnreachable means that no instance answered; whether it acted is unknown.
+	// ExitUnreachable means that no instance answered; the outcome is unknown.
 	ExitUnreachable = 3
 )
 
-// ErrRefused ends a command that has told on standard output why it failed.
+// ErrRefused ends a command that has already printed why it failed.
 const ErrRefused = errors.ConstError("refused")
 
-// about is the end of the main help.
-const about = `Operators' command line of gullhaven.
+// longHelp is the long description in the main help.
+const longHelp = `Operators' command line of gullhaven.
 
 Exit codes: 0 success; 1 refused or failed; 2 wrong command line; 3 no instance
 answered, so that nothing is known about the outcome (sending the same bundle
 again is safe).`
 
-// Env is what commands use of the world.
+// Env is the environment of a command: context, output and clock.
 type Env struct {
 	Context context.Context
 	Out     io.Writer
 	Err     io.Writer
 	Now     func() time.Time
-	// Sleep waits, or ends early with the context's error.
+	// Sleep waits, or returns early with the context's error.
 	Sleep func(context.Context, time.Duration) error
 }
 
-// Printf writes to standard output. A failed write is seen by whoever reads it.
+// Printf writes to standard output. A failed write is ignored: the reader sees it.
 func (e *Env) Printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(e.Out, format, args...)
 }
@@ -60,26 +60,26 @@
 
 // Command is one command.
 type Command struct {
-	// Path is the words that name it, such as "bundle check".
+	// Path is the words that name it, one or two, such as "bundle check".
 	Path string
-	// Short is a line for lists; Long has an example.
+	// Short is the line in lists of commands, Long the help text with an example.
 	Short, Long string
-	// New makes the options, whose Execute runs the command.
+	// New returns the options struct, whose Execute runs the command.
 	New func(*Env) flags.Commander
 }
 
-// groups are the first words of commands with two.
-var groups = map[string]string{
+// groupHelp has the help of the first words of commands with two.
+var groupHelp = map[string]string{
 	"bundle":   "Check, sign, compare and roll bundles",
 	"keygen":   "Make keys of operators and instances",
 	"settings": "Check settings of instances",
 	"report":   "Reports on the service",
 }
 
-// commands are all that were registered.
+// commands are the registered commands.
 var commands []Command
 
-// Register adds a command; each command's file calls it in a declaration
+// Register adds a command and returns true, for use in a declaration
 // `var _ = Register(...)`.
 func Register(c Command) bool {
 	commands = append(commands, c)
@@ -94,32 +94,32 @@
 		return ExitRefused
 	}
 	_, err = parser.ParseArgs(args)
-	return env.exit(err)
+	return env.exitCode(err)
 }
 
-// newParser knows all commands, in the order of their names.
+// newParser returns a parser with all commands, in the order of their names.
 func newParser(env *Env) (*flags.Parser, error) {
 	parser := flags.NewNamedParser("gullhaven", flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = about
+	parser.LongDescription = longHelp
 	all := slices.Clone(commands)
 	slices.SortFunc(all, func(x, y Command) int { return strings.Compare(x.Path, y.Path) })
 	for _, c := range all {
-		if err := add(parser.Command, c, env); err != nil {
+		if err := addCommand(parser.Command, c, env); err != nil {
 			return nil, errors.Annotatef(err, "command %q", c.Path)
 		}
 	}
 	return parser, nil
 }
 
-// add puts a command under its group.
-func add(parent *flags.Command, c Command, env *Env) error {
+// addCommand adds a command under its group, if it has one.
+func addCommand(parent *flags.Command, c Command, env *Env) error {
 	name := c.Path
 	if group, rest, two := strings.Cut(c.Path, " "); two {
 		name = rest
 		found := parent.Find(group)
 		if found == nil {
 			var err error
-			if found, err = parent.AddCommand(group, groups[group], groups[group], &struct{}{}); err != nil {
+			if found, err = parent.AddCommand(group, groupHelp[group], groupHelp[group], &struct{}{}); err != nil {
 				return err
 			}
 		}
@@ -129,8 +129,8 @@
 	return err
 }
 
-// exit tells people what went wrong and gives the code.
-func (e *Env) exit(err error) int {
+// exitCode prints an error, unless it was printed before, and returns the code.
+func (e *Env) exitCode(err error) int {
 	var usage *flags.Error
 	switch {
 	case err == nil:
@@ -152,7 +152,7 @@
 	}
 }
 
-// Paths of all commands, in the order of their names.
+// Paths returns the paths of all commands, sorted.
 func Paths() []string {
 	paths := make([]string, len(commands))
 	for i, c := range commands {
--- a/operate/cli/cli_test.go
+++ b/operate/cli/cli_test.go
@@ -26,19 +26,19 @@
 	"github.com/gullhaven/gullhaven/settings"
 )
 
-// bench runs commands in a folder; its clock moves only when a command sleeps.
-type bench struct {
+// harness runs commands in a folder; its clock moves only when a command sleeps.
+type harness struct {
 	folder   string
 	clock    time.Time
 	out, err bytes.Buffer
 }
 
-func newBench(t *testing.T) *bench {
-	return &bench{folder: t.TempDir(), clock: time.Unix(1_700_000_000, 0)}
+func newHarness(t *testing.T) *harness {
+	return &harness{folder: t.TempDir(), clock: time.Unix(1_700_000_000, 0)}
 }
 
-// run gives the exit code of a command line.
-func (b *bench) run(args ...string) int {
+// run runs a command line and returns the exit code.
+func (b *harness) run(args ...string) int {
 	b.out.Reset()
 	b.err.Reset()
 	env := &cli.Env{
@@ -52,27 +52,27 @@
 	return cli.Run(env, args)
 }
 
-func (b *bench) path(name string) string { return filepath.Join(b.folder, name) }
+func (b *harness) path(name string) string { return filepath.Join(b.folder, name) }
 
-// write writes a file and gives its path.
-func (b *bench) write(name string, data []byte, err error) string {
+// write writes a file and returns its path; err must be nil.
+func (b *harness) write(name string, data []byte, err error) string {
 	convey.So(err, convey.ShouldBeNil)
 	convey.So(os.WriteFile(b.path(name), data, 0o600), convey.ShouldBeNil)
 	return b.path(name)
 }
 
-// instance is a stand-in of the operators' interface with real acceptance.
+// instance is a stand-in of the operators' interface with the real acceptance machine.
 type instance struct {
 	mutex   sync.Mutex
 	machine *acceptance.Machine
 	index   uint64
-	// loseAnswers drops that many answers after the bundle was accepted.
+	// loseAnswers is how many answers are dropped after the bundle was accepted.
 	loseAnswers int
-	// looks is how many times bali is shown as behind.
-	looks int
+	// behindPolls is how many times the status shows bali as behind.
+	behindPolls int
 }
 
-// ServeHTTP answers both paths.
+// ServeHTTP serves the paths of bundles and status.
 func (i *instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -116,8 +116,8 @@
 func (i *instance) status(w http.ResponseWriter) {
 	id := i.machine.Identity()
 	lagging := id.Version
-	if i.looks > 0 {
-		i.looks--
+	if i.behindPolls > 0 {
+		i.behindPolls--
 		lagging--
 	}
 	_ = json.NewEncoder(w).Encode(operate.Status{
@@ -132,7 +132,7 @@
 func TestRoll(t *testing.T) {
 	signed, err := bundle.EncodeSigned(bundletest.Sign(bundletest.Sample(), "ayu", "budi"))
 	convey.Convey("Given an instance", t, func() {
-		b := newBench(t)
+		b := newHarness(t)
 		i := &instance{machine: acceptance.New()}
 		server := httptest.NewServer(i)
 		defer server.Close()
@@ -142,26 +142,26 @@
 		file := b.write("signed.json", signed, err)
 
 		convey.Convey("a roll waits until all regions have it", func() {
-			i.looks = 3
+			i.behindPolls = 3
 			convey.So(b.run("bundle", "roll", file, "--to", to), convey.ShouldEqual, cli.ExitOK)
 			convey.So(b.out.String(), convey.ShouldContainSubstring, "accepted as version 1")
 			convey.So(b.err.String(), convey.ShouldContainSubstring, "not yet in force in bali")
 			convey.So(b.out.String(), convey.ShouldContainSubstring, "in force in all 2 regions after 0.6 s")
 		})
 		convey.Convey("a region that stays behind ends the wait with a refusal code", func() {
-			i.looks = 1000
+			i.behindPolls = 1000
 			convey.So(b.run("bundle", "roll", file, "--to", to, "--within", "2"), convey.ShouldEqual, cli.ExitRefused)
 			convey.So(b.out.String(), convey.ShouldContainSubstring, "not in force in bali")
 		})
-		// Symptom: an operator is told that the own bundle lost. Events: the
-		// bundle is accepted, the answer is lost, the same bytes are sent again.
-		convey.Convey("a lost answer is made up for by sending again", func() {
+		// Guards against reporting a conflict for a bundle that was accepted: its
+		// answer is lost and the same bytes are sent again.
+		convey.Convey("after a lost answer the bundle is sent again", func() {
 			i.loseAnswers = 1
 			convey.So(b.run("bundle", "roll", file, "--no-wait", "--to", gone, "--to", to), convey.ShouldEqual, cli.ExitOK)
 			convey.So(b.out.String(), convey.ShouldContainSubstring, "accepted as version 1")
 			convey.So(i.machine.Identity().Version, convey.ShouldEqual, 1)
 		})
-		convey.Convey("the loser of a race hears the winner's digest", func() {
+		convey.Convey("the loser of a race gets the winner's digest", func() {
 			convey.So(b.run("bundle", "roll", file, "--no-wait", "--to", to), convey.ShouldEqual, cli.ExitOK)
 			other := bundletest.Sample()
 			other.Note = "other"
@@ -170,8 +170,8 @@
 			convey.So(b.run("bundle", "roll", loser, "--to", to), convey.ShouldEqual, cli.ExitRefused)
 			convey.So(b.err.String(), convey.ShouldContainSubstring, string(i.machine.Identity().Digest))
 		})
-		// Symptom: an operator believes that an old bundle is in force again.
-		// Events: a replaced bundle is sent again, and accepted as it once was.
+		// Guards against reporting an old bundle as in force: a bundle that was
+		// replaced is sent again and gets the answer of its acceptance.
 		convey.Convey("a bundle that was replaced is not called in force", func() {
 			convey.So(b.run("bundle", "roll", file, "--to", to), convey.ShouldEqual, cli.ExitOK)
 			next := bundletest.Sample()
@@ -198,7 +198,7 @@
 
 func TestBundleFiles(t *testing.T) {
 	convey.Convey("Two operators sign with keys of their own", t, func() {
-		b := newBench(t)
+		b := newHarness(t)
 		draft := bundletest.Sample()
 		for i, name := range bundletest.Operators {
 			convey.So(b.run("keygen", "operator", name, "--key", b.path(name)), convey.ShouldEqual, cli.ExitOK)
@@ -228,7 +228,7 @@
 		})
 	})
 	convey.Convey("A bundle with faults is neither passed nor signed", t, func() {
-		b := newBench(t)
+		b := newHarness(t)
 		draft := bundletest.Sample()
 		draft.Targets[1].Service, draft.Rules.MaxAttempts = "x", 0
 		data, err := bundle.Encode(draft)
@@ -245,7 +245,7 @@
 
 func TestInstanceKeys(t *testing.T) {
 	convey.Convey("Keys go where the settings name them and can be loaded", t, func() {
-		b := newBench(t)
+		b := newHarness(t)
 		b.clock = time.Now()
 		s := settings.Default()
 		s.Instance, s.Region, s.Zone = "malang-1", "jatim", "malang-hall"
@@ -270,10 +270,10 @@
 	})
 }
 
-// Every command's help has an example, and a wrong command line has its code.
+// Every command's help has an example, and a wrong command line its own exit code.
 func TestHelp(t *testing.T) {
 	convey.Convey("Help", t, func() {
-		b := newBench(t)
+		b := newHarness(t)
 		for _, path := range cli.Paths() {
 			words := append(strings.Fields(path), "--help")
 			convey.So(b.run(words...), convey.ShouldEqual, cli.ExitOK)
@@ -286,8 +286,8 @@
 }
 
 func TestExplain(t *testing.T) {
-	convey.Convey("logs of two instances, one of them torn", t, func() {
-		b := newBench(t)
+	convey.Convey("a log whose last line is truncated", t, func() {
+		b := newHarness(t)
 		one := b.write("one.log", []byte(`{"ts":"2026-03-01T10:00:02Z","msg":"attempt lost","instance":"e1","id":"abc"}
 {"ts":"2026-03-01T10:00:03Z","msg":"refused","instance":"e1","id":"abc","status":502}
 {"ts":"2026-03-01T10:0`), nil)
--- a/operate/cli/connect.go
+++ b/operate/cli/connect.go
@@ -8,14 +8,14 @@
 	"github.com/gullhaven/gullhaven/operate"
 )
 
-// connection are the options of commands that talk to instances.
+// connection has the options of commands that call instances.
 type connection struct {
 	To      []string `long:"to" required:"yes" value-name:"IP:PORT" description:"operators' interface of an instance; repeat for more, tried in turn"`
 	Timeout float64  `long:"timeout" default:"10" value-name:"SECONDS" description:"time for one attempt at one instance"`
 }
 
-// client makes a client that goes round the addresses.
-func (c *connection) client(env *Env, rounds int) (*operate.Client, error) {
+// newClient makes a client that tries all addresses in the given number of rounds.
+func (c *connection) newClient(env *Env, rounds int) (*operate.Client, error) {
 	for _, address := range c.To {
 		if err := strict.CheckAddress(address); err != nil {
 			return nil, err
@@ -25,11 +25,11 @@
 		Addresses: c.To,
 		HTTP:      &http.Client{Timeout: time.Duration(c.Timeout * float64(time.Second))},
 		Rounds:    rounds,
-		Pause:     pauseBetweenRounds,
+		Pause:     roundInterval,
 		Sleep:     env.Sleep,
 		Report:    func(address string, err error) { env.Progress("%s: %v; trying the next", address, err) },
 	}, nil
 }
 
-// pauseBetweenRounds lets a new leader be found.
-const pauseBetweenRounds = time.Second
+// roundInterval is the time between rounds, in which a new leader can be elected.
+const roundInterval = time.Second
--- a/operate/cli/experiment.go
+++ b/operate/cli/experiment.go
@@ -6,8 +6,8 @@
 	"github.com/gullhaven/gullhaven/experiment"
 )
 
-// The routing experiment runs in this process and in virtual time: it meets no
-// instance and no target.
+// The routing experiment runs in this process and in virtual time, without
+// instances or targets.
 var _ = Register(Command{
 	Path:  "experiment",
 	Short: "Measure routing decisions against baselines in virtual time",
--- a/operate/cli/explain.go
+++ b/operate/cli/explain.go
@@ -29,7 +29,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute reads all files and prints the story.
+// Execute reads all files and prints the timeline.
 func (c *explainCommand) Execute([]string) error {
 	var logs explain.Logs
 	for _, path := range c.Args.Files {
@@ -40,12 +40,12 @@
 	for _, s := range logs.Skipped {
 		c.env.Progress("%s:%d: left out: %s", s.File, s.Number, s.Reason)
 	}
-	story, ok := logs.Timeline(c.Args.ID)
+	timeline, ok := logs.Timeline(c.Args.ID)
 	if !ok {
 		c.env.Printf("no line of these files names the request %q\n", c.Args.ID)
 		return ErrRefused
 	}
-	return story.Write(c.env.Out, c.Args.ID)
+	return timeline.Write(c.env.Out, c.Args.ID)
 }
 
 func readLog(logs *explain.Logs, path string) error {
@@ -54,5 +54,5 @@
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	return inFile(path, logs.Read(path, f))
+	return annotateFile(path, logs.Read(path, f))
 }
--- a/operate/cli/files.go
+++ b/operate/cli/files.go
@@ -11,7 +11,7 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// Modes of files.
+// Modes of files and folders.
 const (
 	publicMode  = 0o644
 	privateMode = 0o600
@@ -27,29 +27,29 @@
 	var form struct {
 		Bundle *json.RawMessage `json:"bundle"`
 	}
-	// A document that isn't an object is told about by Decode below.
+	// Decode below reports a document that isn't an object.
 	_ = json.Unmarshal(data, &form)
 	if form.Bundle != nil {
 		signed, err := bundle.DecodeSigned(data)
-		return signed, inFile(path, err)
+		return signed, annotateFile(path, err)
 	}
 	b, err := bundle.Decode(data)
 	if err != nil {
-		return nil, inFile(path, err)
+		return nil, annotateFile(path, err)
 	}
 	return &bundle.Signed{Bundle: *b}, nil
 }
 
-// inFile names the file in an error.
-func inFile(path string, err error) error {
+// annotateFile adds the file to an error; nil stays nil.
+func annotateFile(path string, err error) error {
 	if err == nil {
 		return nil
 	}
 	return fmt.Errorf("%s:\n%w", path, err)
 }
 
-// writeFile replaces a file as a whole, so that a reader or a kill in between
-// never leaves half of it.
+// writeFile replaces a file atomically: a reader, or a kill in between, never finds
+// a part of it. It makes the folder.
 func writeFile(path string, data []byte, mode os.FileMode) error {
 	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
 		return err
@@ -59,14 +59,14 @@
 		return err
 	}
 	defer os.Remove(temporary.Name())
-	if err := fill(temporary, data, mode); err != nil {
+	if err := writeAndSync(temporary, data, mode); err != nil {
 		return err
 	}
 	return os.Rename(temporary.Name(), path)
 }
 
-// fill writes, syncs and closes.
-func fill(file *os.File, data []byte, mode os.FileMode) error {
+// writeAndSync writes, sets the mode, syncs and closes.
+func writeAndSync(file *os.File, data []byte, mode os.FileMode) error {
 	_, err := file.Write(data)
 	if err == nil {
 		err = file.Chmod(mode)
@@ -80,8 +80,8 @@
 	return err
 }
 
-// writeNew writes a file that must not exist: keys are never replaced.
-func writeNew(path string, data []byte, mode os.FileMode) error {
+// writeNewFile writes a file that must not exist yet: keys are never replaced.
+func writeNewFile(path string, data []byte, mode os.FileMode) error {
 	if _, err := os.Lstat(path); err == nil {
 		return errors.Errorf("%s exists already; keys are not replaced", path)
 	}
--- a/operate/cli/keygen_instance.go
+++ b/operate/cli/keygen_instance.go
@@ -18,7 +18,6 @@
 	authorityKey         = "authority.key"
 )
 
-// day is a unit of validity.
 const day = 24 * time.Hour
 
 var _ = Register(Command{
@@ -61,10 +60,10 @@
 	if err != nil {
 		return err
 	}
-	if err := writeNew(filepath.Join(c.Args.Dir, authorityKey), key, privateMode); err != nil {
+	if err := writeNewFile(filepath.Join(c.Args.Dir, authorityKey), key, privateMode); err != nil {
 		return err
 	}
-	return writeNew(filepath.Join(c.Args.Dir, authorityCertificate), certificate, publicMode)
+	return writeNewFile(filepath.Join(c.Args.Dir, authorityCertificate), certificate, publicMode)
 }
 
 // keygenInstance is the command `keygen instance`.
@@ -77,7 +76,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute makes the keys of each settings file.
+// Execute makes the keys of the instance of each settings file.
 func (c *keygenInstance) Execute([]string) error {
 	certificate, err := os.ReadFile(filepath.Join(c.Authority, authorityCertificate))
 	if err != nil {
@@ -93,7 +92,7 @@
 	}
 	for _, path := range c.Args.Settings {
 		if err := c.issue(authority, path); err != nil {
-			return inFile(path, err)
+			return annotateFile(path, err)
 		}
 	}
 	return nil
@@ -118,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	if err := writeNew(s.Keys.Key, key, privateMode); err != nil {
+	if err := writeNewFile(s.Keys.Key, key, privateMode); err != nil {
 		return err
 	}
 	if err := writeFile(s.Keys.Certificate, certificate, publicMode); err != nil {
--- a/operate/cli/keygen_operator.go
+++ b/operate/cli/keygen_operator.go
@@ -38,7 +38,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute makes or reads one key.
+// Execute makes or reads a key and prints the operator.
 func (c *keygenOperator) Execute([]string) error {
 	if err := strict.CheckID(c.Args.ID); err != nil {
 		return err
@@ -57,7 +57,7 @@
 	return json.NewEncoder(c.env.Out).Encode(operator)
 }
 
-// writeOperatorKey makes a private key.
+// writeOperatorKey makes a private key and writes it to a new file.
 func writeOperatorKey(path string) error {
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -68,5 +68,5 @@
 		return err
 	}
 	data := pem.EncodeToMemory(&pem.Block{Type: operatorKeyBlock, Bytes: der})
-	return writeNew(path, data, privateMode)
+	return writeNewFile(path, data, privateMode)
 }
--- a/operate/cli/load.go
+++ b/operate/cli/load.go
@@ -89,17 +89,17 @@
 
 func (c *loadCommand) config() load.Config {
 	return load.Config{
-		To: commas(c.To), Keys: c.Keys, Model: c.Model, Plain: c.Plain, Region: c.Region, Zone: c.Zone,
+		To: splitCommas(c.To), Keys: c.Keys, Model: c.Model, Plain: c.Plain, Region: c.Region, Zone: c.Zone,
 		Callers: c.Callers, Rate: c.Rate, Duration: c.For, Concurrency: c.Concurrency,
 		Tokens: c.Tokens, PromptTokens: c.PromptTokens, SharedPrefix: c.SharedPrefix,
 		Deadline:    time.Duration(c.DeadlineMS) * time.Millisecond,
-		ResendShare: c.Resend, Audit: commas(c.Audit), Baseline: c.Baseline,
+		ResendShare: c.Resend, Audit: splitCommas(c.Audit), Baseline: c.Baseline,
 		SkipTextCheck: c.AnyEngine, Seed: c.Seed,
 	}
 }
 
-// commas splits lists that were given with commas.
-func commas(lists []string) []string {
+// splitCommas joins the items of comma-separated lists.
+func splitCommas(lists []string) []string {
 	var all []string
 	for _, list := range lists {
 		all = append(all, strings.FieldsFunc(list, func(r rune) bool { return r == ',' })...)
--- a/operate/cli/operations_test.go
+++ b/operate/cli/operations_test.go
@@ -23,15 +23,15 @@
 	return string(data)
 }
 
-// logCall is a call of a logger with a constant message; logRow is a row of the
-// page's list.
+// logCall matches a log call with a constant message, anyCall any log call, and
+// logRow a row of the page's list.
 var (
 	logCall = regexp.MustCompile(`(?:\b[lL]og|\bLogger|\bOrdinary|\bAccessLog)\.(?:Check\(zap\.)?(Debug|Info|Warn|Error)(?:Level, |\()\s*"([^"]+)"`)
 	anyCall = regexp.MustCompile(`(?:\b[lL]og|\bLogger|\bOrdinary|\bAccessLog)\.(?:Debug|Info|Warn|Error|DPanic|Panic|Fatal|Check)\(`)
 	logRow  = regexp.MustCompile("(?m)^\\| (debug|info|warn|error) \\| `([^`]+)` \\| .+ \\| .+ \\|$")
 )
 
-// logLines are the level and message of each call in the daemon's packages.
+// logLines returns level and message of each log call in the daemon's packages.
 func logLines(t *testing.T) []string {
 	t.Helper()
 	var lines []string
@@ -57,44 +57,44 @@
 	return lines
 }
 
-// Symptom: an operator finds a line that no page explains. Cause: a line that
-// was added, changed or dropped without the page.
+// Guards against log lines that docs/OPERATIONS.md doesn't list, and against listed
+// lines that the code no longer has.
 func TestThePageListsAllLogLines(t *testing.T) {
 	lines := logLines(t)
-	var told []string
+	var documented []string
 	for _, m := range logRow.FindAllStringSubmatch(readPage(t, "OPERATIONS.md"), -1) {
-		told = append(told, m[1]+" "+m[2])
+		documented = append(documented, m[1]+" "+m[2])
 	}
 	if len(lines) == 0 {
 		t.Fatal("no log line found in the code")
 	}
 	for _, line := range lines {
-		if !slices.Contains(told, line) {
+		if !slices.Contains(documented, line) {
 			t.Errorf("docs/OPERATIONS.md lacks: %s", line)
 		}
 	}
-	for _, line := range told {
+	for _, line := range documented {
 		if !slices.Contains(lines, line) {
-			t.Errorf("docs/OPERATIONS.md tells of a line that is nowhere: %s", line)
+			t.Errorf("docs/OPERATIONS.md lists a line that the code lacks: %s", line)
 		}
 	}
 }
 
-// mentioned is a command in code marks or in an indented block.
-var mentioned = regexp.MustCompile("(?m)(?:^ {4,}|`)(?:bin/)?gullhaven ([a-z]+(?: [a-z]+)?)")
+// mentionedCommand matches a command in code marks or in an indented block.
+var mentionedCommand = regexp.MustCompile("(?m)(?:^ {4,}|`)(?:bin/)?gullhaven ([a-z]+(?: [a-z]+)?)")
 
-// Symptom: a page tells a command that does not exist. Cause: it was renamed.
-func TestThePagesTellCommandsThatExist(t *testing.T) {
+// Guards against pages with commands, scripts or headings that don't exist.
+func TestCommandsOnThePagesExist(t *testing.T) {
 	for _, name := range []string{"OPERATIONS.md", "CAPACITY.md", "METRICS.md"} {
 		page := readPage(t, name)
-		found := mentioned.FindAllStringSubmatch(page, -1)
+		found := mentionedCommand.FindAllStringSubmatch(page, -1)
 		if len(found) == 0 {
 			t.Errorf("%s names no command", name)
 		}
 		for _, m := range found {
 			one, _, _ := strings.Cut(m[1], " ")
 			if !slices.Contains(cli.Paths(), m[1]) && !slices.Contains(cli.Paths(), one) {
-				t.Errorf("%s tells of gullhaven %s", name, m[1])
+				t.Errorf("%s names gullhaven %s, which does not exist", name, m[1])
 			}
 		}
 		for _, script := range regexp.MustCompile(`scripts/[a-z-]+`).FindAllString(page, -1) {
@@ -108,7 +108,7 @@
 
 var link = regexp.MustCompile(`\]\(([^)#]*)(?:#([a-z0-9-]+))?\)`)
 
-// checkLinks follows the links of a page to files and headings.
+// checkLinks checks that the links of a page lead to existing files and headings.
 func checkLinks(t *testing.T, name, page string) {
 	t.Helper()
 	for _, m := range link.FindAllStringSubmatch(page, -1) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// anchors of the headings of a page.
+// anchors returns the anchors of the headings of a page.
 func anchors(page string) []string {
 	var list []string
 	for _, m := range regexp.MustCompile(`(?m)^#+ (.+)$`).FindAllStringSubmatch(page, -1) {
--- a/operate/cli/report_burn.go
+++ b/operate/cli/report_burn.go
@@ -40,9 +40,9 @@
 	FailOn string `long:"fail-on" choice:"slow" choice:"fast" description:"exit with 1 if a verdict is this grave or graver"`
 }
 
-// Execute reports once.
+// Execute asks the instances and prints the report.
 func (c *reportBurn) Execute([]string) error {
-	client, err := c.client(c.env, 1)
+	client, err := c.newClient(c.env, 1)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// write writes the report in the forms that were asked for.
+// write writes the report in the formats that the options ask for.
 func (c *reportBurn) write(report *operate.BurnReport) error {
 	if c.HTML != "" {
 		if err := c.writePage(report); err != nil {
@@ -82,14 +82,14 @@
 	if err != nil {
 		return err
 	}
-	if err := burnpage.Write(file, report.Report, silentNames(report)); err != nil {
+	if err := burnpage.Write(file, report.Report, unreachableAddresses(report)); err != nil {
 		_ = file.Close()
 		return errors.Annotate(err, c.HTML)
 	}
 	return file.Close()
 }
 
-func silentNames(report *operate.BurnReport) []string {
+func unreachableAddresses(report *operate.BurnReport) []string {
 	var names []string
 	for _, s := range report.Unreachable {
 		names = append(names, s.Address)
@@ -97,7 +97,7 @@
 	return names
 }
 
-// print writes the table.
+// print prints the table.
 func (c *reportBurn) print(report *operate.BurnReport) {
 	c.env.Printf("burn at %s by bundle version %d, seen by %s\n", report.At.UTC().Format(time.RFC3339), report.Version,
 		orNone(strings.Join(report.Instances, ", ")))
@@ -107,15 +107,15 @@
 	}
 	t := newTable(c.env.Out, "BURN RATE", append(columns, "missed of requests in 6h", "by cause")...)
 	for _, row := range report.Rows {
-		t.row(burnCells(row)...)
+		t.row(burnRow(row)...)
 	}
 	t.end()
 	if len(report.Unreachable) > 0 {
-		c.env.Printf("\nnot answered: %s\n", strings.Join(silentNames(report), ", "))
+		c.env.Printf("\nnot answered: %s\n", strings.Join(unreachableAddresses(report), ", "))
 	}
 }
 
-func burnCells(row burn.Row) []string {
+func burnRow(row burn.Row) []string {
 	cells := []string{row.Service, orAll(row.Region), orAll(row.Workspace), string(row.Verdict)}
 	for _, w := range row.Windows {
 		cells = append(cells, fmt.Sprintf("%.2f", w.Rate))
@@ -135,7 +135,7 @@
 	return text
 }
 
-// windowName is a window for people, such as 30m or 6h.
+// windowName formats a window, such as 30m or 6h.
 func windowName(d time.Duration) string {
 	if d < time.Hour {
 		return fmt.Sprintf("%dm", int(d.Minutes()))
--- a/operate/cli/report_burn_test.go
+++ b/operate/cli/report_burn_test.go
@@ -15,9 +15,9 @@
 	"github.com/gullhaven/gullhaven/operate/cli"
 )
 
-// burnInstance answers with a history of a hundred requests of which some were
-// refused, and of some that a markup-minded workspace had late.
-func burnInstance(b *bench, id, region string, refused int) *httptest.Server {
+// burnInstance starts an instance with a history of a hundred requests, of which the
+// first were refused. The name of their workspace contains markup.
+func burnInstance(b *harness, id, region string, refused int) *httptest.Server {
 	h := burn.NewHistory(id, region, 1)
 	for i := range 100 {
 		e := burn.Event{Service: "briefing-llm", Workspace: "<b>pilots</b>"}
@@ -42,7 +42,7 @@
 
 func TestReportBurn(t *testing.T) {
 	convey.Convey("Given two instances that saw requests and one that does not answer", t, func() {
-		b := newBench(t)
+		b := newHarness(t)
 		one, two := burnInstance(b, "malang-1", "jatim", 100), burnInstance(b, "denpasar-1", "bali", 20)
 		defer one.Close()
 		defer two.Close()
@@ -50,7 +50,7 @@
 		silent := "127.0.0.1:1"
 		args := []string{"report", "burn", "--to", to(one), "--to", to(two), "--to", silent}
 
-		convey.Convey("the table joins both, tells causes and names who is missing", func() {
+		convey.Convey("the table merges both, shows causes and names the missing instance", func() {
 			convey.So(b.run(args...), convey.ShouldEqual, cli.ExitOK)
 			out := b.out.String()
 			convey.So(out, convey.ShouldContainSubstring, "120 of 200")
@@ -58,7 +58,7 @@
 			convey.So(out, convey.ShouldContainSubstring, "not answered: "+silent)
 			convey.So(b.err.String(), convey.ShouldContainSubstring, silent+" did not answer")
 		})
-		convey.Convey("JSON tells the same, and fast burn can fail a check", func() {
+		convey.Convey("JSON has the same, and fast burn can fail a check", func() {
 			convey.So(b.run(append(args, "--json", "--fail-on", "slow")...), convey.ShouldEqual, cli.ExitRefused)
 			var report operate.BurnReport
 			convey.So(json.Unmarshal(b.out.Bytes(), &report), convey.ShouldBeNil)
@@ -66,7 +66,7 @@
 			convey.So(report.Unreachable, convey.ShouldHaveLength, 1)
 			convey.So(report.Worst(), convey.ShouldEqual, burn.Fast)
 		})
-		convey.Convey("the page stands alone and takes no markup from names", func() {
+		convey.Convey("the page is self-contained and escapes names", func() {
 			convey.So(b.run(append(args, "--html", b.path("burn.html"))...), convey.ShouldEqual, cli.ExitOK)
 			data, err := os.ReadFile(b.path("burn.html"))
 			convey.So(err, convey.ShouldBeNil)
@@ -77,7 +77,7 @@
 				convey.So(text, convey.ShouldNotContainSubstring, outside)
 			}
 		})
-		convey.Convey("without any answer nothing is known", func() {
+		convey.Convey("without any answer the exit code says so", func() {
 			convey.So(b.run("report", "burn", "--to", silent), convey.ShouldEqual, cli.ExitUnreachable)
 		})
 	})
--- a/operate/cli/settings_addresses.go
+++ b/operate/cli/settings_addresses.go
@@ -24,12 +24,12 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute prints one line a file.
+// Execute prints a line for each file.
 func (c *settingsAddresses) Execute([]string) error {
 	for _, path := range c.Args.Files {
 		s, err := settings.Load(path)
 		if err != nil {
-			return inFile(path, err)
+			return annotateFile(path, err)
 		}
 		a := s.Advertise
 		c.env.Printf("%s %s %s %s %s\n", s.Instance, s.Region, a.Callers, a.Instances, a.Operators)
--- a/operate/cli/settings_check.go
+++ b/operate/cli/settings_check.go
@@ -24,13 +24,13 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute checks all files, also after one with faults.
+// Execute checks all files, even after one with faults.
 func (c *settingsCheck) Execute([]string) error {
 	var result error
 	for _, path := range c.Args.Files {
 		s, err := settings.Load(path)
 		if err != nil {
-			c.env.Progress("%v", inFile(path, err))
+			c.env.Progress("%v", annotateFile(path, err))
 			result = ErrRefused
 			continue
 		}
--- a/operate/cli/status.go
+++ b/operate/cli/status.go
@@ -22,8 +22,9 @@
 	New: func(env *Env) flags.Commander { return &status{env: env} },
 })
 
-// leastEvery keeps a watch from loading the instances, in seconds.
-const leastEvery = 0.2
+// minEvery is the least value of --every, in seconds, so that a watch doesn't load
+// the instances.
+const minEvery = 0.2
 
 // clearScreen moves to the top of a terminal and clears it.
 const clearScreen = "\x1b[H\x1b[2J"
@@ -38,15 +39,15 @@
 	Every float64 `long:"every" default:"2" value-name:"SECONDS" description:"time between two looks with --watch"`
 }
 
-// Execute shows the status once or until interrupted. An instance that doesn't
-// answer for a while doesn't end the watch.
+// Execute prints the status once, or with --watch until interrupted. Errors of the
+// instances don't end a watch.
 func (c *status) Execute([]string) error {
-	client, err := c.client(c.env, 1)
+	client, err := c.newClient(c.env, 1)
 	if err != nil {
 		return err
 	}
-	if c.Every < leastEvery {
-		return errors.Errorf("--every is %g, but must be at least %g", c.Every, leastEvery)
+	if c.Every < minEvery {
+		return errors.Errorf("--every is %g, but must be at least %g", c.Every, minEvery)
 	}
 	for {
 		err := c.show(client)
@@ -62,7 +63,7 @@
 	}
 }
 
-// show reads and prints once.
+// show reads and prints the status once.
 func (c *status) show(client *operate.Client) error {
 	status, err := client.Status(c.env.Context)
 	if err != nil {
--- a/operate/cli/status_table.go
+++ b/operate/cli/status_table.go
@@ -13,12 +13,12 @@
 // cellPadding is the space between columns.
 const cellPadding = 2
 
-// table writes aligned rows.
+// table writes rows with aligned columns.
 type table struct {
 	writer *tabwriter.Writer
 }
 
-// newTable starts a table with a title.
+// newTable starts a table with a title and headers.
 func newTable(out io.Writer, title string, columns ...string) *table {
 	_, _ = fmt.Fprintf(out, "\n%s\n", title)
 	t := &table{writer: tabwriter.NewWriter(out, 0, 0, cellPadding, ' ', 0)}
@@ -26,22 +26,21 @@
 	return t
 }
 
-// row adds a row.
 func (t *table) row(cells ...string) {
 	_, _ = fmt.Fprintln(t.writer, "  "+strings.Join(cells, "\t"))
 }
 
-// end writes the table.
+// end writes the rows.
 func (t *table) end() { _ = t.writer.Flush() }
 
-// printStatus writes the tables of a status; a part that the instance doesn't
-// report has no table.
+// printStatus writes the tables of a status. Voters and services that the instance
+// doesn't report have no table.
 func printStatus(out io.Writer, s *operate.Status) {
 	_, _ = fmt.Fprintf(out, "%s in %s, %s (%s), up %s, %d requests under way\n", s.Instance, s.Region, s.Zone,
 		strings.Join(s.Roles, ", "), millisText(s.UptimeMillis), s.InFlight)
 	_, _ = fmt.Fprintf(out, "bundle: version %d, digest %s\n", s.Version, s.Digest)
-	_, _ = fmt.Fprintf(out, "leader: %s\n", leader(s.Leader, s.Lease))
-	printTrouble(out, s.Problems())
+	_, _ = fmt.Fprintf(out, "leader: %s\n", leaderText(s.Leader, s.Lease))
+	printProblems(out, s.Problems())
 	printRegions(out, s)
 	if len(s.Voters) > 0 {
 		printVoters(out, s)
@@ -53,22 +52,22 @@
 	}
 }
 
-// leader names a leader, with what is left of its lease where that is known.
-func leader(name string, l *operate.LeaseStatus) string {
+// leaderText returns a leader with its term and the rest of its lease, if known.
+func leaderText(name string, l *operate.LeaseStatus) string {
 	if l == nil {
 		return orNone(name)
 	}
 	return fmt.Sprintf("%s (term %d, lease %d ms)", l.Instance, l.Term, l.RemainingMillis)
 }
 
-// printTrouble tells what to look at first.
-func printTrouble(out io.Writer, trouble []string) {
-	for _, line := range trouble {
+// printProblems writes a line with "!" for each problem.
+func printProblems(out io.Writer, problems []string) {
+	for _, line := range problems {
 		_, _ = fmt.Fprintf(out, "! %s\n", line)
 	}
 }
 
-// printRegions says who is behind, and for how long.
+// printRegions writes the version of each region and the instances that lag.
 func printRegions(out io.Writer, s *operate.Status) {
 	t := newTable(out, "REGIONS", "region", "version", "state", "heard", "leader", "lagging")
 	for _, region := range s.Regions {
@@ -76,14 +75,13 @@
 		for _, i := range region.Lagging {
 			lagging = append(lagging, fmt.Sprintf("%s on %d for %s", i.Instance, i.Version, millisText(i.ForMillis)))
 		}
-		t.row(region.Region, fmt.Sprint(region.Version), regionState(region), millisText(region.AgeMillis)+" ago",
-			leader("", region.Lease), orNone(strings.Join(lagging, "; ")))
+		t.row(region.Region, fmt.Sprint(region.Version), regionStateText(region), millisText(region.AgeMillis)+" ago",
+			leaderText("", region.Lease), orNone(strings.Join(lagging, "; ")))
 	}
 	t.end()
 }
 
-// regionState is one word or two.
-func regionState(r operate.RegionStatus) string {
+func regionStateText(r operate.RegionStatus) string {
 	switch {
 	case !r.Reachable:
 		return "cut off"
@@ -132,7 +130,7 @@
 
 func millis(v float64) string { return fmt.Sprintf("%.1f", v) }
 
-// millisText is a time for people.
+// millisText formats milliseconds as a duration; from a minute on, in whole seconds.
 func millisText(millis int64) string {
 	d := time.Duration(millis) * time.Millisecond
 	if d >= time.Minute {
@@ -141,7 +139,7 @@
 	return d.String()
 }
 
-// orNone stands for an empty cell.
+// orNone returns "-" for an empty text.
 func orNone(text string) string {
 	if text == "" {
 		return "-"
