--- a/api/burn.go
+++ b/api/burn.go
@@ -8,23 +8,23 @@
 	"github.com/gullhaven/gullhaven/metrics/burn"
 )
 
-// maxBurnHistory bounds the history in an answer, in bytes: that of a region of
-// some thirty instances at full size.
+// maxBurnHistory bounds the history in an answer, in bytes. It holds the history of a
+// region with about thirty instances at full size.
 const maxBurnHistory = 8 << 20
 
-// BurnSource is what a BurnReport is made of.
+// BurnSource is the input of BurnReportOf.
 type BurnSource struct {
 	Instance, Region string
-	// Version and Services are those of the bundle in force.
+	// Version and Services of the bundle in force.
 	Version  uint64
 	Services []bundle.Service
-	// Snapshot holds what this instance has seen, and what its neighbours have
-	// handed it.
+	// Snapshot of the requests that this instance has seen, and of those that its
+	// neighbours have handed over.
 	Snapshot burn.Snapshot
 }
 
-// BurnReportOf reports the burn of each service. A service without an objective
-// is left out. The error is burn.ErrTooLarge.
+// BurnReportOf returns the burn of each service with an objective, over all regions,
+// and the encoded history. The error is burn.ErrTooLarge.
 func BurnReportOf(s BurnSource, now time.Time) (*operators.BurnReport, error) {
 	history, err := s.Snapshot.Since(now).Encode(maxBurnHistory)
 	if err != nil {
--- a/api/callers.go
+++ b/api/callers.go
@@ -13,23 +13,23 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// errMounted is returned by methods whose handler is the request path.
-var errMounted = errors.New("served by the request path")
+// errServedByPipeline is returned by methods whose handler is that of the pipeline.
+var errServedByPipeline = errors.New("served by the request path")
 
-// callersService answers callers.
+// callersService implements the callers service of api/design.
 type callersService struct{ d Deps }
 
-// ChatCompletions is never called, see New.
+// ChatCompletions is never called, see the package comment.
 func (s *callersService) ChatCompletions(context.Context, *callers.ChatCompletionsPayload, io.ReadCloser) (*callers.CompletionAnswer, io.ReadCloser, error) {
-	return nil, nil, errMounted
+	return nil, nil, errServedByPipeline
 }
 
-// Completions is never called, see New.
+// Completions is never called, see the package comment.
 func (s *callersService) Completions(context.Context, *callers.CompletionsPayload, io.ReadCloser) (*callers.CompletionAnswer, io.ReadCloser, error) {
-	return nil, nil, errMounted
+	return nil, nil, errServedByPipeline
 }
 
-// Models lists what a request may name as its model.
+// Models lists the names that a request may give as its model.
 func (s *callersService) Models(context.Context) (*callers.ModelList, error) {
 	list := &callers.ModelList{Object: "list", Data: []*callers.Model{}}
 	v := s.d.Pipeline.View()
@@ -42,9 +42,9 @@
 	return list, nil
 }
 
-// Directory tells which instances to use.
+// Directory returns the instances that the caller should use now.
 func (s *callersService) Directory(_ context.Context, p *callers.DirectoryPayload) (*callers.DirectoryAnswer, error) {
-	q := ports.DirectoryQuery{Zone: orEmpty(p.Zone), Region: orEmpty(p.Region), Caller: orEmpty(p.Caller)}
+	q := ports.DirectoryQuery{Zone: valueOrEmpty(p.Zone), Region: valueOrEmpty(p.Region), Caller: valueOrEmpty(p.Caller)}
 	a := s.d.Directory.Lookup(q)
 	out := &callers.DirectoryAnswer{
 		Instances:    []*callers.DirectoryEntry{},
@@ -63,20 +63,20 @@
 	return out, nil
 }
 
-func orEmpty(s *string) string {
+func valueOrEmpty(s *string) string {
 	if s == nil {
 		return ""
 	}
 	return *s
 }
 
-// healthService answers supervisors and scrapers.
+// healthService implements the health service of api/design.
 type healthService struct{ d Deps }
 
-// Live says that the process runs.
+// Live returns nil: the process runs.
 func (s *healthService) Live(context.Context) error { return nil }
 
-// Ready says whether the instance takes requests.
+// Ready returns a refusal if the instance takes no requests.
 func (s *healthService) Ready(context.Context) (*health.Readiness, error) {
 	if s.d.Ready == nil {
 		return &health.Readiness{Ready: true}, nil
@@ -92,7 +92,7 @@
 	}
 }
 
-// Metrics writes the counters.
+// Metrics returns the metrics page.
 func (s *healthService) Metrics(context.Context) (*health.MetricsResult, io.ReadCloser, error) {
 	var page bytes.Buffer
 	if err := s.d.Metrics.WritePage(&page); err != nil {
--- a/api/design/callers.go
+++ b/api/design/callers.go
@@ -36,7 +36,7 @@
 	Required("instances", "ttl_ms", "cache_control")
 })
 
-// terms are the headers that requests may carry, see docs/API.md.
+// terms describes the headers that requests may have, see docs/API.md.
 func terms() {
 	Attribute("authorization", String, "Bearer and the workspace key")
 	Attribute("deadline_ms", Int64, "When the whole answer must have been given, from now, in milliseconds")
@@ -68,8 +68,8 @@
 	Required("content_type", "request_id", "verdict")
 })
 
-// completion describes a method whose bodies pass both ways as they come. Its
-// handler is the request path itself, see package api.
+// completion describes a method whose request and response bodies are streamed
+// unparsed. Its handler is that of the pipeline, see package api.
 func completion(path string) {
 	Payload(terms)
 	Result(answer)
--- a/api/design/design.go
+++ b/api/design/design.go
@@ -1,5 +1,5 @@
-// Package design describes the interface to callers and operators in goa. The
-// code made from it is committed in api/gen; after a change run
+// Package design describes the interface for callers and operators in goa. The code
+// generated from it is in api/gen. After a change run
 //
 //	go tool goa gen github.com/gullhaven/gullhaven/api/design -o api
 package design
@@ -18,7 +18,7 @@
 	})
 })
 
-// refusalDetail is pipeline.RefusalDetail.
+// refusalDetail has the form of pipeline.RefusalDetail.
 var refusalDetail = Type("RefusalDetail", func() {
 	Description("What happened, and whether to come back.")
 	Attribute("code", String, "Cause, stable across releases", func() { Example("deadline_unmeetable") })
@@ -37,7 +37,7 @@
 	Required("name", "error", "verdict")
 })
 
-// refusalErrors are the names of refusals, each with its status.
+// refusalErrors declares the errors of refusalNames.
 func refusalErrors() {
 	for _, e := range refusalNames {
 		Error(e.name, refusal)
@@ -59,7 +59,7 @@
 	{"unavailable", StatusServiceUnavailable},
 }
 
-// refusalResponses map refusals to statuses and headers.
+// refusalResponses maps refusals to statuses and headers.
 func refusalResponses() {
 	for _, e := range refusalNames {
 		Response(e.name, e.status, func() {
--- a/api/operators.go
+++ b/api/operators.go
@@ -14,28 +14,28 @@
 
 // Codes of errors that an Operator returns.
 const (
-	// CodeBundleMalformed: the body is no signed bundle.
+	// CodeBundleMalformed: the body is not a signed bundle.
 	CodeBundleMalformed verdict.Code = "bundle_malformed"
 	// CodeBundleInvalid: the bundle breaks a rule; the message names each field.
 	CodeBundleInvalid verdict.Code = "bundle_invalid"
-	// CodeBundleUnsigned: the sign-offs in force are not met.
+	// CodeBundleUnsigned: the bundle lacks sign-offs that the bundle in force requires.
 	CodeBundleUnsigned verdict.Code = "bundle_unsigned"
 	// CodeBundleConflict: another bundle was accepted under this version; the
 	// message names its digest.
 	CodeBundleConflict verdict.Code = "bundle_conflict"
 	// CodeBundleTooLarge: the body is larger than MaxBundleBytes.
 	CodeBundleTooLarge verdict.Code = "bundle_too_large"
-	// CodeNoQuorum: the majority can't be reached; the bundle may or may not be
-	// accepted later. Sending the same bytes again is safe.
+	// CodeNoQuorum: the quorum can't be reached; the bundle may still be accepted.
+	// Sending the same bytes again is safe.
 	CodeNoQuorum verdict.Code = "no_quorum"
 	// CodeNotReady: the instance takes no requests now.
 	CodeNotReady verdict.Code = "not_ready"
 )
 
-// MaxBundleBytes bounds a signed bundle.
+// MaxBundleBytes bounds the body with a signed bundle.
 const MaxBundleBytes = 64 << 20
 
-// refusalNames are the names of goa's errors by code, and with them the status.
+// refusalNames maps codes to names of errors in api/design, which set the status.
 var refusalNames = map[verdict.Code]string{
 	CodeBundleMalformed: "bad_request",
 	CodeBundleInvalid:   "invalid",
@@ -45,10 +45,10 @@
 	CodeNoQuorum:        "unavailable",
 }
 
-// operatorsService answers operators.
+// operatorsService implements the operators service of api/design.
 type operatorsService struct{ d Deps }
 
-// Roll reads the body within its bound and hands it on.
+// Roll reads the body, at most MaxBundleBytes, and passes it to the Operator.
 func (s *operatorsService) Roll(ctx context.Context, body io.ReadCloser) (*operators.RollResult, error) {
 	defer body.Close()
 	signed, err := io.ReadAll(io.LimitReader(body, MaxBundleBytes+1))
@@ -62,19 +62,20 @@
 	return res, refusalOf(err)
 }
 
-// Status reports what the instance knows.
+// Status returns what the instance knows about the whole system.
 func (s *operatorsService) Status(ctx context.Context) (*operators.InstanceReport, error) {
 	res, err := s.d.Operator.Status(ctx)
 	return res, refusalOf(err)
 }
 
-// Burn reports service-level burn.
+// Burn returns the burn of the services' objectives.
 func (s *operatorsService) Burn(ctx context.Context) (*operators.BurnReport, error) {
 	res, err := s.d.Operator.Burn(ctx)
 	return res, refusalOf(err)
 }
 
-// refusalOf is the error as goa encodes it; nil stays nil.
+// refusalOf converts an error to the type that goa encodes; nil stays nil. An error
+// that is no *verdict.Error becomes CodeNoQuorum, as the bundle may be accepted.
 func refusalOf(err error) error {
 	if err == nil {
 		return nil
@@ -85,7 +86,7 @@
 	}
 	name, ok := refusalNames[e.Code]
 	if !ok {
-		name = nameByStatus(pipeline.StatusOf(e.Code))
+		name = refusalNameOf(pipeline.StatusOf(e.Code))
 	}
 	r := &operators.Refusal{
 		Name:    name,
@@ -100,8 +101,9 @@
 	return r
 }
 
-// nameByStatus is goa's error for a status; one that has none is "unavailable".
-func nameByStatus(status int) string {
+// refusalNameOf returns the name of the error in api/design for a status, or
+// "unavailable" if there is none.
+func refusalNameOf(status int) string {
 	switch status {
 	case http.StatusBadRequest:
 		return "bad_request"
--- a/api/server.go
+++ b/api/server.go
@@ -1,12 +1,11 @@
 // Package api serves the interface that api/design describes.
 //
-// goa's server decodes, validates and encodes what callers and operators ask,
-// and owns every other route. Two things are mounted beside its generated
-// handlers, for the same reason: an answer's status and headers come from a
-// target, each chunk must be flushed, and refusals must be given before the
-// body is read. So the two completion methods have the request path as their
-// handler, and plain services, whose methods, headers and statuses nobody can
-// list, stand under /services/ outside goa's mux.
+// Code that goa generates decodes, validates and encodes requests and answers of
+// most routes. The pipeline itself handles the two completion methods and plain
+// services, because status and headers of their answers come from a target, each
+// chunk must be flushed, and refusals must be sent before the body is read. Plain
+// services are outside goa's mux, under /services/, because their methods, headers
+// and statuses are not known in advance.
 package api
 
 import (
@@ -29,21 +28,22 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// servicesPath is where plain services stand.
+// servicesPath is the prefix of plain services.
 const servicesPath = "/services/"
 
-// Deps are what the interface needs of its host.
+// Deps are the dependencies of New.
 type Deps struct {
 	Pipeline  *pipeline.Pipeline
 	Directory ports.Directory
-	// Operator may be nil: operators' paths are left out then.
+	// Operator may be nil; the operators' paths are not served then.
 	Operator Operator
-	// Ready says why the instance takes no requests; nil means that it does.
+	// Ready returns why the instance takes no requests, or nil if it takes them. A
+	// nil Ready means that it always does.
 	Ready   func() error
 	Metrics *metrics.Set
 }
 
-// Operator answers what operators ask. Its errors are *verdict.Error with one
+// Operator implements the operators' methods. Its errors are *verdict.Error with one
 // of the codes of this package.
 type Operator interface {
 	// Roll takes the JSON of a bundle.Signed.
@@ -52,50 +52,51 @@
 	Burn(ctx context.Context) (*operators.BurnReport, error)
 }
 
-// New serves callers, operators and health.
+// New returns the handler for callers, operators and health.
 func New(d Deps) http.Handler {
-	m := newMounting()
+	m := newRouter()
 	mountCallers(m, d)
 	if d.Operator != nil {
 		mountOperators(m, d)
 	}
 	mountHealth(m, d)
 	m.root.Handle(servicesPath, d.Pipeline.Handler(pipeline.KindPlain))
-	m.root.HandleFunc("/", m.unknown)
+	m.root.HandleFunc("/", m.refuseUnknown)
 	return m.root
 }
 
-// NewPeer serves requests that other instances pass on. peer names an instance
-// by the certificate of its connection; an empty name is refused.
+// NewPeer returns the handler for requests that other instances forward. peer returns
+// the name of the instance by the certificate of its connection; requests with an
+// empty name are refused.
 func NewPeer(p *pipeline.Pipeline, peer func(*http.Request) string) http.Handler {
-	m := newMounting()
+	m := newRouter()
 	m.root.Handle("POST /v1/chat/completions", p.PeerHandler(pipeline.KindChat, peer))
 	m.root.Handle("POST /v1/completions", p.PeerHandler(pipeline.KindText, peer))
 	m.root.Handle(servicesPath, p.PeerHandler(pipeline.KindPlain, peer))
-	m.root.HandleFunc("/", m.unknown)
+	m.root.HandleFunc("/", m.refuseUnknown)
 	return m.root
 }
 
-// mounting joins goa's mux and the handlers beside it.
-type mounting struct {
+// router combines goa's mux with the handlers outside it.
+type router struct {
 	root *http.ServeMux
 	goa  goahttp.Muxer
-	// methods of each path of goa's mux.
+	// methods holds the method of each path of goa's mux.
 	methods map[string]string
 }
 
-func newMounting() *mounting {
-	return &mounting{root: http.NewServeMux(), goa: goahttp.NewMuxer(), methods: map[string]string{}}
+func newRouter() *router {
+	return &router{root: http.NewServeMux(), goa: goahttp.NewMuxer(), methods: map[string]string{}}
 }
 
-func (m *mounting) add(method, path string) {
+func (m *router) add(method, path string) {
 	m.methods[path] = method
 	m.root.Handle(method+" "+path, m.goa)
 }
 
-// unknown answers paths and methods that nothing serves, in the form of every
-// other refusal.
-func (m *mounting) unknown(w http.ResponseWriter, r *http.Request) {
+// refuseUnknown answers paths and methods that are not served, in the form of all
+// other refusals.
+func (m *router) refuseUnknown(w http.ResponseWriter, r *http.Request) {
 	if method, ok := m.methods[r.URL.Path]; ok {
 		w.Header().Set("Allow", method)
 		pipeline.WriteRefusal(w, verdict.New(verdict.NotRun, pipeline.CodeUnknownMethod, "the method of this path is "+method))
@@ -104,7 +105,7 @@
 	pipeline.WriteRefusal(w, verdict.New(verdict.NotRun, pipeline.CodeUnknownPath, "nothing is served at this path"))
 }
 
-func mountCallers(m *mounting, d Deps) {
+func mountCallers(m *router, d Deps) {
 	e := callers.NewEndpoints(&callersService{d: d})
 	s := callersserver.New(e, m.goa, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, formatError)
 	s.ChatCompletions = d.Pipeline.Handler(pipeline.KindChat)
@@ -115,7 +116,7 @@
 	}
 }
 
-func mountOperators(m *mounting, d Deps) {
+func mountOperators(m *router, d Deps) {
 	e := operators.NewEndpoints(&operatorsService{d: d})
 	s := operatorsserver.New(e, m.goa, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, formatError)
 	s.Mount(m.goa)
@@ -124,7 +125,7 @@
 	}
 }
 
-func mountHealth(m *mounting, d Deps) {
+func mountHealth(m *router, d Deps) {
 	e := health.NewEndpoints(&healthService{d: d})
 	s := healthserver.New(e, m.goa, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, formatError)
 	s.Mount(m.goa)
@@ -133,25 +134,25 @@
 	}
 }
 
-// refusalBody is an error of goa's own, in the form of every other refusal.
+// refusalBody is an error that goa raised, in the form of all other refusals.
 type refusalBody struct {
 	pipeline.Refusal
 	status int
 }
 
-// StatusCode is the HTTP status.
+// StatusCode returns the HTTP status.
 func (r *refusalBody) StatusCode() int { return r.status }
 
-// formatError turns errors that goa found into refusals. Refusals that a service
-// returned pass through: goa sets their status and headers itself.
+// formatError converts errors to refusals. Of refusals that a service returned it
+// keeps the body; goa sets their status and headers itself.
 func formatError(_ context.Context, err error) goahttp.Statuser {
 	var r *operators.Refusal
 	if errors.As(err, &r) {
-		return &refusalBody{Refusal: refusalFrom(*r.Detail)}
+		return &refusalBody{Refusal: refusalBodyOf(*r.Detail)}
 	}
 	var notReady *health.Refusal
 	if errors.As(err, &notReady) {
-		return &refusalBody{Refusal: refusalFrom(operators.RefusalDetail(*notReady.Detail))}
+		return &refusalBody{Refusal: refusalBodyOf(operators.RefusalDetail(*notReady.Detail))}
 	}
 	var g *goa.ServiceError
 	if errors.As(err, &g) && !g.Fault {
@@ -162,10 +163,10 @@
 	return &refusalBody{Refusal: pipeline.RefusalOf(e), status: http.StatusInternalServerError}
 }
 
-// refusalFrom is the body of a refusal that a service returned.
-func refusalFrom(d operators.RefusalDetail) pipeline.Refusal {
+// refusalBodyOf returns the body of a refusal that a service returned.
+func refusalBodyOf(d operators.RefusalDetail) pipeline.Refusal {
 	r := pipeline.Refusal{Error: pipeline.RefusalDetail{Code: verdict.Code(d.Code), Message: d.Message}}
-	// The text was written by the same type, so it can't fail to be read.
+	// The text comes from the same type, so it can be parsed.
 	_ = r.Error.Verdict.UnmarshalText([]byte(d.Verdict))
 	if d.RetryAfterMs != nil {
 		r.Error.RetryAfterMillis = *d.RetryAfterMs
--- a/api/server_test.go
+++ b/api/server_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// fixedOperator has accepted one bundle, "winner".
+// fixedOperator is an Operator that has accepted one bundle, "winner".
 type fixedOperator struct{}
 
 func (fixedOperator) Roll(_ context.Context, signed []byte) (*operators.RollResult, error) {
@@ -56,7 +56,7 @@
 	return &operators.InstanceReport{Instance: "malang-1", Region: "jatim"}, nil
 }
 
-// burn has one request of two that kept its objective.
+// Burn reports two requests, one of which met its objective.
 func (fixedOperator) Burn(context.Context) (*operators.BurnReport, error) {
 	now := time.Now()
 	h := burn.NewHistory("malang-1", "jatim", 1)
@@ -139,7 +139,7 @@
 				t.Fatalf("%s is %q", name, resp.Header.Get(name))
 			}
 			if c.status >= 400 && !json.Valid(body) {
-				t.Fatalf("a refusal that is no JSON: %s", body)
+				t.Fatalf("the refusal is not JSON: %s", body)
 			}
 		})
 	}
--- a/api/services.go
+++ b/api/services.go
@@ -7,8 +7,8 @@
 	"github.com/gullhaven/gullhaven/metrics/served"
 )
 
-// ServiceStatuses are the figures of an instance of a region in the form of the
-// interface.
+// ServiceStatuses converts the figures of an instance in a region to the form of
+// api/design.
 func ServiceStatuses(region string, figures []served.Figures) []*operators.ServiceStatus {
 	list := []*operators.ServiceStatus{}
 	for _, f := range figures {
--- a/api/form_test.go
+++ b/api/status_test.go
@@ -16,7 +16,7 @@
 	"github.com/gullhaven/gullhaven/operate"
 )
 
-func fullReport() *operators.InstanceReport {
+func fullStatus() *operators.InstanceReport {
 	lease := &operators.LeaseStatus{Instance: "malang-1", Term: 4, LeftMs: 900}
 	return &operators.InstanceReport{
 		Instance: "malang-1", Region: "jatim", Zone: "malang-hall", Roles: []string{"entry"}, Version: 3, Digest: "d",
@@ -35,11 +35,11 @@
 	}
 }
 
-// Symptom: a column of `gullhaven status` stays empty though the instance tells
-// it. Cause: the field has another name in the design than in package operate.
-func TestStatusHasTheFormThatOperatorsRead(t *testing.T) {
+// Guards against a column of `gullhaven status` that stays empty because the field's
+// name in api/design differs from that in package operate.
+func TestStatusMatchesPackageOperate(t *testing.T) {
 	w := httptest.NewRecorder()
-	if err := server.EncodeStatusResponse(goahttp.ResponseEncoder)(context.Background(), w, fullReport()); err != nil {
+	if err := server.EncodeStatusResponse(goahttp.ResponseEncoder)(context.Background(), w, fullStatus()); err != nil {
 		t.Fatal(err)
 	}
 	sent := w.Body.Bytes()
