--- a/operate/capacity/table.go
+++ b/operate/capacity/table.go
@@ -74,8 +74,8 @@
 type Role struct {
 	Name   string `json:"name"`
 	Duties []Duty `json:"duties"`
-	// Own is the sum of the duties; Whole adds the duties that come with the role:
-	// those of every entry instance and, except for target owners, of a target owner.
+	// Own is the cost of the duties. Whole adds that of the entry instance and that of
+	// the target owner, as instances with another role have these roles too.
 	Own   Cost     `json:"own"`
 	Whole Cost     `json:"whole"`
 	Over  []string `json:"over"`
