--- a/operate/status_test.go
+++ b/operate/status_test.go
@@ -7,8 +7,8 @@
 	"github.com/gullhaven/gullhaven/operate"
 )
 
-// Symptom: an operator reads "in force everywhere" while a region runs the old
-// rules. Cause: a region that is cut off, or one lagging instance, passed over.
+// Guards against reporting a version as in force everywhere while a region is cut
+// off or one of its instances lags.
 func TestLacking(t *testing.T) {
 	status := operate.Status{Regions: []operate.RegionStatus{
 		{Region: "current", Version: 7, Reachable: true},
@@ -18,13 +18,12 @@
 		{Region: "one-lags", Version: 7, Reachable: true, Lagging: []operate.LaggingInstance{{Instance: "b", Version: 6}}},
 	}}
 	want := []string{"old", "cut-off", "one-lags"}
-	if got := status.Lacking(7); !slices.Equal(got, want) {
+	if got := status.RegionsWithout(7); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// Symptom: a status that looks fine while something is down. Cause: a state that
-// no line is told of.
+// Guards against a bad state that no line of the status reports.
 func TestTrouble(t *testing.T) {
 	healthy := operate.Status{
 		Roles: []string{"entry", "voter"}, Leader: "a",
@@ -33,7 +32,7 @@
 		Instances: []operate.InstanceStatus{{ID: "a", State: "alive"}, {ID: "b", State: "leaving"}},
 		Targets:   []operate.TargetStatus{{ID: "r1", State: "warm"}, {ID: "r2", State: "loading"}},
 	}
-	if got := healthy.Trouble(); len(got) > 0 {
+	if got := healthy.Problems(); len(got) > 0 {
 		t.Errorf("healthy, but %q", got)
 	}
 	for name, fault := range map[string]func(*operate.Status){
@@ -48,7 +47,7 @@
 	} {
 		s := healthy
 		fault(&s)
-		if got := s.Trouble(); len(got) != 1 {
+		if got := s.Problems(); len(got) != 1 {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
