--- a/bundle/routes/match.go
+++ b/bundle/routes/match.go
@@ -31,7 +31,7 @@
 
 // HomeWeight is how much of a host's requests a region may serve: the sum of the weights
 // of its routes that allow the region.
-func (x *Index) HomeWeight(host, region string, weight func(route string) int) int {
+func (x *Index) RegionWeight(host, region string, weight func(route string) int) int {
 	host = strings.ToLower(host)
 	sum := 0
 	for _, g := range x.groups {
--- a/bundle/routes/types.go
+++ b/bundle/routes/types.go
@@ -54,11 +54,11 @@
 	// Attempts is the largest number of targets that may be sent one request.
 	Attempts int
 	// Homes are the regions that may serve it; empty means all.
-	Homes []string
+	Regions []string
 	// Affine requests name the parts of their prompt; targets keep them.
 	Affine bool
 	// Open routes also serve callers without a key.
-	Open bool
+	AllowAnonymous bool
 	// Split shares the requests over services by weight.
 	Split []Share
 }
@@ -70,7 +70,7 @@
 
 // Allows reports whether a region may serve the route.
 func (r *Route) Allows(region string) bool {
-	return len(r.Homes) == 0 || slices.Contains(r.Homes, region)
+	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
 
 // Share is one service of a route with its weight.
@@ -102,13 +102,13 @@
 	MemoryTokens int
 	// FetchPerKilo is how long it takes to fetch 1,000 tokens of kept prompt parts from
 	// another engine, in milliseconds; 0 where it is not known.
-	FetchPerKilo float64
+	FetchMillisPerThousand float64
 }
 
 // Limits bound what a caller may send and how long it may take.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	HeaderTime     time.Duration
-	IdleTime       time.Duration
+	HeaderTimeout     time.Duration
+	IdleTimeout       time.Duration
 }
--- a/bundle/routes/workspace.go
+++ b/bundle/routes/workspace.go
@@ -38,15 +38,15 @@
 	// Keys of its callers; one without keys is nobody's.
 	Keys []KeyDigest
 	// Ranked says that Priority goes before that of a route.
-	Ranked   bool
+	HasPriority   bool
 	Priority int
 	// Homes are the regions that may serve it; empty means all.
-	Homes []string
-	Limit UseLimit
+	Regions []string
+	Limit RateLimit
 }
 
 // UseLimit bounds what all instances together let through for a workspace.
-type UseLimit struct {
+type RateLimit struct {
 	Unit Unit
 	// Rate is in units per second, 0 for no limit; Burst in units.
 	Rate, Burst float64
@@ -55,7 +55,7 @@
 }
 
 // Cost is what a request counts; counted says that it tells its tokens.
-func (l *UseLimit) Cost(prompt, output int, counted bool) float64 {
+func (l *RateLimit) Cost(prompt, output int, counted bool) float64 {
 	switch {
 	case l.Unit == Requests:
 		return 1
@@ -67,25 +67,25 @@
 
 // Allows reports whether a region may serve the workspace. Nobody may be nil.
 func (w *Workspace) Allows(region string) bool {
-	return w == nil || len(w.Homes) == 0 || slices.Contains(w.Homes, region)
+	return w == nil || len(w.Regions) == 0 || slices.Contains(w.Regions, region)
 }
 
 // Rank is the rank of the workspace's requests on a route. Nobody may be nil.
 func (w *Workspace) Rank(r *Route) int {
-	if w != nil && w.Ranked {
+	if w != nil && w.HasPriority {
 		return w.Priority
 	}
 	return r.Priority
 }
 
 // Homeless reports whether no region may serve the workspace's requests on a route.
-func (w *Workspace) Homeless(r *Route) bool {
-	return w != nil && len(w.Homes) > 0 && len(r.Homes) > 0 && !slices.ContainsFunc(w.Homes, r.Allows)
+func (w *Workspace) HasNoRegion(r *Route) bool {
+	return w != nil && len(w.Regions) > 0 && len(r.Regions) > 0 && !slices.ContainsFunc(w.Regions, r.Allows)
 }
 
 func (w *Workspace) equal(o *Workspace) bool {
-	return w.Name == o.Name && w.Ranked == o.Ranked && w.Priority == o.Priority && w.Limit == o.Limit &&
-		slices.Equal(w.Keys, o.Keys) && slices.Equal(w.Homes, o.Homes)
+	return w.Name == o.Name && w.HasPriority == o.HasPriority && w.Priority == o.Priority && w.Limit == o.Limit &&
+		slices.Equal(w.Keys, o.Keys) && slices.Equal(w.Regions, o.Regions)
 }
 
 // workspaces finds workspaces by key and name. It is read-only.
@@ -121,7 +121,7 @@
 }
 
 // WorkspaceNamed returns a workspace by name, or nil.
-func (x *Index) WorkspaceNamed(name string) *Workspace {
+func (x *Index) WorkspaceByName(name string) *Workspace {
 	if x.workspaces == nil {
 		return nil
 	}
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -214,7 +214,7 @@
 func (i *Instance) Addresses(host, region string) []string {
 	weight := func(string) int { return 0 }
 	if view := i.gateway.View(); view != nil {
-		weight = func(region string) int { return view.Index.HomeWeight(host, region, i.gateway.RouteWeight) }
+		weight = func(region string) int { return view.Index.RegionWeight(host, region, i.gateway.RouteWeight) }
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/node/quota/service.go
+++ b/node/quota/service.go
@@ -90,7 +90,7 @@
 	s.keyed = x.Table.Keyed
 	s.takers = takers
 	s.holders.SetLimits(x.Table.Version, func(name string) (limit.Limit, bool) {
-		w := x.WorkspaceNamed(name)
+		w := x.WorkspaceByName(name)
 		if w == nil || w.Limit.Rate <= 0 {
 			return limit.Limit{}, false
 		}
--- a/node/quota/service_test.go
+++ b/node/quota/service_test.go
@@ -92,7 +92,7 @@
 
 const lent = 10
 
-var limited = routes.Workspace{Name: "w", Keys: []routes.KeyDigest{routes.DigestKey("k")}, Limit: routes.UseLimit{Rate: 1e-9, Burst: 6 * lent}}
+var limited = routes.Workspace{Name: "w", Keys: []routes.KeyDigest{routes.DigestKey("k")}, Limit: routes.RateLimit{Rate: 1e-9, Burst: 6 * lent}}
 
 func table(list ...routes.Workspace) *routes.Index {
 	return routes.NewIndex(&routes.Table{Version: 1, Keyed: true, Workspaces: list})
@@ -220,7 +220,7 @@
 func TestRequestOfAWorkspaceThatLosesItsLimitPasses(t *testing.T) {
 	all := start(t, 1)
 	free := limited
-	free.Limit = routes.UseLimit{}
+	free.Limit = routes.RateLimit{}
 	know(all, table(free))
 	if a := all[0].s.Consume(context.Background(), &limited, 1); !a.Allowed {
 		t.Errorf("refused: %+v", a)
--- a/pipeline/exchange/identify.go
+++ b/pipeline/exchange/identify.go
@@ -13,7 +13,7 @@
 		return refuseKey()
 	}
 	q.workspace = w
-	if w.Homeless(q.route) {
+	if w.HasNoRegion(q.route) {
 		return &refusal{status: http.StatusMisdirectedRequest, code: CodeNoHome}
 	}
 	return nil
@@ -30,7 +30,7 @@
 		c = q.forwarded.Credential
 	}
 	if !c.Present {
-		return nil, q.route.Open
+		return nil, q.route.AllowAnonymous
 	}
 	w := v.Index.Workspace(c.Digest)
 	return w, w != nil
--- a/pipeline/exchange/identify_test.go
+++ b/pipeline/exchange/identify_test.go
@@ -57,7 +57,7 @@
 		x := newTarget(t, "t1", respond(200, "done"))
 		r := newRig(t, "r", x)
 		for i := range r.table.Routes {
-			r.table.Routes[i].Open = true
+			r.table.Routes[i].AllowAnonymous = true
 		}
 		r.setWorkspaces(workspace("a", "key-a"))
 		So(r.callWithKey("", "/safe/x").status, ShouldEqual, 200)
@@ -150,7 +150,7 @@
 func TestHomeRegionsOfRouteAndWorkspaceBothApply(t *testing.T) {
 	homed := func(homes ...string) routes.Workspace {
 		w := workspace("a", "key-a")
-		w.Homes = homes
+		w.Regions = homes
 		return w
 	}
 	Convey("the workspace's home region is another one", t, func() {
@@ -183,7 +183,7 @@
 			r.table.Routes[i].Priority = 4
 		}
 		first := workspace("first", "key-1")
-		first.Ranked = true
+		first.HasPriority = true
 		r.setWorkspaces(first, workspace("plain", "key-2"))
 		r.callWithKey("key-1", "/safe/x")
 		r.callWithKey("key-2", "/safe/x")
--- a/pipeline/exchange/limits_test.go
+++ b/pipeline/exchange/limits_test.go
@@ -44,7 +44,7 @@
 	r.options.Limits = c
 	r.rebuild()
 	w := workspace("a", "key-a")
-	w.Limit = routes.UseLimit{Rate: 1, Burst: 1}
+	w.Limit = routes.RateLimit{Rate: 1, Burst: 1}
 	r.setWorkspaces(w, workspace("free", "key-free"))
 	return r, c
 }
@@ -98,7 +98,7 @@
 		a, b := newRegionPair(t, nil, []*target{newTarget(t, "far", respond(200, "far"))})
 		here, there := &fakeLimits{remaining: 9}, &fakeLimits{remaining: 9}
 		w := workspace("a", "key-a")
-		w.Limit = routes.UseLimit{Rate: 1, Burst: 1}
+		w.Limit = routes.RateLimit{Rate: 1, Burst: 1}
 		view := a.gateway.View()
 		for r, c := range map[*rig]*fakeLimits{a: here, b: there} {
 			r.options.Limits = c
--- a/pipeline/exchange/rig_test.go
+++ b/pipeline/exchange/rig_test.go
@@ -254,7 +254,7 @@
 		"resume": {Kind: routes.Stream, Attempts: 3, Resumable: true},
 		"aimed":  {Kind: routes.Stream, Attempts: 1, Aim: time.Second},
 		"quick":  {Kind: routes.Unsafe, Attempts: 1, Timeout: 50 * time.Millisecond},
-		"home":   {Kind: routes.Safe, Attempts: 2, Homes: []string{"other"}},
+		"home":   {Kind: routes.Safe, Attempts: 2, Regions: []string{"other"}},
 	} {
 		route.Name, route.Host, route.Prefix = name, host, "/"+name+"/"
 		if route.Timeout == 0 {
