--- a/bundle/routes/check.go
+++ b/bundle/routes/check.go
@@ -7,10 +7,10 @@
 	"github.com/juju/errors"
 )
 
-// Check returns an error that names the first rule that the table breaks: a
-// route to an unknown service, two routes of the same host and prefix, weights
-// that add up to nothing, a timeout of nothing, a prefix without its slashes, or
-// two workspaces of one name or with one key.
+// Check returns an error that names the first rule that the table breaks, such as
+// a route to an unknown service, two routes with the same host and prefix, weights
+// that add up to 0, a timeout of 0, a prefix without a slash at both ends, or two
+// workspaces with the same name or key.
 func (t *Table) Check() error {
 	services := map[string]bool{}
 	for _, s := range t.Services {
@@ -22,17 +22,17 @@
 		}
 		services[s.Name] = true
 	}
-	places := map[[2]string]string{}
+	owners := map[[2]string]string{}
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		if err := r.check(services); err != nil {
 			return err
 		}
-		place := [2]string{r.Host, r.Prefix}
-		if other, taken := places[place]; taken {
+		key := [2]string{r.Host, r.Prefix}
+		if other, taken := owners[key]; taken {
 			return errors.NotValidf("route %q: host %q and prefix %q are those of route %q too;", r.Name, r.Host, r.Prefix, other)
 		}
-		places[place] = r.Name
+		owners[key] = r.Name
 	}
 	return checkWorkspaces(t.Workspaces)
 }
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// checkWorkspaces never names a key in its error.
+// checkWorkspaces checks names, limits and keys. Its error never contains a key.
 func checkWorkspaces(list []Workspace) error {
 	names := make(map[string]bool, len(list))
-	holders := make(map[KeyDigest]string, len(list))
+	owners := make(map[KeyDigest]string, len(list))
 	for i := range list {
 		w := &list[i]
 		if err := w.check(); err != nil {
@@ -80,10 +80,10 @@
 		}
 		names[w.Name] = true
 		for _, key := range w.Keys {
-			if other, taken := holders[key]; taken && other != w.Name {
+			if other, taken := owners[key]; taken && other != w.Name {
 				return errors.NotValidf("workspaces %q and %q with one key in common", other, w.Name)
 			}
-			holders[key] = w.Name
+			owners[key] = w.Name
 		}
 	}
 	return nil
@@ -102,7 +102,8 @@
 	return nil
 }
 
-// headerSafe reports whether a name can stand in a header and means the same there.
+// headerSafe reports whether a name can be sent unchanged as a header value: printable
+// ASCII without spaces at either end.
 func headerSafe(name string) bool {
 	printable := func(r rune) bool { return r >= ' ' && r <= '~' }
 	other := func(r rune) bool { return !printable(r) }
--- a/bundle/routes/index.go
+++ b/bundle/routes/index.go
@@ -7,70 +7,71 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Group is a part of a table's routes. It is never changed, so that the next version of the
-// table can have it, too.
+// Group is a part of a table's routes. It is immutable, so that successive versions of the
+// table can share it.
 type Group struct {
 	routes []Route
-	// gapAims are the shortest of each service's routes.
+	// gapAims maps each service to the shortest GapAim of its routes in the group.
 	gapAims map[string]time.Duration
-	// longest is the length of the longest prefix.
-	longest int
+	// longestPrefix is the length of the longest prefix, in bytes.
+	longestPrefix int
 }
 
-// NewGroup makes a group. The routes must not change afterwards.
+// NewGroup makes a group. The caller must not change the routes afterwards.
 func NewGroup(list []Route) *Group {
 	g := &Group{routes: list, gapAims: map[string]time.Duration{}}
 	for i := range list {
 		r := &list[i]
-		g.longest = max(g.longest, len(r.Prefix))
+		g.longestPrefix = max(g.longestPrefix, len(r.Prefix))
 		if r.GapAim <= 0 {
 			continue
 		}
 		for _, s := range r.Split {
-			keepShortest(g.gapAims, s.Service, r.GapAim)
+			setMin(g.gapAims, s.Service, r.GapAim)
 		}
 	}
 	return g
 }
 
-func keepShortest(aims map[string]time.Duration, service string, aim time.Duration) {
+func setMin(aims map[string]time.Duration, service string, aim time.Duration) {
 	if known, ok := aims[service]; !ok || aim < known {
 		aims[service] = aim
 	}
 }
 
-// place is where a route stands.
-type place struct{ host, prefix string }
+// routeKey identifies a route in a table.
+type routeKey struct{ host, prefix string }
 
-// shards is how many parts the routes of an Index are kept in: a version that changes a few
-// routes shares all but a few parts with the one before.
-const shards = 256
+// shardCount is the number of maps that hold the routes of an Index. A version that changes
+// a few routes shares all but a few of the maps with the previous version.
+const shardCount = 256
 
-type shard map[place]*Route
+type shard map[routeKey]*Route
 
-func shardOf(prefix string) uint64 { return xxhash.Sum64String(prefix) % shards }
+func shardOf(prefix string) uint64 { return xxhash.Sum64String(prefix) % shardCount }
 
-// Index finds routes and services of one table. It is read-only.
+// Index looks up routes, services and workspaces of one table. It is read-only.
 type Index struct {
-	Table    *Table
-	groups   []*Group
-	byPlace  [shards]shard
-	services map[string]*Service
-	gapAims  map[string]time.Duration
-	longest  int
-	routes   int
-	// workspaces is nil where callers need no key.
+	Table         *Table
+	groups        []*Group
+	byKey         [shardCount]shard
+	services      map[string]*Service
+	gapAims       map[string]time.Duration
+	longestPrefix int
+	routeCount    int
+	// workspaces is nil if callers need no key.
 	workspaces *workspaces
 }
 
-// NewIndex prepares a table for lookups. The table must not change afterwards.
+// NewIndex makes the index of a table. The caller must not change the table afterwards.
 func NewIndex(t *Table) *Index { return new(Index).With(t, []*Group{NewGroup(t.Routes)}) }
 
-// With prepares the next version of a table, whose routes are those of the groups. It costs
-// by the groups that are new or gone and not by the routes of the others.
+// With returns the index of the next version of a table, whose routes are those of groups;
+// x stays as it is. The cost depends on the routes of added and removed groups, not on the
+// routes of the groups that both versions share.
 func (x *Index) With(t *Table, groups []*Group) *Index {
 	next := &Index{
-		Table: t, groups: groups, byPlace: x.byPlace,
+		Table: t, groups: groups, byKey: x.byKey,
 		services: map[string]*Service{}, gapAims: map[string]time.Duration{},
 	}
 	if t.Keyed {
@@ -80,46 +81,46 @@
 		next.services[t.Services[i].Name] = &t.Services[i]
 	}
 	for _, g := range groups {
-		next.routes += len(g.routes)
-		next.longest = max(next.longest, g.longest)
+		next.routeCount += len(g.routes)
+		next.longestPrefix = max(next.longestPrefix, g.longestPrefix)
 		for service, aim := range g.gapAims {
-			keepShortest(next.gapAims, service, aim)
+			setMin(next.gapAims, service, aim)
 		}
 	}
-	next.exchange(x.groups, groups)
+	next.replaceGroups(x.groups, groups)
 	return next
 }
 
-// exchange takes out the routes of groups that are gone and puts in those of new ones, in
-// this order: a route may stand in another group than before.
-func (x *Index) exchange(before, now []*Group) {
-	var own [shards]bool
-	write := func(prefix string) shard {
+// replaceGroups removes the routes of groups that only oldGroups has and then adds those
+// that only newGroups has. The order matters: a route may have moved to another group.
+func (x *Index) replaceGroups(oldGroups, newGroups []*Group) {
+	var cloned [shardCount]bool
+	writable := func(prefix string) shard {
 		k := shardOf(prefix)
-		if !own[k] {
-			own[k], x.byPlace[k] = true, maps.Clone(x.byPlace[k])
+		if !cloned[k] {
+			cloned[k], x.byKey[k] = true, maps.Clone(x.byKey[k])
 		}
-		if x.byPlace[k] == nil {
-			x.byPlace[k] = shard{}
+		if x.byKey[k] == nil {
+			x.byKey[k] = shard{}
 		}
-		return x.byPlace[k]
+		return x.byKey[k]
 	}
-	for _, g := range without(before, now) {
+	for _, g := range difference(oldGroups, newGroups) {
 		for i := range g.routes {
 			r := &g.routes[i]
-			delete(write(r.Prefix), place{r.Host, r.Prefix})
+			delete(writable(r.Prefix), routeKey{r.Host, r.Prefix})
 		}
 	}
-	for _, g := range without(now, before) {
+	for _, g := range difference(newGroups, oldGroups) {
 		for i := range g.routes {
 			r := &g.routes[i]
-			write(r.Prefix)[place{r.Host, r.Prefix}] = r
+			writable(r.Prefix)[routeKey{r.Host, r.Prefix}] = r
 		}
 	}
 }
 
-// without are the groups of list that others does not have.
-func without(list, others []*Group) []*Group {
+// difference returns the groups of list that are not in others.
+func difference(list, others []*Group) []*Group {
 	known := make(map[*Group]bool, len(others))
 	for _, g := range others {
 		known[g] = true
@@ -133,5 +134,5 @@
 	return out
 }
 
-// Len is the number of routes.
-func (x *Index) Len() int { return x.routes }
+// Len returns the number of routes.
+func (x *Index) Len() int { return x.routeCount }
--- a/bundle/routes/index_test.go
+++ b/bundle/routes/index_test.go
@@ -10,9 +10,9 @@
 	"github.com/gullhaven/gullhaven/bundle/routes"
 )
 
-// Versions follow each other, each with routes that are new, gone or in another group. An
-// index that was made from the one before finds what one made anew finds, and the one before
-// finds what it found.
+// Guards against an index that is updated from its predecessor and finds other routes than
+// one built from scratch, and against an update that changes the predecessor. Each version
+// adds, removes or regroups routes.
 func TestIndexOfAChangeIsThatOfTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := new(routes.Index)
@@ -73,8 +73,8 @@
 	}
 }
 
-// A route that is changed is found, and paths that are long or full of slashes cost no more
-// than the longest prefix.
+// Guards against lookups whose cost grows with a path that is long or full of slashes: no
+// prefix beyond the longest one of the table is tried.
 func TestPathsBeyondTheLongestPrefixAreNotTried(t *testing.T) {
 	x := routes.NewIndex(table())
 	long := "/a/b/"
--- a/bundle/routes/match.go
+++ b/bundle/routes/match.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// GapAim is the longest pause between events of an answer in time, the shortest of the
-// routes to a service; 0 where none has one.
+// GapAim returns the shortest GapAim of the routes to a service: the longest pause between
+// events of a response that is on time. It is 0 if no route sets one.
 func (x *Index) GapAim(service string) time.Duration { return x.gapAims[service] }
 
-// Match returns the route of the longest prefix, or nil.
+// Match returns the route of a request's host whose prefix is the longest that path begins
+// with, or nil. A port in host is ignored, and so is its case.
 func (x *Index) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	host = strings.ToLower(host)
-	// Prefixes end with a slash, and none is longer than the longest.
-	for end := min(len(path), x.longest); end > 0; end-- {
+	// Prefixes end with a slash, and none is longer than longestPrefix.
+	for end := min(len(path), x.longestPrefix); end > 0; end-- {
 		if path[end-1] != '/' {
 			continue
 		}
 		prefix := path[:end]
-		if r := x.byPlace[shardOf(prefix)][place{host, prefix}]; r != nil {
+		if r := x.byKey[shardOf(prefix)][routeKey{host, prefix}]; r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
-// HomeWeight is how much of a host's requests a region may serve: the sum of the weights
-// of its routes that allow the region.
+// RegionWeight returns how much of a host's requests a region may serve: the sum of weight
+// over the names of the host's routes that allow the region.
 func (x *Index) RegionWeight(host, region string, weight func(route string) int) int {
 	host = strings.ToLower(host)
 	sum := 0
@@ -44,11 +45,11 @@
 	return sum
 }
 
-// Service returns a service by name, or nil.
+// Service returns the service of this name, or nil.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Pick chooses a service of the route by weight. u is uniform over all values,
-// for example a hash of the request's id, which keeps repeats at one service.
+// Pick chooses a service of the route by weight. u must be uniformly distributed over all
+// values, for example a hash of the request id, which keeps retries at one service.
 func (r *Route) Pick(u uint64) string {
 	total := uint64(0)
 	for _, s := range r.Split {
--- a/bundle/routes/routes_test.go
+++ b/bundle/routes/routes_test.go
@@ -26,6 +26,7 @@
 	}
 }
 
+// Guards against requests that reach the route of another host or of a shorter prefix.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	x := routes.NewIndex(table())
 	for _, c := range []struct{ host, path, want string }{
@@ -50,6 +51,7 @@
 	}
 }
 
+// Guards against invalid tables that are accepted, or refused without the broken rule.
 func TestInvalidTablesAreRefusedWithTheRule(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -108,7 +110,7 @@
 	})
 }
 
-func TestRepeatableAndHomes(t *testing.T) {
+func TestRepeatableAndRegions(t *testing.T) {
 	for _, c := range []struct {
 		r    routes.Route
 		want bool
@@ -125,7 +127,7 @@
 	}
 	r := routes.Route{Regions: []string{"x", "y"}}
 	if !r.Allows("y") || r.Allows("z") || !(&routes.Route{}).Allows("z") {
-		t.Error("homes")
+		t.Error("allowed regions")
 	}
 	tab := table()
 	tab.Routes[0].Regions = []string{"x"}
--- a/bundle/routes/types.go
+++ b/bundle/routes/types.go
@@ -1,8 +1,8 @@
 // Package routes describes what an instance serves by host and path: routes,
-// the services behind them, and the limits of callers' connections.
+// the services behind them, workspaces, and the limits of callers' connections.
 //
-// A Table is one whole version. It is checked once, when it is offered, and
-// never changed afterwards.
+// A Table is one whole version. It is checked once, when it is offered, and is
+// immutable afterwards.
 package routes
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind says what of a route's requests may be repeated.
+// Kind says whether a route's requests may run more than once.
 type Kind uint8
 
 const (
@@ -18,7 +18,7 @@
 	Unsafe Kind = iota
 	// Safe requests may run any number of times.
 	Safe
-	// Stream requests are answered by a series of events. They run at most once
+	// Stream requests are answered by a stream of events. They run at most once
 	// unless the route is Resumable.
 	Stream
 )
@@ -29,37 +29,38 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed says that callers are told by the keys of Workspaces. Else anybody is served.
+	// Keyed is set if callers are identified by the keys of Workspaces. Otherwise any caller
+	// is served.
 	Keyed      bool
 	Workspaces []Workspace
 }
 
-// Route sends the requests of one host whose path begins with Prefix to services.
+// Route assigns the requests to one host whose path begins with Prefix to services.
 type Route struct {
 	Name string
 	// Host is compared with the request's host without its port, in lower case.
 	Host string
-	// Prefix begins and ends with a slash. The longest one that fits wins.
+	// Prefix begins and ends with a slash. The longest one that matches wins.
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another target after an event id.
+	// Resumable streams can continue at another target after a given event id.
 	Resumable bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout bounds the time that a caller waits for the response.
 	Timeout time.Duration
-	// Aim is the time within which an answer, or a stream's first event, is on
-	// time; GapAim the longest pause between events that is.
+	// Aim is the latency objective of the response, or of a stream's first event.
+	// GapAim is the longest pause between events that is on time.
 	Aim, GapAim time.Duration
-	// Priority is the rank of its requests, 0 first.
+	// Priority is the rank of its requests; 0 is served first.
 	Priority int
-	// Attempts is the largest number of targets that may be sent one request.
+	// Attempts bounds the number of targets that one request is sent to.
 	Attempts int
-	// Homes are the regions that may serve it; empty means all.
+	// Regions are the regions that may serve it; empty means all.
 	Regions []string
-	// Affine requests name the parts of their prompt; targets keep them.
+	// Affine requests name the parts of their prompt, which targets cache.
 	Affine bool
-	// Open routes also serve callers without a key.
+	// AllowAnonymous routes also serve callers without a key.
 	AllowAnonymous bool
-	// Split shares the requests over services by weight.
+	// Split distributes the requests over services by weight.
 	Split []Share
 }
 
@@ -79,36 +80,36 @@
 	Weight  int
 }
 
-// Service is a set of targets that are alike.
+// Service is a set of interchangeable targets.
 type Service struct {
 	Name string
-	// HealthPath answers 200 while a target is well.
+	// HealthPath answers 200 while a target is healthy.
 	HealthPath string
-	// MaxConnections is what one target accepts from all callers.
+	// MaxConnections bounds the connections that one target accepts from all callers.
 	MaxConnections int
-	// ColdFor is how long a target is cold after its start; ColdPerSecond is how
-	// many requests a second it bears meanwhile, from all callers together.
+	// ColdFor is how long a target is cold after its start. ColdPerSecond is the
+	// request rate that it can take meanwhile, from all callers together.
 	ColdFor       time.Duration
 	ColdPerSecond float64
-	// Engine is set where the targets are model engines.
+	// Engine is set if the targets are model engines.
 	Engine *Engine
 }
 
-// Engine is what a model engine holds.
+// Engine is the capacity of a model engine.
 type Engine struct {
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs at once.
 	Slots int
-	// MemoryTokens bounds the tokens of running requests and kept prompt parts.
+	// MemoryTokens bounds the tokens of running requests and cached prompt parts.
 	MemoryTokens int
-	// FetchPerKilo is how long it takes to fetch 1,000 tokens of kept prompt parts from
-	// another engine, in milliseconds; 0 where it is not known.
+	// FetchMillisPerThousand is the time to fetch 1,000 tokens of cached prompt parts from
+	// another engine, in milliseconds; 0 if unknown.
 	FetchMillisPerThousand float64
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound what a caller may send and how long sending may take.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	HeaderTimeout     time.Duration
-	IdleTimeout       time.Duration
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
--- a/bundle/routes/workspace.go
+++ b/bundle/routes/workspace.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// MaxKeyBytes bounds a workspace's key; a longer one names nobody.
+// MaxKeyBytes bounds a workspace key. A longer one belongs to no workspace.
 const MaxKeyBytes = 512
 
-// KeyDigest stands for a workspace's key wherever the key itself is not needed: the first
-// half of its SHA-256. No key has the zero value.
+// KeyDigest is the first half of the SHA-256 of a workspace key. It is used wherever the key
+// itself isn't needed. No key has the zero value.
 type KeyDigest [16]byte
 
-// DigestKey is the digest of a key as its caller sends it; zero for one that cannot be.
+// DigestKey returns the digest of a key as the caller sends it. It is zero for a key that is
+// empty or longer than MaxKeyBytes.
 func DigestKey(key string) KeyDigest {
 	if key == "" || len(key) > MaxKeyBytes {
 		return KeyDigest{}
@@ -22,39 +23,40 @@
 	return KeyDigest(sum[:len(KeyDigest{})])
 }
 
-// Unit is what a workspace's limit counts.
+// Unit says what a workspace's limit counts.
 type Unit uint8
 
 const (
 	// Requests count one each.
 	Requests Unit = iota
-	// Tokens are those of the prompt and the most that the answer may have.
+	// Tokens counts the tokens of the prompt and the most that the answer may have.
 	Tokens
 )
 
-// Workspace is a set of callers that share keys, a priority, homes and a limit.
+// Workspace is a set of callers that share keys, a priority, allowed regions and a limit.
 type Workspace struct {
 	Name string
-	// Keys of its callers; one without keys is nobody's.
+	// Keys identify its callers. A workspace without keys has no callers.
 	Keys []KeyDigest
-	// Ranked says that Priority goes before that of a route.
-	HasPriority   bool
-	Priority int
-	// Homes are the regions that may serve it; empty means all.
+	// HasPriority is set if Priority overrides that of the route.
+	HasPriority bool
+	Priority    int
+	// Regions are the regions that may serve it; empty means all.
 	Regions []string
-	Limit RateLimit
+	Limit   RateLimit
 }
 
-// UseLimit bounds what all instances together let through for a workspace.
+// RateLimit bounds what all instances together admit for a workspace.
 type RateLimit struct {
 	Unit Unit
-	// Rate is in units per second, 0 for no limit; Burst in units.
+	// Rate is in units per second, 0 for no limit. Burst is in units.
 	Rate, Burst float64
-	// PlainTokens is what a request counts that does not tell its tokens.
+	// PlainTokens is the cost in tokens of a request that doesn't state its tokens.
 	PlainTokens float64
 }
 
-// Cost is what a request counts; counted says that it tells its tokens.
+// Cost returns the cost of a request in units of the limit. prompt and output are its tokens,
+// which count only if counted is set: the request states them.
 func (l *RateLimit) Cost(prompt, output int, counted bool) float64 {
 	switch {
 	case l.Unit == Requests:
@@ -65,12 +67,14 @@
 	return l.PlainTokens
 }
 
-// Allows reports whether a region may serve the workspace. Nobody may be nil.
+// Allows reports whether a region may serve the workspace. w is nil for anonymous callers,
+// whom each region may serve.
 func (w *Workspace) Allows(region string) bool {
 	return w == nil || len(w.Regions) == 0 || slices.Contains(w.Regions, region)
 }
 
-// Rank is the rank of the workspace's requests on a route. Nobody may be nil.
+// Rank returns the priority of the workspace's requests on a route. w is nil for anonymous
+// callers, who have that of the route.
 func (w *Workspace) Rank(r *Route) int {
 	if w != nil && w.HasPriority {
 		return w.Priority
@@ -78,7 +82,8 @@
 	return r.Priority
 }
 
-// Homeless reports whether no region may serve the workspace's requests on a route.
+// HasNoRegion reports whether no region may serve the workspace's requests on a route. w may
+// be nil.
 func (w *Workspace) HasNoRegion(r *Route) bool {
 	return w != nil && len(w.Regions) > 0 && len(r.Regions) > 0 && !slices.ContainsFunc(w.Regions, r.Allows)
 }
@@ -88,14 +93,15 @@
 		slices.Equal(w.Keys, o.Keys) && slices.Equal(w.Regions, o.Regions)
 }
 
-// workspaces finds workspaces by key and name. It is read-only.
+// workspaces looks up workspaces by key and name. It is read-only.
 type workspaces struct {
 	list   []Workspace
 	byKey  map[KeyDigest]*Workspace
 	byName map[string]*Workspace
 }
 
-// indexWorkspaces prepares a list; where it is the same as before that is used again.
+// indexWorkspaces makes the index of a list. It returns before if the list is equal to that
+// of before, which may be nil.
 func indexWorkspaces(list []Workspace, before *workspaces) *workspaces {
 	same := func(a, b Workspace) bool { return a.equal(&b) }
 	if before != nil && slices.EqualFunc(list, before.list, same) {
@@ -112,7 +118,7 @@
 	return x
 }
 
-// Workspace returns the workspace that holds a key, or nil.
+// Workspace returns the workspace that has a key, or nil.
 func (x *Index) Workspace(key KeyDigest) *Workspace {
 	if x.workspaces == nil {
 		return nil
@@ -120,7 +126,7 @@
 	return x.workspaces.byKey[key]
 }
 
-// WorkspaceNamed returns a workspace by name, or nil.
+// WorkspaceByName returns the workspace of this name, or nil.
 func (x *Index) WorkspaceByName(name string) *Workspace {
 	if x.workspaces == nil {
 		return nil
