--- a/bundle/accept.go
+++ b/bundle/accept.go
@@ -64,7 +64,7 @@
 
 // Accepted is what the rule knows of the past: the versions accepted so far and
 // the trust of the last one. A nil *Accepted is the time before the first.
-type Accepted struct {
+type AcceptanceState struct {
 	// Trust that the bundle in force puts in operators.
 	Trust   Trust
 	History History
@@ -75,7 +75,7 @@
 //
 // What goes wrong without it: two operators roll different bundles under one
 // version, both get "accepted", and regions differ for good.
-func Accept(inForce *Accepted, s *Signed) (Result, error) {
+func Accept(inForce *AcceptanceState, s *Signed) (Result, error) {
 	id, err := s.Bundle.Identity()
 	if err != nil {
 		return Result{}, err
@@ -87,12 +87,12 @@
 	if problems := Check(&s.Bundle); len(problems) > 0 {
 		return inForce.refuse(id, OutcomeInvalid, problems), nil
 	}
-	return inForce.Seal(id, s), nil
+	return inForce.CheckSignOffs(id, s), nil
 }
 
 // Compare is the compare-and-set. It is decided for resends and for whatever
 // is not the next version; only an undecided bundle may go on to Seal.
-func (a *Accepted) Compare(id Identity) (Result, bool) {
+func (a *AcceptanceState) Compare(id Identity) (Result, bool) {
 	last, inForce := a.last()
 	switch winner, kept := a.digestOf(id.Version); {
 	case kept && winner == id.Digest:
@@ -114,8 +114,8 @@
 // Seal verifies the sign-offs of a bundle that Compare left undecided. The
 // first bundle vouches for itself: it must be signed by its own operators, so
 // that all replicas judge alike; Precheck holds it against the settings.
-func (a *Accepted) Seal(id Identity, s *Signed) Result {
-	trust := s.Bundle.Next()
+func (a *AcceptanceState) CheckSignOffs(id Identity, s *Signed) Result {
+	trust := s.Bundle.NextTrust()
 	if a != nil {
 		trust = a.Trust
 	}
@@ -126,7 +126,7 @@
 }
 
 // refuse makes the answer to a bundle that is not accepted.
-func (a *Accepted) refuse(id Identity, outcome Outcome, problems Problems) Result {
+func (a *AcceptanceState) refuse(id Identity, outcome Outcome, problems Problems) Result {
 	version, digest := a.last()
 	return Result{
 		Outcome: outcome, Version: id.Version, Digest: id.Digest,
@@ -135,7 +135,7 @@
 }
 
 // last is the version in force.
-func (a *Accepted) last() (uint64, Digest) {
+func (a *AcceptanceState) last() (uint64, Digest) {
 	if a == nil {
 		return 0, ""
 	}
@@ -143,7 +143,7 @@
 }
 
 // digestOf finds what was accepted under a version.
-func (a *Accepted) digestOf(version uint64) (Digest, bool) {
+func (a *AcceptanceState) digestOf(version uint64) (Digest, bool) {
 	if a == nil {
 		return "", false
 	}
--- a/bundle/acceptance/machine.go
+++ b/bundle/acceptance/machine.go
@@ -25,7 +25,7 @@
 	// applied is the last log index.
 	applied uint64
 	// accepted is nil before the first bundle.
-	accepted *bundle.Accepted
+	accepted *bundle.AcceptanceState
 	// current is the bundle in force; nil before the first.
 	current *bundle.Signed
 }
@@ -74,7 +74,7 @@
 	if err != nil {
 		return m.invalid(c.Identity, err), nil
 	}
-	result := m.accepted.Seal(c.Identity, next)
+	result := m.accepted.CheckSignOffs(c.Identity, next)
 	if result.Accepted() {
 		err = m.install(c.Identity, next)
 	}
@@ -98,12 +98,12 @@
 func (m *Machine) install(id bundle.Identity, next *bundle.Signed) error {
 	accepted := m.accepted
 	if accepted == nil {
-		accepted = &bundle.Accepted{}
+		accepted = &bundle.AcceptanceState{}
 	}
 	if err := accepted.History.Append(id.Version, id.Digest); err != nil {
 		return err
 	}
-	accepted.Trust = next.Bundle.Next()
+	accepted.Trust = next.Bundle.NextTrust()
 	m.accepted = accepted
 	m.current = next
 	return nil
--- a/bundle/acceptance/machine_test.go
+++ b/bundle/acceptance/machine_test.go
@@ -275,13 +275,13 @@
 func TestHistoryIsBounded(t *testing.T) {
 	var history bundle.History
 	const surplus = 3
-	digest := func(version uint64) bundle.Digest { return bundle.SumOf(fmt.Append(nil, version)) }
+	digest := func(version uint64) bundle.Digest { return bundle.DigestOf(fmt.Append(nil, version)) }
 	for version := uint64(1); version <= bundle.HistoryLimit+surplus; version++ {
 		if err := history.Append(version, digest(version)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	accepted := &bundle.Accepted{History: history}
+	accepted := &bundle.AcceptanceState{History: history}
 	for version, want := range map[uint64]bundle.Outcome{
 		1: bundle.OutcomeTooOld, surplus: bundle.OutcomeTooOld, surplus + 1: bundle.OutcomeAccepted,
 		bundle.HistoryLimit + surplus: bundle.OutcomeAccepted, bundle.HistoryLimit + surplus + 2: bundle.OutcomeGap,
--- a/bundle/acceptance/snapshot.go
+++ b/bundle/acceptance/snapshot.go
@@ -85,7 +85,7 @@
 	if id.Version != version || id.Digest != digest {
 		return nil, errors.Annotatef(ErrSnapshot, "it holds version %d, but its history ends with %d", id.Version, version)
 	}
-	m.accepted = &bundle.Accepted{Trust: current.Bundle.Next(), History: s.History}
+	m.accepted = &bundle.AcceptanceState{Trust: current.Bundle.NextTrust(), History: s.History}
 	m.current = current
 	return m, nil
 }
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -236,8 +236,8 @@
 		path  string
 		spoil func(*bundle.Bundle)
 	}{
-		{"version", func(b *bundle.Bundle) { b.Version, b.Parent = 0, bundle.SumOf(nil) }},
-		{"parent", func(b *bundle.Bundle) { b.Parent = bundle.SumOf(nil) }},
+		{"version", func(b *bundle.Bundle) { b.Version, b.Parent = 0, bundle.DigestOf(nil) }},
+		{"parent", func(b *bundle.Bundle) { b.Parent = bundle.DigestOf(nil) }},
 		{"parent", func(b *bundle.Bundle) { b.Version = 2 }},
 		{"note", func(b *bundle.Bundle) { b.Note = strings.Repeat("n", 1001) }},
 		{"sign_offs", func(b *bundle.Bundle) { b.SignOffs = 4 }},
@@ -304,7 +304,7 @@
 	other.Version++
 	twin := bundletest.Operator("ayu")
 	twin.ID = "ayu-again"
-	trust := b.Next()
+	trust := b.NextTrust()
 	trust.Operators = append(trust.Operators, twin)
 	sign := func(names ...string) []bundle.Signature { return bundletest.Sign(b, names...).Signatures }
 	forged := bundle.Sign(id, "budi", bundletest.Key("mallory"))
@@ -330,8 +330,8 @@
 func TestVersionZeroIsInvalid(t *testing.T) {
 	convey.Convey("A bundle without a version is invalid, whatever is in force", t, func() {
 		var history bundle.History
-		convey.So(history.Append(1, bundle.SumOf(nil)), convey.ShouldBeNil)
-		for _, inForce := range []*bundle.Accepted{nil, {History: history}} {
+		convey.So(history.Append(1, bundle.DigestOf(nil)), convey.ShouldBeNil)
+		for _, inForce := range []*bundle.AcceptanceState{nil, {History: history}} {
 			result, err := bundle.Accept(inForce, &bundle.Signed{})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(result.Outcome, convey.ShouldEqual, bundle.OutcomeInvalid)
--- a/bundle/join.go
+++ b/bundle/join.go
@@ -44,7 +44,7 @@
 	if !here {
 		return errors.Errorf("%s is absent", ref.Digest)
 	}
-	if SumOf(data) != ref.Digest {
+	if DigestOf(data) != ref.Digest {
 		return errors.Errorf("the bytes are not those of %s", ref.Digest)
 	}
 	b := j.bundle
--- a/bundle/newest/holders.go
+++ b/bundle/newest/holders.go
@@ -8,8 +8,8 @@
 // Holders changes who may hold shares of workspaces' limits. An instance is added before it is
 // granted the first one, so that a leader that follows knows of whom to wait for news.
 type Holders struct {
-	Add  []string `cbor:"1,keyasint,omitempty"`
-	Gone []string `cbor:"2,keyasint,omitempty"`
+	Add    []string `cbor:"1,keyasint,omitempty"`
+	Remove []string `cbor:"2,keyasint,omitempty"`
 }
 
 // change returns the holders after a change, in a new map.
@@ -18,7 +18,7 @@
 	if next == nil {
 		next = map[string]bool{}
 	}
-	for _, id := range h.Gone {
+	for _, id := range h.Remove {
 		delete(next, id)
 	}
 	for _, id := range h.Add {
@@ -35,7 +35,7 @@
 }
 
 // MayHold reports whether an instance may hold shares.
-func (m *Machine) MayHold(id string) bool {
+func (m *Machine) IsHolder(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.holders[id]
--- a/bundle/newest/machine.go
+++ b/bundle/newest/machine.go
@@ -24,9 +24,9 @@
 
 // Command is one entry of the log. Exactly one of its parts is set.
 type Command struct {
-	Offer *Offer `cbor:"1,keyasint,omitempty"`
-	Zone  *Zone  `cbor:"2,keyasint,omitempty"`
-	Parts *Parts `cbor:"3,keyasint,omitempty"`
+	Offer      *Offer      `cbor:"1,keyasint,omitempty"`
+	Evacuation *Evacuation `cbor:"2,keyasint,omitempty"`
+	Pieces     *Pieces     `cbor:"3,keyasint,omitempty"`
 	// Holders changes no State: nothing that callers meet depends on it.
 	Holders *Holders `cbor:"4,keyasint,omitempty"`
 }
@@ -45,7 +45,7 @@
 // Parts are pieces of a configuration that will be offered. They go ahead of it, as one long
 // entry would hold up the entries and heartbeats behind it, and would have to go whole again
 // where its proposer's time is over.
-type Parts struct {
+type Pieces struct {
 	Packed [][]byte `cbor:"1,keyasint"`
 }
 
@@ -57,8 +57,8 @@
 }
 
 // Zone orders an evacuation or takes it back.
-type Zone struct {
-	Name     string `cbor:"1,keyasint"`
+type Evacuation struct {
+	Zone     string `cbor:"1,keyasint"`
 	Evacuate bool   `cbor:"2,keyasint"`
 }
 
@@ -186,14 +186,14 @@
 func (m *Machine) apply(index uint64, c Command) (*State, Result) {
 	s := m.state
 	switch {
-	case c.Parts != nil:
-		m.staged.add(c.Parts.Packed)
+	case c.Pieces != nil:
+		m.staged.add(c.Pieces.Packed)
 	case c.Holders != nil:
 		m.holders = c.Holders.change(m.holders)
 	case c.Offer != nil && c.Offer.Version > s.Version:
 		return m.offer(index, c.Offer)
-	case c.Zone != nil && c.Zone.Evacuate != (s.Evacuated[c.Zone.Name] != 0):
-		return s.evacuate(index, c.Zone), Result{}
+	case c.Evacuation != nil && c.Evacuation.Evacuate != (s.Evacuated[c.Evacuation.Zone] != 0):
+		return s.evacuate(index, c.Evacuation), Result{}
 	}
 	return s, Result{}
 }
@@ -234,7 +234,7 @@
 	return &next
 }
 
-func (s *State) evacuate(index uint64, z *Zone) *State {
+func (s *State) evacuate(index uint64, z *Evacuation) *State {
 	next := *s
 	next.Index = index
 	next.Evacuated = maps.Clone(s.Evacuated)
@@ -242,9 +242,9 @@
 		next.Evacuated = map[string]uint64{}
 	}
 	if z.Evacuate {
-		next.Evacuated[z.Name] = index
+		next.Evacuated[z.Zone] = index
 	} else {
-		delete(next.Evacuated, z.Name)
+		delete(next.Evacuated, z.Zone)
 	}
 	return &next
 }
--- a/bundle/newest/machine_test.go
+++ b/bundle/newest/machine_test.go
@@ -62,9 +62,9 @@
 		calls := 0
 		m := newest.NewMachine(func(*newest.State) { calls++ })
 		m.Apply(1, offer(t, 7, "seven"))
-		m.Apply(2, entry(t, newest.Command{Zone: &newest.Zone{Name: "b", Evacuate: true}}))
-		m.Apply(3, entry(t, newest.Command{Zone: &newest.Zone{Name: "a", Evacuate: true}}))
-		m.Apply(4, entry(t, newest.Command{Zone: &newest.Zone{Name: "a", Evacuate: true}}))
+		m.Apply(2, entry(t, newest.Command{Evacuation: &newest.Evacuation{Zone: "b", Evacuate: true}}))
+		m.Apply(3, entry(t, newest.Command{Evacuation: &newest.Evacuation{Zone: "a", Evacuate: true}}))
+		m.Apply(4, entry(t, newest.Command{Evacuation: &newest.Evacuation{Zone: "a", Evacuate: true}}))
 		So(m.State().Zones(), ShouldResemble, []string{"a", "b"})
 		So(calls, ShouldEqual, 3)
 
@@ -76,7 +76,7 @@
 			So(other.State(), ShouldResemble, m.State())
 		})
 		Convey("takes one back", func() {
-			m.Apply(5, entry(t, newest.Command{Zone: &newest.Zone{Name: "a"}}))
+			m.Apply(5, entry(t, newest.Command{Evacuation: &newest.Evacuation{Zone: "a"}}))
 			So(m.State().Zones(), ShouldResemble, []string{"b"})
 			So(m.State().Index, ShouldEqual, 5)
 		})
--- a/bundle/newest/parts_test.go
+++ b/bundle/newest/parts_test.go
@@ -30,7 +30,7 @@
 }
 
 func parts(t rapid.TB, packed [][]byte) []byte {
-	return entry(t, newest.Command{Parts: &newest.Parts{Packed: packed}})
+	return entry(t, newest.Command{Pieces: &newest.Pieces{Packed: packed}})
 }
 
 func offerOf(t rapid.TB, version uint64, s *pieces.Source) []byte {
@@ -209,7 +209,7 @@
 		m.Apply(index, data)
 	}
 	apply(1, &newest.Holders{Add: []string{"b", "a", "b"}})
-	apply(2, &newest.Holders{Add: []string{"c"}, Gone: []string{"a", "x"}})
+	apply(2, &newest.Holders{Add: []string{"c"}, Remove: []string{"a", "x"}})
 	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -222,7 +222,7 @@
 		if got := strings.Join(machine.Holders(), " "); got != "b c" {
 			t.Errorf("holders %q", got)
 		}
-		if !machine.MayHold("b") || machine.MayHold("a") {
+		if !machine.IsHolder("b") || machine.IsHolder("a") {
 			t.Error("an instance that was added may not hold, or one that is gone may")
 		}
 	}
--- a/bundle/sections.go
+++ b/bundle/sections.go
@@ -88,7 +88,7 @@
 }
 
 // SumOf is the digest of bytes.
-func SumOf(data []byte) Digest {
+func DigestOf(data []byte) Digest {
 	sum := sha256.Sum256(data)
 	return Digest(hex.EncodeToString(sum[:]))
 }
@@ -118,7 +118,7 @@
 	if err != nil {
 		return "", err
 	}
-	return SumOf(data), nil
+	return DigestOf(data), nil
 }
 
 // Digest is the identity of the bundle: it covers every field. The order of
@@ -176,7 +176,7 @@
 		s.err = errors.Annotatef(err, "section %s", name)
 		return
 	}
-	digest := SumOf(data)
+	digest := DigestOf(data)
 	s.sections[digest] = data
 	s.manifest.Sections = append(s.manifest.Sections, SectionRef{Name: name, Digest: digest})
 }
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -37,7 +37,7 @@
 }
 
 // Next is the trust that the bundle in force puts in operators for the next one.
-func (b *Bundle) Next() Trust {
+func (b *Bundle) NextTrust() Trust {
 	return Trust{Operators: b.Operators, SignOffs: b.SignOffs}
 }
 
--- a/bundle/spread/core.go
+++ b/bundle/spread/core.go
@@ -73,7 +73,7 @@
 func (c *Core) Stats() Stats { return c.stats }
 
 // Installed returns the bundle in force once after each change; nil otherwise.
-func (c *Core) Installed() *bundle.Signed {
+func (c *Core) TakeInstalled() *bundle.Signed {
 	if !c.fresh {
 		return nil
 	}
@@ -141,21 +141,21 @@
 // Step takes in a message. from is the instance that the link has identified.
 func (c *Core) Step(now time.Time, from string, m Message) []Out {
 	switch m.Kind {
-	case Have:
+	case KindAnnounce:
 		return c.onHave(now, from, m.Head)
-	case Ask:
+	case KindStepsRequest:
 		return c.onAsk(now, from, m)
-	case Steps:
+	case KindSteps:
 		return c.onSteps(now, from, m)
-	case Whole:
+	case KindManifest:
 		return c.onWhole(now, from, m)
-	case Want:
+	case KindSectionsRequest:
 		return c.onWant(from, m)
-	case Parts:
+	case KindSections:
 		return c.onParts(now, from, m)
-	case Applied:
+	case KindApplied:
 		return c.onApplied(now, from, m.Head)
-	case Region:
+	case KindRegion:
 		c.onRegion(now, from, m.State)
 	}
 	return nil
@@ -169,7 +169,7 @@
 func (c *Core) Tick(now time.Time) []Out {
 	var out []Out
 	for _, p := range c.comparisons() {
-		out = append(out, c.to(p, Message{Kind: Have}))
+		out = append(out, c.to(p, Message{Kind: KindAnnounce}))
 	}
 	if c.pull != nil && now.Sub(c.pull.since) > c.pace.patience() {
 		c.pull = nil
--- a/bundle/spread/inforce.go
+++ b/bundle/spread/inforce.go
@@ -23,7 +23,7 @@
 	var out []Out
 	for _, p := range c.peers {
 		if p.Relay && p.Region == c.self.Region {
-			out = append(out, c.to(p.ID, Message{Kind: Applied}))
+			out = append(out, c.to(p.ID, Message{Kind: KindApplied}))
 		}
 	}
 	return append(out, c.tellRegion(now)...)
@@ -39,7 +39,7 @@
 	var out []Out
 	for _, p := range c.peers {
 		if p.Voter || p.Relay {
-			out = append(out, c.to(p.ID, Message{Kind: Region, State: &state}))
+			out = append(out, c.to(p.ID, Message{Kind: KindRegion, State: &state}))
 		}
 	}
 	return out
--- a/bundle/spread/pull.go
+++ b/bundle/spread/pull.go
@@ -72,7 +72,7 @@
 // behind.
 func (c *Core) onHave(now time.Time, from string, head bundle.Identity) []Out {
 	if head.Version < c.head.Version {
-		return []Out{c.to(from, Message{Kind: Have})}
+		return []Out{c.to(from, Message{Kind: KindAnnounce})}
 	}
 	if head.Version == c.head.Version {
 		return nil
@@ -93,7 +93,7 @@
 	if c.copy != nil && c.copy.head == head {
 		return c.continuePull(now)
 	}
-	return []Out{c.to(from, Message{Kind: Ask, MaxBytes: c.pace.bytes})}
+	return []Out{c.to(from, Message{Kind: KindStepsRequest, MaxBytes: c.pace.bytes})}
 }
 
 // onAsk answers with the steps that follow the asker's version, or else with
@@ -107,13 +107,13 @@
 		return nil
 	}
 	if steps := c.stepsAfter(head, within(m.MaxBytes, maxStepBytes)); len(steps) > 0 {
-		return []Out{c.to(from, Message{Kind: Steps, Steps: steps})}
+		return []Out{c.to(from, Message{Kind: KindSteps, Steps: steps})}
 	}
 	manifest, _, err := bundle.Split(&c.current.Bundle)
 	if err != nil {
 		return nil // The bundle in force was split before, when its digest was verified.
 	}
-	return []Out{c.to(from, Message{Kind: Whole, Manifest: &manifest, Signatures: c.current.Signatures})}
+	return []Out{c.to(from, Message{Kind: KindManifest, Manifest: &manifest, Signatures: c.current.Signatures})}
 }
 
 // within is what the asker wants at once, if it says so, and most otherwise.
@@ -174,7 +174,7 @@
 // content, and the sign-offs of the operators that the bundle in force trusts
 // cover the digest: a peer can pass on a step but can't make one.
 func (c *Core) verified(s Step) (*bundle.Signed, error) {
-	if err := bundle.Verify(s.ID, s.Signatures, c.current.Bundle.Next()); err != nil {
+	if err := bundle.Verify(s.ID, s.Signatures, c.current.Bundle.NextTrust()); err != nil {
 		return nil, err
 	}
 	delta := new(bundle.Delta)
@@ -261,9 +261,9 @@
 		found = append(found, data)
 	}
 	if len(found) == 0 {
-		return []Out{c.to(from, Message{Kind: Have})}
+		return []Out{c.to(from, Message{Kind: KindAnnounce})}
 	}
-	return []Out{c.to(from, Message{Kind: Parts, Sections: found})}
+	return []Out{c.to(from, Message{Kind: KindSections, Sections: found})}
 }
 
 // onParts takes in sections of the whole copy under way, also late ones: they were asked
@@ -275,7 +275,7 @@
 	}
 	progress := false
 	for _, data := range m.Sections {
-		named, isNew := c.copy.take(bundle.SumOf(data), data)
+		named, isNew := c.copy.take(bundle.DigestOf(data), data)
 		if !named {
 			c.stats.Refused++
 		}
@@ -301,7 +301,7 @@
 	c.pull.since = now
 	w := c.copy
 	if missing := w.missing(); len(missing) > 0 {
-		return []Out{c.to(c.pull.from, Message{Kind: Want, Digests: missing[:min(maxWant, len(missing))], MaxBytes: c.pace.bytes})}
+		return []Out{c.to(c.pull.from, Message{Kind: KindSectionsRequest, Digests: missing[:min(maxWant, len(missing))], MaxBytes: c.pace.bytes})}
 	}
 	c.pull, c.copy = nil, nil
 	b, err := bundle.Join(*w.manifest, w.sections)
--- a/bundle/spread/spread_test.go
+++ b/bundle/spread/spread_test.go
@@ -122,7 +122,7 @@
 		"of strangers": bundletest.Sign(&forged, "ayu", "mallory").Signatures,
 	} {
 		c := w.cores["r00-02"]
-		c.Step(w.now, "r00-01", Message{Kind: Steps, Head: id, Steps: []Step{{ID: id, Signatures: signatures, Delta: data}}})
+		c.Step(w.now, "r00-01", Message{Kind: KindSteps, Head: id, Steps: []Step{{ID: id, Signatures: signatures, Delta: data}}})
 		if c.Head().Version != 1 {
 			t.Errorf("%s: version %d is in force", name, c.Head().Version)
 		}
--- a/bundle/spread/tree.go
+++ b/bundle/spread/tree.go
@@ -11,9 +11,9 @@
 // toChildren hands a new version to the instances that this one serves. Where
 // the change is known it is sent at once, which saves the round trip of asking.
 func (c *Core) toChildren(step *Step) []Out {
-	m := Message{Kind: Have}
+	m := Message{Kind: KindAnnounce}
 	if step != nil && len(step.Delta) <= maxStepBytes {
-		m = Message{Kind: Steps, Steps: []Step{*step}}
+		m = Message{Kind: KindSteps, Steps: []Step{*step}}
 	}
 	var out []Out
 	for _, id := range c.children() {
--- a/bundle/spread/types.go
+++ b/bundle/spread/types.go
@@ -37,21 +37,21 @@
 
 const (
 	// Have tells the version in force at the sender.
-	Have Kind = iota + 1
+	KindAnnounce Kind = iota + 1
 	// Ask asks for what follows the version in force at the sender.
-	Ask
+	KindStepsRequest
 	// Steps answers Ask with changes that lead from one version to the next.
-	Steps
+	KindSteps
 	// Whole answers Ask with the manifest of the newest bundle.
-	Whole
+	KindManifest
 	// Want asks for sections of the bundle that Whole named.
-	Want
+	KindSectionsRequest
 	// Parts answers Want.
-	Parts
+	KindSections
 	// Applied tells a relay the version in force at an instance of its region.
-	Applied
+	KindApplied
 	// Region tells the versions in force in the sender's region.
-	Region
+	KindRegion
 )
 
 // Step is one accepted change with its sign-offs.
@@ -176,7 +176,7 @@
 	if err := reader.Unmarshal(data, &m); err != nil {
 		return Message{}, fmt.Errorf("spread message: %w", err)
 	}
-	if m.Kind < Have || m.Kind > Region {
+	if m.Kind < KindAnnounce || m.Kind > KindRegion {
 		return Message{}, fmt.Errorf("spread message: unknown kind %d", m.Kind)
 	}
 	return m, nil
--- a/bundle/spread/world_test.go
+++ b/bundle/spread/world_test.go
@@ -107,7 +107,7 @@
 
 // after sends what a step returned and checks what it installed.
 func (w *world) after(id string, out []Out) {
-	if s := w.cores[id].Installed(); s != nil {
+	if s := w.cores[id].TakeInstalled(); s != nil {
 		w.checkInstalled(id, s)
 	}
 	for _, o := range out {
--- a/node/control/limits.go
+++ b/node/control/limits.go
@@ -85,7 +85,7 @@
 		i.log.Info("divides limits", zap.Uint64("term", s.Core.Term), zap.Int("holders", len(known)))
 		d.term, d.divider = s.Core.Term, quota.NewDivider(now, s.Core.Term, i.o.Regions, known)
 	}
-	if !i.machine.MayHold(from) {
+	if !i.machine.IsHolder(from) {
 		i.addHolder(from)
 		return cbor.Marshal(quota.Answer{Number: r.Number})
 	}
@@ -120,7 +120,7 @@
 	d := &i.dividing
 	for {
 		d.mu.Lock()
-		change := &newest.Holders{Add: slices.Sorted(maps.Keys(d.newcomers)), Gone: d.divider.Gone(i.clock(), i.machine.Holders())}
+		change := &newest.Holders{Add: slices.Sorted(maps.Keys(d.newcomers)), Remove: d.divider.Gone(i.clock(), i.machine.Holders())}
 		d.newcomers = nil
 		d.adding = len(change.Add) > 0
 		d.mu.Unlock()
--- a/node/control/operators.go
+++ b/node/control/operators.go
@@ -53,7 +53,7 @@
 // Evacuate orders that the targets of a zone get nothing more, or takes that back.
 // nil acknowledges it.
 func (i *Instance) Evacuate(ctx context.Context, zone string, on bool) error {
-	_, err := i.propose(ctx, newest.Command{Zone: &newest.Zone{Name: zone, Evacuate: on}})
+	_, err := i.propose(ctx, newest.Command{Evacuation: &newest.Evacuation{Zone: zone, Evacuate: on}})
 	return err
 }
 
@@ -134,7 +134,7 @@
 		turns <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-turns }()
-			_, errs[k] = i.propose(ctx, newest.Command{Parts: &newest.Parts{Packed: batch}})
+			_, errs[k] = i.propose(ctx, newest.Command{Pieces: &newest.Pieces{Packed: batch}})
 		})
 	}
 	wg.Wait()
--- a/node/registered/registered_test.go
+++ b/node/registered/registered_test.go
@@ -66,7 +66,7 @@
 	b := bundletest.Sample()
 	b.Rules.ClaimLifetimeSeconds = lifetime
 	signed := bundletest.Sign(b, bundletest.Operators...)
-	trust := b.Next()
+	trust := b.NextTrust()
 	machine := rollout.NewMachine(trust, func() bundle.Identity { return bundle.Identity{} }, func(*bundle.Signed) {})
 	hub := newHub(t, "g")
 	member, err := group.Open(group.Options{
--- a/node/rollout/machine_test.go
+++ b/node/rollout/machine_test.go
@@ -32,7 +32,7 @@
 
 func open(t *testing.T) *voter {
 	v := &voter{t: t}
-	trust := bundletest.Sample().Next()
+	trust := bundletest.Sample().NextTrust()
 	v.machine = rollout.NewMachine(trust, func() bundle.Identity { return v.head }, func(*bundle.Signed) {})
 	node, err := replhost.Open(replhost.Options{
 		Core: replog.Options{
--- a/node/rollout/spreader.go
+++ b/node/rollout/spreader.go
@@ -146,7 +146,7 @@
 
 // settle puts what was installed in force and publishes the state.
 func (s *Spreader) settle() {
-	if b := s.core.Installed(); b != nil {
+	if b := s.core.TakeInstalled(); b != nil {
 		head := s.core.Head()
 		s.o.Log.Info("bundle in force", zap.Uint64("version", head.Version), zap.String("digest", string(head.Digest)))
 		s.o.OnInstalled(b, head)
