--- a/bundle/newest/holders.go
+++ b/bundle/newest/holders.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// Holders changes who may hold shares of workspaces' limits. An instance is added before it is
-// granted the first one, so that a leader that follows knows of whom to wait for news.
+// Holders changes the set of instances that may hold shares of workspaces' limits. An instance
+// is added before it is granted its first share, so that the next leader knows which instances
+// to wait for reports from.
 type Holders struct {
 	Add    []string `cbor:"1,keyasint,omitempty"`
 	Remove []string `cbor:"2,keyasint,omitempty"`
 }
 
-// change returns the holders after a change, in a new map.
-func (h *Holders) change(now map[string]bool) map[string]bool {
-	next := maps.Clone(now)
+// applyTo returns the holders after the change, in a new map.
+func (h *Holders) applyTo(holders map[string]bool) map[string]bool {
+	next := maps.Clone(holders)
 	if next == nil {
 		next = map[string]bool{}
 	}
@@ -27,14 +28,14 @@
 	return next
 }
 
-// Holders lists who may hold shares, in order.
+// Holders returns the ids of the instances that may hold shares, sorted.
 func (m *Machine) Holders() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.holders))
 }
 
-// MayHold reports whether an instance may hold shares.
+// IsHolder reports whether an instance may hold shares.
 func (m *Machine) IsHolder(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/bundle/newest/machine.go
+++ b/bundle/newest/machine.go
@@ -1,14 +1,13 @@
-// Package newest accepts whole unsigned configurations of which the highest
-// version wins, and the evacuations of availability zones, as a state machine for
-// a replicated log.
+// Package newest is a state machine for a replicated log that accepts whole
+// unsigned configurations, of which the highest version wins, and evacuations of
+// availability zones.
 //
-// It is the ordering policy for surroundings whose operators do not sign and do
-// not name a parent; package acceptance is the product's default. What goes wrong
-// without an order in the log: two operators send different content under one
-// version to two instances, and each keeps its own for ever. Here the first one
-// in the log wins everywhere; a later one of the same or a lower version is
-// acknowledged and changes nothing, as it may be a repeat whose first
-// acknowledgement was lost.
+// It is the ordering policy for environments whose operators neither sign nor name
+// a parent; package acceptance is the default. Without the order of a log, two
+// operators could send different content under one version to two instances, and
+// each would keep its own for ever. Here the first one in the log wins everywhere.
+// A later one of the same or a lower version is acknowledged and changes nothing,
+// as it may be a retry whose first acknowledgement was lost.
 package newest
 
 import (
@@ -22,61 +21,59 @@
 	"github.com/gullhaven/gullhaven/coord/pieces"
 )
 
-// Command is one entry of the log. Exactly one of its parts is set.
+// Command is one entry of the log. Exactly one of its fields is set.
 type Command struct {
 	Offer      *Offer      `cbor:"1,keyasint,omitempty"`
 	Evacuation *Evacuation `cbor:"2,keyasint,omitempty"`
 	Pieces     *Pieces     `cbor:"3,keyasint,omitempty"`
-	// Holders changes no State: nothing that callers meet depends on it.
+	// Holders doesn't change the State, as no request of a caller depends on it.
 	Holders *Holders `cbor:"4,keyasint,omitempty"`
 }
 
-// Offer proposes a configuration, checked by the proposer.
+// Offer proposes a configuration that the proposer has checked.
 type Offer struct {
 	Version uint64 `cbor:"1,keyasint"`
-	// Manifest lists the pieces of the configuration as the operator wrote it. All of them
-	// are held already: they are in the configuration before, or came as Parts.
+	// Manifest lists the pieces of the configuration as the operator wrote it. The machine
+	// holds all of them already, from the current configuration or from Pieces commands.
 	Manifest *pieces.Manifest `cbor:"3,keyasint,omitempty"`
-	// Document is the whole configuration, in logs that were written before there were
-	// pieces.
+	// Document is the whole configuration, in logs of releases without pieces.
 	Document []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// Parts are pieces of a configuration that will be offered. They go ahead of it, as one long
-// entry would hold up the entries and heartbeats behind it, and would have to go whole again
-// where its proposer's time is over.
+// Pieces are pieces of a configuration that will be offered. They are proposed before it, as
+// one long entry would delay the entries and heartbeats behind it, and would have to be sent
+// again as a whole if its proposer's deadline passed.
 type Pieces struct {
 	Packed [][]byte `cbor:"1,keyasint"`
 }
 
-// Result is what a command comes to; nil where there is nothing to say.
+// Result is the result of a command. Its encoding is nil if it is empty.
 type Result struct {
-	// Missing are the pieces that an offer names and nobody holds: it changed nothing, and
-	// may come again once they have been proposed.
+	// Missing are the pieces that an offer names and the machine doesn't hold. The offer
+	// changed nothing and may be proposed again after them.
 	Missing []pieces.Digest `cbor:"1,keyasint,omitempty"`
 }
 
-// Zone orders an evacuation or takes it back.
+// Evacuation orders or cancels the evacuation of an availability zone.
 type Evacuation struct {
 	Zone     string `cbor:"1,keyasint"`
 	Evacuate bool   `cbor:"2,keyasint"`
 }
 
-// State is what the machine holds. Values are never changed in place.
+// State is the configuration and the evacuations. It is immutable.
 type State struct {
-	// Index is the place in the log of the newest change.
+	// Index is the log index of the latest change.
 	Index uint64 `cbor:"1,keyasint"`
 	// Version is 0 before the first configuration.
 	Version uint64 `cbor:"2,keyasint"`
-	// Evacuated holds the zones that get nothing more, with the place in the log
-	// of the order.
+	// Evacuated maps each zone that gets no new work to the log index of the order.
 	Evacuated map[string]uint64 `cbor:"4,keyasint,omitempty"`
-	// Document is the configuration, and Root its name; nil before the first.
+	// Document is the configuration, nil before the first; Root is its digest.
 	Document *pieces.Document `cbor:"5,keyasint,omitempty"`
 	Root     pieces.Digest    `cbor:"6,keyasint"`
 }
 
-// Head is a State without its document.
+// Head is a State without its Document.
 type Head struct {
 	Index     uint64            `cbor:"1,keyasint"`
 	Version   uint64            `cbor:"2,keyasint"`
@@ -84,52 +81,54 @@
 	Evacuated map[string]uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Head tells of the state in a few bytes.
+// Head returns the state without its document.
 func (s *State) Head() *Head {
 	return &Head{Index: s.Index, Version: s.Version, Root: s.Root, Evacuated: s.Evacuated}
 }
 
-// Zones lists the evacuated zones in order.
+// Zones returns the evacuated zones, sorted.
 func (s *State) Zones() []string { return s.Head().Zones() }
 
-// Zones lists the evacuated zones in order.
+// Zones returns the evacuated zones, sorted.
 func (h *Head) Zones() []string { return slices.Sorted(maps.Keys(h.Evacuated)) }
 
-// Machine holds the state and tells of its changes.
+// Machine applies commands to the state and reports its changes. It is safe for concurrent
+// use.
 type Machine struct {
-	mu      sync.Mutex
-	state   *State
-	staged  staged
-	holders map[string]bool
-	changed func(*State)
+	mu       sync.Mutex
+	state    *State
+	staged   staged
+	holders  map[string]bool
+	onChange func(*State)
 }
 
-// NewMachine makes an empty machine. changed, if set, is called after each change
-// by the goroutine that applies; it must not block.
-func NewMachine(changed func(*State)) *Machine {
-	if changed == nil {
-		changed = func(*State) {}
+// NewMachine makes an empty machine. onChange, if not nil, is called after each change of
+// the State by the goroutine that applies the command; it must not block.
+func NewMachine(onChange func(*State)) *Machine {
+	if onChange == nil {
+		onChange = func(*State) {}
 	}
-	return &Machine{state: &State{}, changed: changed}
+	return &Machine{state: &State{}, onChange: onChange}
 }
 
-// State returns the state now.
+// State returns the current state. The caller must not change it.
 func (m *Machine) State() *State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-// Missing lists the pieces of a configuration that have to be proposed before it.
+// Missing lists the pieces of a configuration that have to be proposed before it: those
+// that the machine doesn't hold.
 func (m *Machine) Missing(manifest *pieces.Manifest) []pieces.Digest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	packed := m.pieces()
+	packed := m.packedPieces()
 	return manifest.Missing(func(d pieces.Digest) bool { return packed[d] != nil })
 }
 
-// pieces are all that are held.
-func (m *Machine) pieces() map[pieces.Digest][]byte {
+// packedPieces returns all pieces that the machine holds. The caller must hold m.mu.
+func (m *Machine) packedPieces() map[pieces.Digest][]byte {
 	out := map[pieces.Digest][]byte{}
 	if m.state.Document != nil {
 		out = m.state.Document.ByDigest()
@@ -143,7 +142,7 @@
 // Encode writes a command for the log.
 func Encode(c Command) ([]byte, error) { return cbor.Marshal(c) }
 
-// DecodeResult reads what Apply returned.
+// DecodeResult decodes what Apply returned.
 func DecodeResult(data []byte) (Result, error) {
 	var r Result
 	if len(data) == 0 {
@@ -153,8 +152,8 @@
 	return r, errors.Annotate(err, "result of a command")
 }
 
-// Apply carries out a command and returns its encoded Result. An entry that cannot be read
-// changes nothing: all members skip it alike.
+// Apply runs the command at a log index and returns its encoded Result. An entry that can't be
+// decoded changes nothing; all members skip it alike.
 func (m *Machine) Apply(index uint64, data []byte) []byte {
 	var c Command
 	if err := cbor.Unmarshal(data, &c); err != nil {
@@ -166,7 +165,7 @@
 	m.state = next
 	m.mu.Unlock()
 	if changed {
-		m.changed(next)
+		m.onChange(next)
 	}
 	return r.encode()
 }
@@ -182,14 +181,15 @@
 	return data
 }
 
-// apply returns the next state, or the present one where nothing changes.
+// apply returns the next state, or the current one if it doesn't change. The caller must hold
+// m.mu.
 func (m *Machine) apply(index uint64, c Command) (*State, Result) {
 	s := m.state
 	switch {
 	case c.Pieces != nil:
 		m.staged.add(c.Pieces.Packed)
 	case c.Holders != nil:
-		m.holders = c.Holders.change(m.holders)
+		m.holders = c.Holders.applyTo(m.holders)
 	case c.Offer != nil && c.Offer.Version > s.Version:
 		return m.offer(index, c.Offer)
 	case c.Evacuation != nil && c.Evacuation.Evacuate != (s.Evacuated[c.Evacuation.Zone] != 0):
@@ -198,15 +198,16 @@
 	return s, Result{}
 }
 
-// offer puts the pieces of a configuration together.
+// offer assembles a configuration from its pieces. The state stays as it is if the manifest is
+// invalid or a piece is missing.
 func (m *Machine) offer(index uint64, o *Offer) (*State, Result) {
 	if o.Manifest == nil {
-		return m.state.with(index, o.Version, whole(o.Document)), Result{}
+		return m.state.withDocument(index, o.Version, singlePiece(o.Document)), Result{}
 	}
 	if o.Manifest.Check() != nil {
 		return m.state, Result{}
 	}
-	packed := m.pieces()
+	packed := m.packedPieces()
 	d := &pieces.Document{Manifest: *o.Manifest}
 	missing := o.Manifest.Missing(func(digest pieces.Digest) bool { return packed[digest] != nil })
 	if len(missing) > 0 {
@@ -215,20 +216,20 @@
 	for _, digest := range o.Manifest.Digests {
 		d.Packed = append(d.Packed, packed[digest])
 	}
-	m.staged.drop(d.Manifest.Digests)
-	return m.state.with(index, o.Version, d), Result{}
+	m.staged.remove(d.Manifest.Digests)
+	return m.state.withDocument(index, o.Version, d), Result{}
 }
 
-// whole is a document in pieces that know of no elements.
-func whole(document []byte) *pieces.Document {
+// singlePiece makes a document of a configuration without a layout of elements.
+func singlePiece(document []byte) *pieces.Document {
 	s, err := pieces.Cut(document, pieces.Layout{})
 	if err != nil {
-		panic(err) // No elements cannot be wrong.
+		panic(err) // An empty layout is always valid.
 	}
 	return s.Pack()
 }
 
-func (s *State) with(index, version uint64, d *pieces.Document) *State {
+func (s *State) withDocument(index, version uint64, d *pieces.Document) *State {
 	next := *s
 	next.Index, next.Version, next.Document, next.Root = index, version, d, d.Manifest.Root()
 	return &next
@@ -249,17 +250,17 @@
 	return &next
 }
 
-// snapshot is the machine's whole state on disks and links.
+// snapshot is the encoded form of the machine's whole state.
 type snapshot struct {
 	State
-	// Before is the document of snapshots that were written before there were pieces.
-	Before []byte   `cbor:"3,keyasint,omitempty"`
-	Staged [][]byte `cbor:"7,keyasint,omitempty"`
-	// Holders are in order.
+	// LegacyDocument is the document in snapshots of releases without pieces.
+	LegacyDocument []byte   `cbor:"3,keyasint,omitempty"`
+	Staged         [][]byte `cbor:"7,keyasint,omitempty"`
+	// Holders are sorted.
 	Holders []string `cbor:"8,keyasint,omitempty"`
 }
 
-// Snapshot returns the whole state.
+// Snapshot encodes the whole state, staged pieces and holders included.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	s := snapshot{State: *m.state, Staged: m.staged.packed(), Holders: slices.Sorted(maps.Keys(m.holders))}
@@ -267,7 +268,8 @@
 	return cbor.Marshal(s)
 }
 
-// Restore replaces the state by that of a Snapshot.
+// Restore replaces the whole state by that of a Snapshot and reports it as a change. On an
+// error nothing changes.
 func (m *Machine) Restore(data []byte) error {
 	s, err := decodeSnapshot(data)
 	if err != nil {
@@ -278,11 +280,11 @@
 	m.staged.add(s.Staged)
 	m.setHolders(s.Holders)
 	m.mu.Unlock()
-	m.changed(&s.State)
+	m.onChange(&s.State)
 	return nil
 }
 
-// DecodeState reads a State as it was encoded, now or before there were pieces.
+// DecodeState decodes the State of a snapshot, also of a release without pieces.
 func DecodeState(data []byte) (*State, error) {
 	s, err := decodeSnapshot(data)
 	if err != nil {
@@ -297,8 +299,8 @@
 		return nil, errors.Annotate(err, "snapshot of configurations")
 	}
 	if s.Document == nil && s.Version > 0 {
-		s.State = *s.with(s.Index, s.Version, whole(s.Before))
-		s.Before = nil
+		s.State = *s.withDocument(s.Index, s.Version, singlePiece(s.LegacyDocument))
+		s.LegacyDocument = nil
 	}
 	return s, nil
 }
--- a/bundle/newest/machine_test.go
+++ b/bundle/newest/machine_test.go
@@ -34,10 +34,9 @@
 	return string(text)
 }
 
-// Symptom: instances run different routes under one version, or go back to an older
-// one.
-// Events: operators race with any versions, and older offers arrive again.
-// Cause: the last offer wins in place of the highest and first.
+// Guards against instances that run different routes under one version, or go back to an older
+// one, while operators race with any versions and older offers arrive again. It happens if the
+// last offer wins instead of the first one of the highest version.
 func TestHighestVersionWinsAndFirstContentStays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newest.NewMachine(nil)
@@ -57,6 +56,8 @@
 	})
 }
 
+// Guards against evacuations that a snapshot loses or that can't be cancelled, and against
+// commands or snapshots that can't be decoded and change the state.
 func TestEvacuationsAreTakenBackAndSurviveSnapshots(t *testing.T) {
 	Convey("a machine with a configuration and two evacuations", t, func() {
 		calls := 0
--- a/bundle/newest/parts_test.go
+++ b/bundle/newest/pieces_test.go
@@ -14,7 +14,7 @@
 	"github.com/gullhaven/gullhaven/coord/pieces"
 )
 
-// lines cuts a document of lines, each an element.
+// lines splits a document into pieces, with each line an element.
 func lines(t rapid.TB, text []byte) *pieces.Source {
 	var l pieces.Layout
 	for at, c := range text {
@@ -29,7 +29,7 @@
 	return s
 }
 
-func parts(t rapid.TB, packed [][]byte) []byte {
+func piecesEntry(t rapid.TB, packed [][]byte) []byte {
 	return entry(t, newest.Command{Pieces: &newest.Pieces{Packed: packed}})
 }
 
@@ -54,9 +54,9 @@
 	return b.Bytes()
 }
 
-// Operators race with configurations of many pieces, some of which never come, come twice or
-// come late. Only whole ones are in force, all members agree on each of them, whether they
-// saw all entries or a snapshot, and the highest version that was whole at its offer wins.
+// Guards against a configuration in force that isn't complete, and against members that differ
+// after a snapshot. Operators race with configurations of many pieces, some of which are lost,
+// repeated or late. The highest version that was complete at its offer must win.
 func TestOnlyWholeConfigurationsAreTaken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newest.NewMachine(nil)
@@ -68,7 +68,7 @@
 			left := rapid.IntRange(0, len(digests)).Draw(t, "pieces that do not come")
 			packed := s.PackOf(digests[:len(digests)-left])
 			if len(packed) > 0 {
-				m.Apply(uint64(3*index+1), parts(t, packed))
+				m.Apply(uint64(3*index+1), piecesEntry(t, packed))
 			}
 			got := missing(t, m.Apply(uint64(3*index+2), offerOf(t, uint64(v), s)))
 			if higher := uint64(v) > version; higher && got != left {
@@ -96,41 +96,41 @@
 	})
 }
 
-// An operator's call ends before all pieces are committed. The next one, at another core
-// instance, has to propose only the rest.
+// Guards against proposing all pieces again after an operator's call ended before all were
+// committed: the next call, at another core instance, has to propose only the rest.
 func TestPiecesStayForTheNextTry(t *testing.T) {
 	m := newest.NewMachine(nil)
 	s := lines(t, longText(3, 800))
 	all := m.Missing(&s.Manifest)
-	m.Apply(1, parts(t, s.PackOf(all[:len(all)/2])))
+	m.Apply(1, piecesEntry(t, s.PackOf(all[:len(all)/2])))
 	rest := m.Missing(&s.Manifest)
 	if len(all) < 4 || len(rest) != len(all)-len(all)/2 {
 		t.Fatalf("%d pieces are left of %d", len(rest), len(all))
 	}
-	m.Apply(2, parts(t, s.PackOf(rest)))
+	m.Apply(2, piecesEntry(t, s.PackOf(rest)))
 	if got := missing(t, m.Apply(3, offerOf(t, 3, s))); got != 0 || m.State().Version != 3 {
 		t.Fatalf("version %d, %d pieces missing", m.State().Version, got)
 	}
-	// A change of one line needs what changed and nothing more.
+	// A change of one line needs only the pieces that changed.
 	next := lines(t, append(longText(3, 800), []byte("one more\n")...))
 	if got := len(m.Missing(&next.Manifest)); got > 2 {
 		t.Fatalf("%d pieces for one line", got)
 	}
 }
 
-// Pieces that nobody offers give way to newer ones, the oldest first, and an offer of them
-// says what it lacks.
+// Guards against unbounded memory and snapshots: newer pieces displace those that are never
+// offered, the oldest first, and a later offer of these lists them as missing.
 func TestStagedPiecesAreBounded(t *testing.T) {
 	m := newest.NewMachine(nil)
 	first := lines(t, longText(1, 200))
-	m.Apply(1, parts(t, first.PackOf(m.Missing(&first.Manifest))))
+	m.Apply(1, piecesEntry(t, first.PackOf(m.Missing(&first.Manifest))))
 	block := make([]byte, 1<<20)
 	for k := range 9 {
 		for at := range block {
 			block[at] = byte(at * (k + 3) * 2654435761 >> 13)
 		}
-		// As it stands in the stream of a compressor that finds nothing to compress.
-		m.Apply(uint64(k+2), parts(t, [][]byte{stored(block)}))
+		// The output of a compressor for data that can't be compressed.
+		m.Apply(uint64(k+2), piecesEntry(t, [][]byte{stored(block)}))
 	}
 	if got := missing(t, m.Apply(20, offerOf(t, 1, first))); got != len(slices.Compact(first.Manifest.Digests)) {
 		t.Fatalf("%d pieces missing", got)
@@ -141,7 +141,7 @@
 	}
 }
 
-// stored writes bytes as a deflate stream of stored blocks.
+// stored encodes bytes as a deflate stream of stored blocks.
 func stored(raw []byte) []byte {
 	var out []byte
 	for len(raw) > 0 {
@@ -157,8 +157,8 @@
 	return out
 }
 
-// A disk holds entries and snapshots of a build that kept documents whole. Its state is read
-// as it was, and goes on.
+// Guards against losing the state of a release that kept documents whole: its entries and
+// snapshots are still on disk and must be decoded, and later offers apply to them.
 func TestStatesOfBeforePiecesAreRead(t *testing.T) {
 	old, err := cbor.Marshal(map[int]any{1: 7, 2: 4, 3: []byte("a document"), 4: map[string]uint64{"z": 5}})
 	if err != nil {
@@ -182,11 +182,11 @@
 	}
 }
 
-// An entry with damaged pieces, or with a manifest that cannot be, changes nothing.
-func TestDamagedPartsAreLeftOut(t *testing.T) {
+// Guards against damaged pieces or an invalid manifest that change the state.
+func TestDamagedPiecesAreSkipped(t *testing.T) {
 	m := newest.NewMachine(nil)
 	s := lines(t, longText(1, 200))
-	m.Apply(1, parts(t, [][]byte{{1, 2, 3}, nil}))
+	m.Apply(1, piecesEntry(t, [][]byte{{1, 2, 3}, nil}))
 	if got := len(m.Missing(&s.Manifest)); got != len(s.Manifest.Digests) {
 		t.Fatalf("%d missing", got)
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// Guards against a leader that does not know who may hold shares under its predecessor: they
-// outlive snapshots, and change nothing that callers meet.
+// Guards against a leader that doesn't know who may hold shares since its predecessor: a
+// snapshot must contain the holders. Their change must not be reported as one of the State.
 func TestHoldersOutliveSnapshots(t *testing.T) {
 	m := newest.NewMachine(func(*newest.State) { t.Error("a change of holders was told as one of the state") })
 	apply := func(index uint64, h *newest.Holders) {
--- a/bundle/newest/staged.go
+++ b/bundle/newest/staged.go
@@ -4,12 +4,12 @@
 	"github.com/gullhaven/gullhaven/coord/pieces"
 )
 
-// maxStaged bounds the pieces that wait for an offer, in bytes as they are packed: twice the
-// longest configuration that cannot be compressed.
-const maxStaged = 8 << 20
+// maxStagedBytes bounds the packed size of the pieces that wait for an offer. It is twice the
+// longest configuration, if that can't be compressed.
+const maxStagedBytes = 8 << 20
 
-// staged are pieces of configurations that were not offered yet, oldest first. They stay
-// where an offer comes late or is made again; those that nobody offers give way to newer ones.
+// staged holds pieces of configurations that were not offered yet, oldest first. They stay if an
+// offer is late or is retried; newer pieces displace those that are never offered.
 type staged struct {
 	list  []stagedPiece
 	bytes int
@@ -20,8 +20,8 @@
 	packed []byte
 }
 
-// add takes in pieces. One that cannot be read is left out: all members leave it out alike,
-// and its offer tells that it is missing.
+// add adds pieces. It skips one that can't be unpacked: all members skip it alike, and the
+// result of its offer lists it as missing. Beyond maxStagedBytes it removes the oldest pieces.
 func (s *staged) add(packed [][]byte) {
 	known := make(map[pieces.Digest]bool, len(s.list))
 	for _, p := range s.list {
@@ -36,14 +36,14 @@
 		s.list = append(s.list, stagedPiece{digest, p})
 		s.bytes += len(p)
 	}
-	for s.bytes > maxStaged {
+	for s.bytes > maxStagedBytes {
 		s.bytes -= len(s.list[0].packed)
 		s.list = s.list[1:]
 	}
 }
 
-// drop forgets pieces that stand in a configuration now.
-func (s *staged) drop(digests []pieces.Digest) {
+// remove removes pieces that are part of a configuration now.
+func (s *staged) remove(digests []pieces.Digest) {
 	used := make(map[pieces.Digest]bool, len(digests))
 	for _, d := range digests {
 		used[d] = true
