--- a/bundle/newest/pieces_test.go
+++ b/bundle/newest/pieces_test.go
@@ -200,7 +200,7 @@
 // Guards against a leader that doesn't know who may hold shares since its predecessor: a
 // snapshot must contain the holders. Their change must not be reported as one of the State.
 func TestHoldersOutliveSnapshots(t *testing.T) {
-	m := newest.NewMachine(func(*newest.State) { t.Error("a change of holders was told as one of the state") })
+	m := newest.NewMachine(func(*newest.State) { t.Error("a change of holders was reported as one of the state") })
 	apply := func(index uint64, h *newest.Holders) {
 		data, err := newest.Encode(newest.Command{Holders: h})
 		if err != nil {
--- a/bundle/spread/core.go
+++ b/bundle/spread/core.go
@@ -7,18 +7,19 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// Stats count what a Core met.
+// Stats are the counters of a Core.
 type Stats struct {
-	// Installed versions, and of those the ones taken as whole copies.
+	// Installed counts installed versions, WholeCopies those of them that came as
+	// whole copies.
 	Installed, WholeCopies uint64
-	// Refused are messages with content that does not verify: a wrong base, a
-	// wrong digest, missing sign-offs.
+	// Refused counts content that fails verification (a wrong base, a wrong digest,
+	// missing sign-offs) and reports on a region by an instance outside of it.
 	Refused uint64
-	// Late are messages about versions that were in force here already.
+	// Late counts content for versions that were in force here already.
 	Late uint64
 }
 
-// Core is the state of one instance. It is not safe for several goroutines.
+// Core is the state of one instance. It is not safe for concurrent use.
 type Core struct {
 	self  Peer
 	rng   *rand.Rand
@@ -27,33 +28,35 @@
 	current *bundle.Signed
 	head    bundle.Identity
 	// steps lead up to head without a gap, oldest first.
-	steps []Step
-	fresh bool
-	pull  *pull
-	// copy collects a whole copy over pulls, and pace says how much is asked for at once.
-	copy *wholeCopy
-	pace pace
+	steps   []Step
+	changed bool
+	pull    *pull
+	// copy collects a whole copy over several pulls. pacer bounds what one request
+	// asks for.
+	copy  *wholeCopy
+	pacer pacer
 
 	appliedAt time.Time
 	members   map[string]memberState
-	regions   map[string]heardRegion
+	regions   map[string]receivedState
 	stats     Stats
 }
 
-// New makes the Core of an instance without a bundle.
+// New makes the Core of an instance without a bundle. rng draws the peers to
+// compare versions with.
 func New(self Peer, rng *rand.Rand) *Core {
 	return &Core{
 		self:    self,
-		pace:    newPace(),
+		pacer:   newPacer(),
 		rng:     rng,
 		members: map[string]memberState{},
-		regions: map[string]heardRegion{},
+		regions: map[string]receivedState{},
 	}
 }
 
 // SetPeers replaces the view of other instances: those of the own region, and
-// the relays and voters of others. The entry of the instance itself updates
-// whether it is a relay.
+// the relays and voters of other regions. If peers contains the instance itself,
+// that entry updates whether it is a relay.
 func (c *Core) SetPeers(peers []Peer) {
 	c.peers = c.peers[:0]
 	for _, p := range peers {
@@ -63,26 +66,29 @@
 		}
 		c.peers = append(c.peers, p)
 	}
-	c.forgetMembers()
+	c.removeStaleMembers()
 }
 
-// Head is the version in force; zero before the first.
+// Head returns the identity of the bundle in force; zero before the first.
 func (c *Core) Head() bundle.Identity { return c.head }
 
 // Stats returns the counters.
 func (c *Core) Stats() Stats { return c.stats }
 
-// Installed returns the bundle in force once after each change; nil otherwise.
+// TakeInstalled returns the bundle in force if it has changed since the last
+// call, and nil otherwise. The caller must not change it.
 func (c *Core) TakeInstalled() *bundle.Signed {
-	if !c.fresh {
+	if !c.changed {
 		return nil
 	}
-	c.fresh = false
+	c.changed = false
 	return c.current
 }
 
-// Offer takes in a bundle that this instance knows to be accepted: from its
-// own replicated log, or from its disk at the start. An older one is ignored.
+// Offer installs a bundle that this instance knows to be accepted, from its own
+// replicated log or from its disk at the start, and returns the messages to send.
+// A bundle that isn't newer than the one in force is ignored. The error is that
+// of encoding the bundle.
 func (c *Core) Offer(now time.Time, s *bundle.Signed) ([]Out, error) {
 	id, err := s.Bundle.Identity()
 	if err != nil {
@@ -99,7 +105,8 @@
 	return c.install(now, id, s, step), nil
 }
 
-// stepTo makes the step from the bundle in force; nil where that is not the parent.
+// stepTo makes the step from the bundle in force to s. It is nil if the bundle in
+// force is not the parent.
 func (c *Core) stepTo(id bundle.Identity, s *bundle.Signed) (*Step, error) {
 	if c.current == nil || id.Parent != c.head.Digest {
 		return nil, nil
@@ -116,9 +123,10 @@
 }
 
 // install puts a version in force, which must be above the current one, and
-// hands it on. Without a step the kept ones lead nowhere and are dropped.
+// returns the messages that forward and report it. Without a step from the current
+// version the kept steps no longer lead to the head and are removed.
 func (c *Core) install(now time.Time, id bundle.Identity, s *bundle.Signed, step *Step) []Out {
-	c.current, c.head, c.fresh = s, id, true
+	c.current, c.head, c.changed = s, id, true
 	c.stats.Installed++
 	if step == nil {
 		c.steps = nil
@@ -134,25 +142,26 @@
 	if c.copy != nil && c.copy.head.Version <= id.Version {
 		c.copy = nil
 	}
-	out := c.toChildren(step)
-	return append(out, c.tellApplied(now)...)
+	out := c.sendToChildren(step)
+	return append(out, c.reportApplied(now)...)
 }
 
-// Step takes in a message. from is the instance that the link has identified.
+// Step handles a message and returns the messages to send. from must be the
+// instance that the link has authenticated.
 func (c *Core) Step(now time.Time, from string, m Message) []Out {
 	switch m.Kind {
 	case KindAnnounce:
-		return c.onHave(now, from, m.Head)
+		return c.onAnnounce(now, from, m.Head)
 	case KindStepsRequest:
-		return c.onAsk(now, from, m)
+		return c.onStepsRequest(now, from, m)
 	case KindSteps:
 		return c.onSteps(now, from, m)
 	case KindManifest:
-		return c.onWhole(now, from, m)
+		return c.onManifest(now, from, m)
 	case KindSectionsRequest:
-		return c.onWant(from, m)
+		return c.onSectionsRequest(from, m)
 	case KindSections:
-		return c.onParts(now, from, m)
+		return c.onSections(now, from, m)
 	case KindApplied:
 		return c.onApplied(now, from, m.Head)
 	case KindRegion:
@@ -161,29 +170,30 @@
 	return nil
 }
 
-// Tick lets time pass; the host calls it every TickInterval.
+// Tick runs the periodic work and returns the messages to send. The host calls it
+// every TickInterval.
 //
-// Comparing with random peers is what repairs a lost message or a dead
-// instance in the tree: an instance that is behind finds it out within a few
-// intervals, whatever was lost, at a cost that does not grow with the region.
+// Comparing versions with random peers repairs a lost message or a dead instance
+// in the tree: an instance that is behind finds out within a few intervals,
+// whatever was lost, at a cost that does not grow with the region.
 func (c *Core) Tick(now time.Time) []Out {
 	var out []Out
-	for _, p := range c.comparisons() {
-		out = append(out, c.to(p, Message{Kind: KindAnnounce}))
+	for _, p := range c.drawPeers() {
+		out = append(out, c.message(p, Message{Kind: KindAnnounce}))
 	}
-	if c.pull != nil && now.Sub(c.pull.since) > c.pace.patience() {
+	if c.pull != nil && now.Sub(c.pull.since) > c.pacer.timeout() {
 		c.pull = nil
-		c.pace.failed()
+		c.pacer.recordFailure()
 	}
-	if now.Sub(c.appliedAt) >= appliedEvery {
-		out = append(out, c.tellApplied(now)...)
+	if now.Sub(c.appliedAt) >= appliedInterval {
+		out = append(out, c.reportApplied(now)...)
 	}
 	return out
 }
 
-// comparisons draws the peers of one Tick: members of the own region, and for
-// relays and voters also one of those elsewhere.
-func (c *Core) comparisons() []string {
+// drawPeers draws the peers to compare versions with in one Tick: members of the
+// own region, and for relays and voters also a relay or voter of another region.
+func (c *Core) drawPeers() []string {
 	near := c.idsOf(func(p Peer) bool { return p.Region == c.self.Region })
 	drawn := c.draw(near, comparePeers)
 	if c.self.Relay || c.self.Voter {
@@ -193,7 +203,7 @@
 	return drawn
 }
 
-// draw returns up to n of the ids, without repetition.
+// draw returns up to n distinct ids at random. It reorders ids.
 func (c *Core) draw(ids []string, n int) []string {
 	c.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	return ids[:min(n, len(ids))]
@@ -210,8 +220,8 @@
 	return ids
 }
 
-// to addresses a message and stamps it with the version in force.
-func (c *Core) to(id string, m Message) Out {
+// message addresses a message and sets its Head to the version in force.
+func (c *Core) message(id string, m Message) Out {
 	m.Head = c.head
 	return Out{To: id, Message: m}
 }
--- a/bundle/spread/inforce.go
+++ b/bundle/spread/inforce.go
@@ -9,29 +9,30 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// memberState is what a relay knows of an instance of its region.
+// memberState is what a relay knows about an instance of its region.
 type memberState struct {
 	head bundle.Identity
-	// behindSince is when it was found behind; zero while it is not.
+	// behindSince is the time at which it was found behind; zero while it is not.
 	behindSince time.Time
 }
 
-// tellApplied reports the version in force to the relays of the region and,
-// at a relay, the state of the region to voters and relays elsewhere.
-func (c *Core) tellApplied(now time.Time) []Out {
+// reportApplied reports the version in force to the relays of the region and, at
+// a relay, the state of the region to all voters and relays.
+func (c *Core) reportApplied(now time.Time) []Out {
 	c.appliedAt = now
 	var out []Out
 	for _, p := range c.peers {
 		if p.Relay && p.Region == c.self.Region {
-			out = append(out, c.to(p.ID, Message{Kind: KindApplied}))
+			out = append(out, c.message(p.ID, Message{Kind: KindApplied}))
 		}
 	}
-	return append(out, c.tellRegion(now)...)
+	return append(out, c.reportRegion(now)...)
 }
 
-// tellRegion sends the state of the own region on, at a relay. Every relay and
-// voter learns it, so that a cut-off region is seen as behind on each side.
-func (c *Core) tellRegion(now time.Time) []Out {
+// reportRegion sends the state of the own region to every relay and voter, if this
+// instance is a relay. As all of them have it, a partitioned region is seen as
+// behind on both sides.
+func (c *Core) reportRegion(now time.Time) []Out {
 	if !c.self.Relay {
 		return nil
 	}
@@ -39,48 +40,49 @@
 	var out []Out
 	for _, p := range c.peers {
 		if p.Voter || p.Relay {
-			out = append(out, c.to(p.ID, Message{Kind: KindRegion, State: &state}))
+			out = append(out, c.message(p.ID, Message{Kind: KindRegion, State: &state}))
 		}
 	}
 	return out
 }
 
-// onApplied notes the version of a member. The region's state goes out early
-// only when the last member has come up to the newest version, which is the
-// moment that operators wait for.
+// onApplied records the version of a member. It reports the state of the region
+// ahead of the interval only when the last member has reached the newest version,
+// which operators wait for.
 func (c *Core) onApplied(now time.Time, from string, head bundle.Identity) []Out {
 	if !c.inRegion(from) || head.Version < c.members[from].head.Version {
 		return nil
 	}
 	before := c.members[from].head.Version
 	c.members[from] = memberState{head: head, behindSince: c.members[from].behindSince}
-	out := c.onHave(now, from, head)
+	out := c.onAnnounce(now, from, head)
 	if head.Version > before && len(c.regionState(now).Behind) == 0 {
-		out = append(out, c.tellRegion(now)...)
+		out = append(out, c.reportRegion(now)...)
 	}
 	return out
 }
 
-// heardRegion is what one relay last told.
-type heardRegion struct {
+// receivedState is the last state received from a relay, and the local time of receipt.
+type receivedState struct {
 	state RegionState
 	at    time.Time
 }
 
-// onRegion keeps the newest state that each relay told of its region. Relays
-// are kept apart, as their wall clocks, which State.At comes from, may differ.
+// onRegion keeps the newest state that each relay reported about its region. There
+// is one for each relay, as their wall clocks, which State.At comes from, may differ.
 func (c *Core) onRegion(now time.Time, from string, state *RegionState) {
-	speaksFor := func(p Peer) bool { return p.ID == from && state != nil && p.Region == state.Region }
-	if !slices.ContainsFunc(c.peers, speaksFor) {
+	represents := func(p Peer) bool { return p.ID == from && state != nil && p.Region == state.Region }
+	if !slices.ContainsFunc(c.peers, represents) {
 		c.stats.Refused++
 		return
 	}
 	if state.At.After(c.regions[from].state.At) {
-		c.regions[from] = heardRegion{state: *state, at: now}
+		c.regions[from] = receivedState{state: *state, at: now}
 	}
 }
 
-// regionState compares the members of the region with the newest version.
+// regionState compares the versions of the region's members with the own one and
+// updates since when they are behind.
 func (c *Core) regionState(now time.Time) RegionState {
 	state := RegionState{Region: c.self.Region, At: now, Newest: c.head}
 	ids := append(c.idsOf(func(p Peer) bool { return p.Region == c.self.Region }), c.self.ID)
@@ -105,12 +107,12 @@
 	return state
 }
 
-// Regions returns the last heard state of each region, by id. Relays and voters
-// know all regions, other instances none.
+// Regions returns the last received state of each region, sorted by id. Relays and
+// voters know all regions, other instances none.
 func (c *Core) Regions(now time.Time) []RegionState {
-	newest := map[string]heardRegion{}
+	newest := map[string]receivedState{}
 	if c.self.Relay {
-		newest[c.self.Region] = heardRegion{state: c.regionState(now), at: now}
+		newest[c.self.Region] = receivedState{state: c.regionState(now), at: now}
 	}
 	for _, h := range c.regions {
 		if h.at.After(newest[h.state.Region].at) {
@@ -130,12 +132,12 @@
 	return slices.ContainsFunc(c.peers, func(p Peer) bool { return p.ID == id && p.Region == c.self.Region })
 }
 
-// forgetMembers drops what is known of instances that are no longer members.
-func (c *Core) forgetMembers() {
+// removeStaleMembers removes the states of instances that are no longer members.
+func (c *Core) removeStaleMembers() {
 	maps.DeleteFunc(c.members, func(id string, _ memberState) bool {
 		return id != c.self.ID && !c.inRegion(id)
 	})
-	maps.DeleteFunc(c.regions, func(id string, _ heardRegion) bool {
+	maps.DeleteFunc(c.regions, func(id string, _ receivedState) bool {
 		return !slices.ContainsFunc(c.peers, func(p Peer) bool { return p.ID == id })
 	})
 }
--- a/bundle/spread/pull.go
+++ b/bundle/spread/pull.go
@@ -6,8 +6,8 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// pull is a newer version on its way here. One at a time: a second peer is asked only after
-// the first has kept silent for as long as the pace allows.
+// pull is the transfer of a newer version from a peer. There is one at a time: another peer is
+// asked only after the pacer's timeout without progress.
 type pull struct {
 	head  bundle.Identity
 	from  string
@@ -16,10 +16,10 @@
 
 // wholeCopy collects the sections of a version. It outlives the pulls that fill it.
 //
-// What goes wrong without that: over a slow link a part takes longer than a pull may, the
-// pull ends with all that has come, and the next one begins anew while parts of those before
-// it fill the link. One would see an instance that never has a version in force and whose
-// link is full.
+// Otherwise, over a slow link, where an answer takes longer than a pull's timeout, each pull
+// would drop the sections received so far and the next one would start from the beginning
+// while answers to earlier pulls fill the link. The instance would never get a version in
+// force, and its link would stay saturated.
 type wholeCopy struct {
 	head       bundle.Identity
 	manifest   *bundle.Manifest
@@ -27,13 +27,14 @@
 	sections   map[bundle.Digest][]byte
 }
 
-// missing are the sections still to come.
+// missing lists the sections that haven't been received.
 func (w *wholeCopy) missing() []bundle.Digest {
 	return bundle.Missing(*w.manifest, func(d bundle.Digest) bool { return w.sections[d] != nil })
 }
 
-// take keeps a section that the manifest names and reports whether it is new.
-func (w *wholeCopy) take(digest bundle.Digest, data []byte) (named, isNew bool) {
+// add stores a section if the manifest names it. It reports whether the manifest does and
+// whether the section is new.
+func (w *wholeCopy) add(digest bundle.Digest, data []byte) (named, isNew bool) {
 	for _, ref := range w.manifest.Sections {
 		if ref.Digest == digest {
 			isNew = w.sections[digest] == nil
@@ -44,88 +45,90 @@
 	return false, false
 }
 
-// pace is how much a pull asks for at once and how long it waits.
-type pace struct {
+// pacer decides how many bytes a pull requests at once and how long it waits for them.
+type pacer struct {
 	bytes, failures int
 }
 
-func newPace() pace { return pace{bytes: firstPartBytes} }
+func newPacer() pacer { return pacer{bytes: firstSectionBytes} }
 
-// patience is how long a pull may bring nothing.
-func (p *pace) patience() time.Duration { return pullTimeout << min(p.failures, maxPatience) }
+// timeout returns how long a pull may go without progress.
+func (p *pacer) timeout() time.Duration { return pullTimeout << min(p.failures, maxTimeoutDoublings) }
 
-// failed asks for less next, and waits longer: any part passes any link in the end.
-func (p *pace) failed() {
+// recordFailure makes the next request smaller and its timeout longer, so that in the end a
+// section passes any link.
+func (p *pacer) recordFailure() {
 	p.failures++
 	p.bytes = max(1, p.bytes/4)
 }
 
-// progressed takes in that something came after a time.
-func (p *pace) progressed(after time.Duration) {
+// recordProgress records that a request brought content after a time.
+func (p *pacer) recordProgress(after time.Duration) {
 	p.failures = 0
-	if after < quickAnswer {
-		p.bytes = min(2*p.bytes, maxPartBytes)
+	if after < fastResponse {
+		p.bytes = min(2*p.bytes, maxSectionBytes)
 	}
 }
 
-// onHave compares versions: it asks a peer that is ahead and tells one that is
-// behind.
-func (c *Core) onHave(now time.Time, from string, head bundle.Identity) []Out {
+// onAnnounce compares versions: it pulls from a peer that is ahead, unless a pull is
+// in progress, and announces its own version to one that is behind.
+func (c *Core) onAnnounce(now time.Time, from string, head bundle.Identity) []Out {
 	if head.Version < c.head.Version {
-		return []Out{c.to(from, Message{Kind: KindAnnounce})}
+		return []Out{c.message(from, Message{Kind: KindAnnounce})}
 	}
 	if head.Version == c.head.Version {
 		return nil
 	}
-	if c.pull != nil && now.Sub(c.pull.since) <= c.pace.patience() {
+	if c.pull != nil && now.Sub(c.pull.since) <= c.pacer.timeout() {
 		return nil
 	}
 	if c.pull != nil {
-		c.pace.failed()
+		c.pacer.recordFailure()
 	}
 	return c.pullFrom(now, from, head)
 }
 
-// pullFrom begins a pull: it goes on with a copy that the peer has as well, and else asks
-// what follows.
+// pullFrom starts a pull. It continues a whole copy of the version that the peer has, and
+// otherwise requests the steps that follow.
 func (c *Core) pullFrom(now time.Time, from string, head bundle.Identity) []Out {
 	c.pull = &pull{head: head, from: from, since: now}
 	if c.copy != nil && c.copy.head == head {
 		return c.continuePull(now)
 	}
-	return []Out{c.to(from, Message{Kind: KindStepsRequest, MaxBytes: c.pace.bytes})}
+	return []Out{c.message(from, Message{Kind: KindStepsRequest, MaxBytes: c.pacer.bytes})}
 }
 
-// onAsk answers with the steps that follow the asker's version, or else with
-// the manifest.
-func (c *Core) onAsk(now time.Time, from string, m Message) []Out {
+// onStepsRequest answers with the steps that follow the sender's version, or
+// with the manifest if these steps aren't kept.
+func (c *Core) onStepsRequest(now time.Time, from string, m Message) []Out {
 	head := m.Head
 	if head.Version > c.head.Version {
-		return c.onHave(now, from, head)
+		return c.onAnnounce(now, from, head)
 	}
 	if c.current == nil || head.Version == c.head.Version {
 		return nil
 	}
-	if steps := c.stepsAfter(head, within(m.MaxBytes, maxStepBytes)); len(steps) > 0 {
-		return []Out{c.to(from, Message{Kind: KindSteps, Steps: steps})}
+	if steps := c.stepsAfter(head, limitTo(m.MaxBytes, maxStepBytes)); len(steps) > 0 {
+		return []Out{c.message(from, Message{Kind: KindSteps, Steps: steps})}
 	}
 	manifest, _, err := bundle.Split(&c.current.Bundle)
 	if err != nil {
-		return nil // The bundle in force was split before, when its digest was verified.
+		return nil // Can't happen: the bundle in force was split when its digest was verified.
 	}
-	return []Out{c.to(from, Message{Kind: KindManifest, Manifest: &manifest, Signatures: c.current.Signatures})}
+	return []Out{c.message(from, Message{Kind: KindManifest, Manifest: &manifest, Signatures: c.current.Signatures})}
 }
 
-// within is what the asker wants at once, if it says so, and most otherwise.
-func within(asked, most int) int {
-	if asked <= 0 {
-		return most
+// limitTo returns the bound that a request gives, but at most limit. A bound of 0 means limit.
+func limitTo(requested, limit int) int {
+	if requested <= 0 {
+		return limit
 	}
-	return min(asked, most)
+	return min(requested, limit)
 }
 
-// stepsAfter returns the kept steps that follow a version, as many as fit one
-// message; none if they don't reach back that far.
+// stepsAfter returns the kept steps that follow a version, as many as fit into
+// maxBytes of deltas but at least one of up to maxStepBytes. It returns none if the
+// kept steps don't reach back to that version.
 func (c *Core) stepsAfter(head bundle.Identity, maxBytes int) []Step {
 	size := 0
 	var found []Step
@@ -142,8 +145,8 @@
 	return found
 }
 
-// onSteps applies what follows the version in force. A gap is closed by asking
-// the sender.
+// onSteps applies the steps that follow the version in force. If it stays behind
+// the sender, it pulls the rest from there.
 func (c *Core) onSteps(now time.Time, from string, m Message) []Out {
 	var out []Out
 	for _, s := range m.Steps {
@@ -154,7 +157,7 @@
 		if s.ID.Parent != c.head.Digest || c.current == nil {
 			break
 		}
-		next, err := c.verified(s)
+		next, err := c.applyStep(s)
 		if err != nil {
 			c.stats.Refused++
 			return out
@@ -162,7 +165,7 @@
 		out = append(out, c.install(now, s.ID, next, &s)...)
 	}
 	if c.pull != nil && c.pull.from == from && len(out) > 0 {
-		c.pace.progressed(now.Sub(c.pull.since))
+		c.pacer.recordProgress(now.Sub(c.pull.since))
 	}
 	if m.Head.Version > c.head.Version {
 		out = append(out, c.pullFrom(now, from, m.Head)...)
@@ -170,10 +173,10 @@
 	return out
 }
 
-// verified applies a step to the bundle in force. The digest covers the
-// content, and the sign-offs of the operators that the bundle in force trusts
-// cover the digest: a peer can pass on a step but can't make one.
-func (c *Core) verified(s Step) (*bundle.Signed, error) {
+// applyStep verifies a step and applies it to the bundle in force. The digest
+// covers the content, and the sign-offs of the operators that the bundle in force
+// trusts cover the digest: a peer can forward a step but can't forge one.
+func (c *Core) applyStep(s Step) (*bundle.Signed, error) {
 	if err := bundle.Verify(s.ID, s.Signatures, c.current.Bundle.NextTrust()); err != nil {
 		return nil, err
 	}
@@ -195,9 +198,9 @@
 	return &bundle.Signed{Bundle: *next, Signatures: s.Signatures}, nil
 }
 
-// onWhole begins a whole copy. Sections that the bundle in force has already, and those of
-// a copy that was not finished, are not asked for.
-func (c *Core) onWhole(now time.Time, from string, m Message) []Out {
+// onManifest starts a whole copy. It doesn't request sections that the bundle in force or an
+// unfinished copy already has.
+func (c *Core) onManifest(now time.Time, from string, m Message) []Out {
 	if m.Head.Version <= c.head.Version || m.Manifest == nil {
 		c.stats.Late++
 		return nil
@@ -208,28 +211,28 @@
 		return nil
 	}
 	if c.copy == nil || c.copy.head.Version <= m.Head.Version {
-		c.beginCopy(m)
+		c.startCopy(m)
 	}
 	c.pull = &pull{head: c.copy.head, from: from, since: now}
 	return c.continuePull(now)
 }
 
-// beginCopy collects what a manifest names, with what is here of it.
-func (c *Core) beginCopy(m Message) {
-	before := c.copy
+// startCopy starts the whole copy of a manifest with the sections that are here already.
+func (c *Core) startCopy(m Message) {
+	previous := c.copy
 	c.copy = &wholeCopy{head: m.Head, manifest: m.Manifest, signatures: m.Signatures, sections: map[bundle.Digest][]byte{}}
 	for digest, data := range c.ownSections() {
-		c.copy.take(digest, data)
+		c.copy.add(digest, data)
 	}
-	if before == nil {
+	if previous == nil {
 		return
 	}
-	for digest, data := range before.sections {
-		c.copy.take(digest, data)
+	for digest, data := range previous.sections {
+		c.copy.add(digest, data)
 	}
 }
 
-// ownSections are the sections of the bundle in force.
+// ownSections returns the sections of the bundle in force by digest.
 func (c *Core) ownSections() map[bundle.Digest][]byte {
 	if c.current == nil {
 		return map[bundle.Digest][]byte{}
@@ -241,12 +244,12 @@
 	return sections
 }
 
-// onWant answers with sections, as many as fit one message. The asker asks
-// again for the rest. Nothing is said about a version that is gone: the asker
-// hears of the newer one.
-func (c *Core) onWant(from string, m Message) []Out {
+// onSectionsRequest answers with sections, as many as fit one message but at least
+// one. The sender requests the rest again. If none is here, as the version was
+// replaced, it announces the version in force instead.
+func (c *Core) onSectionsRequest(from string, m Message) []Out {
 	sections := c.ownSections()
-	most := within(m.MaxBytes, maxPartBytes)
+	limit := limitTo(m.MaxBytes, maxSectionBytes)
 	var found [][]byte
 	size := 0
 	for _, digest := range m.Digests {
@@ -255,27 +258,27 @@
 			continue
 		}
 		size += len(data)
-		if len(found) > 0 && size > most {
+		if len(found) > 0 && size > limit {
 			break
 		}
 		found = append(found, data)
 	}
 	if len(found) == 0 {
-		return []Out{c.to(from, Message{Kind: KindAnnounce})}
+		return []Out{c.message(from, Message{Kind: KindAnnounce})}
 	}
-	return []Out{c.to(from, Message{Kind: KindSections, Sections: found})}
+	return []Out{c.message(from, Message{Kind: KindSections, Sections: found})}
 }
 
-// onParts takes in sections of the whole copy under way, also late ones: they were asked
-// for, and name themselves.
-func (c *Core) onParts(now time.Time, from string, m Message) []Out {
+// onSections adds sections to the whole copy in progress. Late ones count too: they were
+// requested, and their digest identifies them.
+func (c *Core) onSections(now time.Time, from string, m Message) []Out {
 	if c.copy == nil {
 		c.stats.Late++
 		return nil
 	}
 	progress := false
 	for _, data := range m.Sections {
-		named, isNew := c.copy.take(bundle.DigestOf(data), data)
+		named, isNew := c.copy.add(bundle.DigestOf(data), data)
 		if !named {
 			c.stats.Refused++
 		}
@@ -285,23 +288,23 @@
 		return nil
 	}
 	if c.pull == nil {
-		// The pull was given up a moment ago: the peer does answer.
+		// The pull has just timed out, but the peer does answer.
 		c.pull = &pull{head: c.copy.head, from: from, since: now}
 	}
-	c.pace.progressed(now.Sub(c.pull.since))
+	c.pacer.recordProgress(now.Sub(c.pull.since))
 	if c.pull.from != from && len(c.copy.missing()) > 0 {
-		// Another peer has been asked for the rest.
+		// The rest was requested from another peer.
 		return nil
 	}
 	return c.continuePull(now)
 }
 
-// continuePull asks for what is missing, or installs the bundle when nothing is.
+// continuePull requests missing sections, or installs the bundle if none is missing.
 func (c *Core) continuePull(now time.Time) []Out {
 	c.pull.since = now
 	w := c.copy
 	if missing := w.missing(); len(missing) > 0 {
-		return []Out{c.to(c.pull.from, Message{Kind: KindSectionsRequest, Digests: missing[:min(maxWant, len(missing))], MaxBytes: c.pace.bytes})}
+		return []Out{c.message(c.pull.from, Message{Kind: KindSectionsRequest, Digests: missing[:min(maxSectionsRequested, len(missing))], MaxBytes: c.pacer.bytes})}
 	}
 	c.pull, c.copy = nil, nil
 	b, err := bundle.Join(*w.manifest, w.sections)
--- a/bundle/spread/slow_test.go
+++ b/bundle/spread/slow_test.go
@@ -9,10 +9,10 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// An instance that restarted never had a bundle in force again: over its link, which carried
-// 32 to 256 KB a second, a part of the copy took longer than the second after which a pull was
-// given up, with all sections that had come. It asked another peer, from the beginning, and the
-// parts of the pulls before filled its link.
+// Guards against an instance that restarts and never has a bundle in force again. Over a link
+// of 32 to 256 KB a second, an answer takes longer than the pull's timeout of a second. Without
+// keeping the received sections the instance starts over with another peer, and the answers to
+// earlier pulls saturate its link.
 func TestWholeCopyArrivesOverSlowLinks(t *testing.T) {
 	for _, rate := range []int{32 << 10, 128 << 10, 256 << 10, 1 << 20} {
 		t.Run(fmt.Sprintf("%d KB a second", rate>>10), func(t *testing.T) {
@@ -25,7 +25,7 @@
 func testWholeCopyAt(t *testing.T, rate int) {
 	w := newWorld(11, 3, 3, 3)
 	base := bundletest.Large(bundletest.Size{Workspaces: 10_000, Targets: 50, Models: 36, Regions: 11, Zones: 40})
-	w.accept(base, noteChange)
+	w.accept(base, changeNote)
 	w.run(w.now.Add(60*time.Second), func() bool { return w.behind() == 0 })
 	if n := w.behind(); n > 0 {
 		t.Fatalf("%d behind at the start", n)
@@ -41,7 +41,7 @@
 	}
 	w.start(w.peer(slow))
 	w.rates[slow], w.received[slow] = rate, 0
-	// Versions go on meanwhile.
+	// New versions are accepted meanwhile.
 	started := w.now
 	needed := time.Duration(whole) * time.Second / time.Duration(rate)
 	for range 3 {
--- a/bundle/spread/spread_test.go
+++ b/bundle/spread/spread_test.go
@@ -12,25 +12,25 @@
 	_ "github.com/gullhaven/gullhaven/coord/fixedseed"
 )
 
-// Symptom: an instance goes back to an older bundle, has one that nobody
-// accepted, or stays behind after the network has healed.
-// Events: messages are lost, doubled and reordered; instances restart without
-// a bundle; regions are cut off while others accept; voters lag.
-// Cause: taking what a lagging peer has, a step on the wrong base, or a tree
-// whose lost messages nothing repairs.
+// Guards against an instance that goes back to an older bundle, has one that was
+// never accepted, or stays behind after the network has healed. Messages are lost,
+// duplicated and reordered, instances restart without a bundle, regions are
+// partitioned while others accept, and voters lag. It happens by installing the
+// version of a lagging peer, by a step on the wrong base, or if nothing repairs
+// the lost messages of the tree.
 func TestVersionsOnlyRiseAndAllCatchUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), 3, rapid.IntRange(1, 5).Draw(t, "per region"), 2)
 		t.Repeat(map[string]func(*rapid.T){
-			"accept":  func(t *rapid.T) { w.accept(bundletest.Sample(), noteChange) },
-			"step":    func(t *rapid.T) { w.disorder(t) },
+			"accept":  func(t *rapid.T) { w.accept(bundletest.Sample(), changeNote) },
+			"step":    func(t *rapid.T) { w.reorder(t) },
 			"tick":    func(t *rapid.T) { w.now = w.now.Add(TickInterval); w.tick() },
 			"restart": func(t *rapid.T) { w.start(rapid.SampledFrom(w.peers).Draw(t, "instance")) },
-			"cut":     func(t *rapid.T) { w.cut[rapid.SampledFrom(w.peers).Draw(t, "of").Region] = true },
-			"heal":    func(t *rapid.T) { clear(w.cut) },
+			"cut":     func(t *rapid.T) { w.isolated[rapid.SampledFrom(w.peers).Draw(t, "of").Region] = true },
+			"heal":    func(t *rapid.T) { clear(w.isolated) },
 			"":        func(t *rapid.T) { w.check(t) },
 		})
-		clear(w.cut)
+		clear(w.isolated)
 		w.inbox = nil // The last pushes may all be lost.
 		w.catchUpVoters()
 		w.run(w.now.Add(30*time.Second), func() bool { return w.behind() == 0 })
@@ -41,7 +41,7 @@
 	})
 }
 
-// catchUpVoters brings the replicated log's last entry to all voters.
+// catchUpVoters delivers the replicated log's last entry to all voters.
 func (w *world) catchUpVoters() {
 	for _, p := range w.peers {
 		if p.Voter && len(w.accepted) > 0 {
@@ -50,10 +50,10 @@
 	}
 }
 
-func noteChange(b *bundle.Bundle) { b.Note = fmt.Sprint("change ", b.Version) }
+func changeNote(b *bundle.Bundle) { b.Note = fmt.Sprint("change ", b.Version) }
 
-// disorder delivers, loses or doubles any message under way.
-func (w *world) disorder(t *rapid.T) {
+// reorder delivers, loses or duplicates any message in flight.
+func (w *world) reorder(t *rapid.T) {
 	if len(w.inbox) == 0 {
 		return
 	}
@@ -74,15 +74,15 @@
 	}
 }
 
-// Symptom: a change is reported as in force although one instance lacks it.
-// Events: nothing reaches the instance while a change is accepted.
-// Cause: counting members that have not told their version.
+// Guards against a change that is reported as in force although one instance
+// lacks it, as nothing reaches it. It happens if members count that have not
+// reported their version.
 func TestOneInstanceBehindIsNamed(t *testing.T) {
 	w := newWorld(5, 2, 4, 1)
-	w.accept(bundletest.Sample(), noteChange)
+	w.accept(bundletest.Sample(), changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return w.behind() == 0 })
-	w.cut["r01-03"] = true
-	w.accept(nil, noteChange)
+	w.isolated["r01-03"] = true
+	w.accept(nil, changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return false })
 	state := w.cores["r00-00"].Regions(w.now)[1]
 	if state.InForce != 3 || len(state.Behind) != 1 {
@@ -93,12 +93,12 @@
 	}
 }
 
-// Symptom: an instance runs a bundle that its operators did not sign.
-// Events: a peer sends a step with content of its own and the true sign-offs.
-// Cause: trusting a peer for what only operators may decide.
+// Guards against an instance that runs a bundle that its operators did not sign. A
+// peer sends a step with forged content and genuine sign-offs of another one; it
+// must not be trusted for what only operators may decide.
 func TestForgedStepsAreRefused(t *testing.T) {
 	w := newWorld(1, 1, 3, 1)
-	w.accept(bundletest.Sample(), noteChange)
+	w.accept(bundletest.Sample(), changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return w.behind() == 0 })
 	first := w.accepted[0].Bundle
 	forged := first
@@ -129,15 +129,15 @@
 	}
 }
 
-// Symptom: status says that a change is in force while a region lacks it, or
-// names no one behind. Events: a region is cut off during a roll, then heals.
-// Cause: taking acceptance for being in force.
+// Guards against a status that reports a change as in force while a partitioned
+// region lacks it, or that names no instance behind. It happens if an accepted
+// version counts as in force.
 func TestRegionsTellWhoIsBehind(t *testing.T) {
 	w := newWorld(3, 3, 3, 2)
-	w.accept(bundletest.Sample(), noteChange)
+	w.accept(bundletest.Sample(), changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return false })
-	w.cut["r02"] = true
-	w.accept(nil, noteChange)
+	w.isolated["r02"] = true
+	w.accept(nil, changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return false })
 	want := map[string]uint64{"r00": 2, "r01": 2, "r02": 1}
 	for _, s := range w.cores["r00-00"].Regions(w.now) {
@@ -149,7 +149,7 @@
 	if len(want) != 0 {
 		t.Errorf("no state of %v", want)
 	}
-	clear(w.cut)
+	clear(w.isolated)
 	w.run(w.now.Add(20*time.Second), func() bool { return false })
 	for _, s := range w.cores["r00-00"].Regions(w.now) {
 		if s.Newest.Version != 2 || s.InForce != 3 {
@@ -158,16 +158,16 @@
 	}
 }
 
-// Symptom: a change is in force everywhere within milliseconds, and told as in
-// force five seconds later. Events: a relay tells its region twice within one
-// second, first with members behind, then without. Cause: a wire form that cuts
-// times to seconds, by which the second state is no newer than the first.
+// Guards against a change that is in force everywhere within milliseconds but
+// reported five seconds later. A relay reports its region twice within a second,
+// first with members behind, then without; if the encoding truncates times to
+// seconds, the second state is no newer and is dropped.
 func TestInForceIsToldWithinASecond(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(seed, 3, 3, 3)
-		w.accept(bundletest.Sample(), noteChange)
+		w.accept(bundletest.Sample(), changeNote)
 		w.run(w.now.Add(10*time.Second), func() bool { return false })
-		w.accept(nil, noteChange)
+		w.accept(nil, changeNote)
 		w.run(w.now.Add(10*time.Second), func() bool { return w.behind() == 0 })
 		w.run(w.now.Add(time.Second), func() bool { return false })
 		for _, s := range w.cores["r00-00"].Regions(w.now) {
@@ -178,13 +178,13 @@
 	}
 }
 
-// TestCostAtSize prints the time to be in force and the bytes of one change.
-// The bounds are those of the brief's plan: 4 s, and 8 KB/s for an instance.
+// TestCostAtSize prints the time until one change is in force and its bytes. It
+// must take at most 4 s, and 8 KB/s for an instance.
 func TestCostAtSize(t *testing.T) {
 	for _, size := range []struct{ regions, perRegion int }{{3, 1}, {3, 3}, {5, 6}, {9, 10}, {11, 33}} {
 		w := newWorld(7, size.regions, size.perRegion, min(5, size.regions))
 		base := bundletest.Large(bundletest.Size{Workspaces: 200, Targets: 50, Models: 36, Regions: 11, Zones: 40})
-		w.accept(base, noteChange)
+		w.accept(base, changeNote)
 		w.run(w.now.Add(60*time.Second), func() bool { return w.behind() == 0 })
 		if w.behind() > 0 {
 			t.Fatalf("%d behind after a whole copy", w.behind())
--- a/bundle/spread/tree.go
+++ b/bundle/spread/tree.go
@@ -8,21 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// toChildren hands a new version to the instances that this one serves. Where
-// the change is known it is sent at once, which saves the round trip of asking.
-func (c *Core) toChildren(step *Step) []Out {
+// sendToChildren sends a new version to the instances that this one serves. A
+// known change is sent at once, which saves the round trip of a request; step is
+// nil if it isn't known.
+func (c *Core) sendToChildren(step *Step) []Out {
 	m := Message{Kind: KindAnnounce}
 	if step != nil && len(step.Delta) <= maxStepBytes {
 		m = Message{Kind: KindSteps, Steps: []Step{*step}}
 	}
 	var out []Out
 	for _, id := range c.children() {
-		out = append(out, c.to(id, m))
+		out = append(out, c.message(id, m))
 	}
 	return out
 }
 
-// children are the instances that this one serves with the version in force.
+// children returns the ids of the instances that this one sends the version in
+// force to.
 func (c *Core) children() []string {
 	ids := c.regionChildren()
 	if c.self.Voter {
@@ -32,9 +34,9 @@
 	return slices.Compact(ids)
 }
 
-// servedRelays are the relays of the regions that this voter serves, and those
-// of its own region. Each region has one voter by rendezvous hashing; a region
-// with a voter of its own is served by that one.
+// servedRelays returns the ids of the relays of the regions that this voter
+// serves, its own included. Rendezvous hashing assigns each region one voter; a
+// region that has voters is served by one of them.
 func (c *Core) servedRelays() []string {
 	var ids []string
 	for _, p := range c.peers {
@@ -45,7 +47,7 @@
 	return ids
 }
 
-// servesRegion reports whether this voter is the one for a region.
+// servesRegion reports whether this voter is the one that serves a region.
 func (c *Core) servesRegion(region string) bool {
 	best, local := c.self, c.self.Region == region
 	for _, p := range c.peers {
@@ -66,9 +68,9 @@
 	return best.ID == c.self.ID
 }
 
-// regionChildren is the place of this instance in the tree of its region. The
-// relays are its roots. The order of the others changes with each version, so
-// that no instance stands below a slow one for long.
+// regionChildren returns the children of this instance in the tree of its region.
+// The relays are the roots. The order of the others changes with each version, so
+// that no instance stays below a slow one for long.
 func (c *Core) regionChildren() []string {
 	order, roots := c.regionOrder()
 	self := slices.Index(order, c.self.ID)
@@ -83,7 +85,8 @@
 	return slices.Clone(order[first:last])
 }
 
-// regionOrder lists the members of the region, relays first.
+// regionOrder lists the members of the region, relays first, and the number of
+// relays, which are the roots of the tree.
 func (c *Core) regionOrder() (order []string, roots int) {
 	members := []Peer{c.self}
 	for _, p := range c.peers {
@@ -94,21 +97,21 @@
 	version := strconv.FormatUint(c.head.Version, 10)
 	slices.SortFunc(members, func(x, y Peer) int {
 		if x.Relay != y.Relay {
-			return -cmp.Compare(truth(x.Relay), truth(y.Relay))
+			return -cmp.Compare(boolToInt(x.Relay), boolToInt(y.Relay))
 		}
 		return cmp.Or(cmp.Compare(weight(version, x.ID), weight(version, y.ID)), cmp.Compare(x.ID, y.ID))
 	})
 	for _, m := range members {
 		order = append(order, m.ID)
-		roots += truth(m.Relay)
+		roots += boolToInt(m.Relay)
 	}
 	return order, roots
 }
 
-// weight is the rendezvous weight of an instance for a key.
+// weight returns the rendezvous weight of an instance for a key.
 func weight(key, id string) uint64 { return xxhash.Sum64String(key + "\x00" + id) }
 
-func truth(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/bundle/spread/world_test.go
+++ b/bundle/spread/world_test.go
@@ -9,8 +9,8 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// world is a set of instances, the accepted bundles and the messages between
-// them, in virtual time.
+// world simulates a set of instances, the accepted bundles and the messages between
+// instances, in virtual time.
 type world struct {
 	now       time.Time
 	rng       *rand.Rand
@@ -19,16 +19,16 @@
 	installed map[string]uint64
 	accepted  []*bundle.Signed
 	inbox     []flight
-	// cut holds regions that others can't reach, and instances that nothing reaches.
-	cut      map[string]bool
+	// isolated holds regions that others can't reach, and instances that nothing reaches.
+	isolated map[string]bool
 	messages int
 	bytes    int
 	failure  string
-	// rates are the bytes a second that the links to some instances carry, and free is when
-	// what was sent to them has passed; links to others take no time.
-	rates map[string]int
-	free  map[string]time.Time
-	// received are the bytes that were sent to each instance.
+	// rates are the bytes a second that the links to some instances carry, and freeAt is when
+	// everything sent to them is transmitted. Transmission to others takes no time.
+	rates  map[string]int
+	freeAt map[string]time.Time
+	// received counts the bytes sent to each instance.
 	received map[string]int
 }
 
@@ -40,8 +40,8 @@
 
 func newWorld(seed uint64, regions, perRegion, voters int) *world {
 	w := &world{
-		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 1)), cut: map[string]bool{},
-		cores: map[string]*Core{}, installed: map[string]uint64{}, rates: map[string]int{}, free: map[string]time.Time{},
+		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 1)), isolated: map[string]bool{},
+		cores: map[string]*Core{}, installed: map[string]uint64{}, rates: map[string]int{}, freeAt: map[string]time.Time{},
 		received: map[string]int{},
 	}
 	for r := range regions {
@@ -58,7 +58,7 @@
 	return w
 }
 
-// start makes the instance anew, without a bundle.
+// start starts or restarts an instance without a bundle.
 func (w *world) start(p Peer) {
 	c := New(p, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
 	var view []Peer
@@ -72,7 +72,8 @@
 	w.installed[p.ID] = 0
 }
 
-// accept makes the next bundle, with change applied to the sample or the last.
+// accept makes the next bundle by applying change to the last one, or to base if there is
+// none, and offers it to all voters that aren't isolated.
 func (w *world) accept(base *bundle.Bundle, change func(*bundle.Bundle)) {
 	var next bundle.Bundle
 	if base != nil {
@@ -91,7 +92,7 @@
 	change(&next)
 	w.accepted = append(w.accepted, bundletest.Sign(&next, "ayu", "budi"))
 	for _, p := range w.peers {
-		if p.Voter && !w.cut[p.Region] {
+		if p.Voter && !w.isolated[p.Region] {
 			w.offer(p.ID)
 		}
 	}
@@ -102,11 +103,11 @@
 	if err != nil {
 		panic(err)
 	}
-	w.after(id, out)
+	w.handleOutput(id, out)
 }
 
-// after sends what a step returned and checks what it installed.
-func (w *world) after(id string, out []Out) {
+// handleOutput sends the messages that a call of a Core returned and checks what it installed.
+func (w *world) handleOutput(id string, out []Out) {
 	if s := w.cores[id].TakeInstalled(); s != nil {
 		w.checkInstalled(id, s)
 	}
@@ -118,25 +119,25 @@
 		w.messages++
 		w.bytes += len(data)
 		w.received[o.To] += len(data)
-		w.inbox = append(w.inbox, flight{at: w.passed(o.To, len(data)).Add(w.delay(id, o.To)), from: id, to: o.To, data: data})
+		w.inbox = append(w.inbox, flight{at: w.transmittedAt(o.To, len(data)).Add(w.delay(id, o.To)), from: id, to: o.To, data: data})
 	}
 }
 
-// passed is when bytes that are sent now have passed the link to an instance.
-func (w *world) passed(to string, bytes int) time.Time {
+// transmittedAt returns when bytes that are sent now have passed the link to an instance.
+func (w *world) transmittedAt(to string, bytes int) time.Time {
 	rate := w.rates[to]
 	if rate == 0 {
 		return w.now
 	}
 	begin := w.now
-	if w.free[to].After(begin) {
-		begin = w.free[to]
+	if w.freeAt[to].After(begin) {
+		begin = w.freeAt[to]
 	}
-	w.free[to] = begin.Add(time.Duration(bytes) * time.Second / time.Duration(rate))
-	return w.free[to]
+	w.freeAt[to] = begin.Add(time.Duration(bytes) * time.Second / time.Duration(rate))
+	return w.freeAt[to]
 }
 
-// checkInstalled notes a version that goes back or was never accepted.
+// checkInstalled records a failure for a version that goes back or was never accepted.
 func (w *world) checkInstalled(id string, s *bundle.Signed) {
 	if s.Bundle.Version <= w.installed[id] {
 		w.failure = fmt.Sprintf("%s went from version %d to %d", id, w.installed[id], s.Bundle.Version)
@@ -154,7 +155,7 @@
 
 func (w *world) region(id string) string { return id[:3] }
 
-// delay is half a millisecond within a region and eighty between two.
+// delay returns half a millisecond within a region and 80 ms between two.
 func (w *world) delay(from, to string) time.Duration {
 	if w.region(from) == w.region(to) {
 		return 500 * time.Microsecond
@@ -162,20 +163,20 @@
 	return 80 * time.Millisecond
 }
 
-// deliver hands over one message unless its way is cut.
+// deliver delivers one message unless its sender or receiver is isolated.
 func (w *world) deliver(f flight) {
 	crosses := w.region(f.from) != w.region(f.to)
-	if w.cut[f.to] || crosses && (w.cut[w.region(f.from)] || w.cut[w.region(f.to)]) {
+	if w.isolated[f.to] || crosses && (w.isolated[w.region(f.from)] || w.isolated[w.region(f.to)]) {
 		return
 	}
 	m, err := Decode(f.data)
 	if err != nil {
 		panic(err)
 	}
-	w.after(f.to, w.cores[f.to].Step(w.now, f.from, m))
+	w.handleOutput(f.to, w.cores[f.to].Step(w.now, f.from, m))
 }
 
-// run delivers in the order of time until done or until the end is reached.
+// run delivers messages in the order of time until done returns true or end is reached.
 func (w *world) run(end time.Time, done func() bool) {
 	nextTick := w.now.Add(TickInterval)
 	for w.now.Before(end) && !done() {
@@ -206,11 +207,11 @@
 
 func (w *world) tick() {
 	for _, p := range w.peers {
-		w.after(p.ID, w.cores[p.ID].Tick(w.now))
+		w.handleOutput(p.ID, w.cores[p.ID].Tick(w.now))
 	}
 }
 
-// behind counts the instances without the newest accepted version.
+// behind returns the number of instances without the newest accepted version.
 func (w *world) behind() int {
 	n := 0
 	for _, p := range w.peers {
