--- a/bundle/acceptance/bench_test.go
+++ b/bundle/acceptance/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// BenchmarkChange measures one changed workspace in a bundle of full size from
-// proposal to acceptance, and the sizes of what the log keeps.
+// BenchmarkChange measures a change of one workspace in a bundle of full size,
+// from proposal to acceptance, and the sizes of commands and snapshot.
 func BenchmarkChange(b *testing.B) {
 	full := bundletest.Large(bundletest.FullSize)
 	machine := acceptance.New()
--- a/bundle/acceptance/command.go
+++ b/bundle/acceptance/command.go
@@ -7,18 +7,19 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// command is one entry of the replicated log: a signed bundle, as a delta
-// where its parent is known. A whole bundle of 10,000 workspaces is megabytes,
-// too much for each of 2,500 changes a day over a slow link.
+// command is one entry of the replicated log: a signed bundle, as a delta if its
+// parent is known. A whole bundle of 10,000 workspaces takes megabytes, too much
+// for each of 2,500 changes a day over a slow link.
 type command struct {
 	Identity   bundle.Identity    `json:"id"`
 	Signatures []bundle.Signature `json:"signatures"`
-	// Delta leads from the parent to the bundle; empty where Whole is given.
+	// Delta turns the parent into the bundle; empty if Whole is set.
 	Delta []byte `json:"delta,omitempty"`
 	Whole []byte `json:"whole,omitempty"`
 }
 
-// codec writes commands and snapshots alike on every voter.
+// codec encodes commands and snapshots deterministically, so that every voter
+// writes the same bytes.
 var codec = newCodec()
 
 func newCodec() cbor.EncMode {
@@ -29,7 +30,7 @@
 	return mode
 }
 
-// reader refuses what codec can't have written.
+// reader refuses encodings that codec can't have written.
 var reader = newReader()
 
 func newReader() cbor.DecMode {
@@ -44,8 +45,8 @@
 	return mode
 }
 
-// Command encodes a proposal for the log. It holds a delta where the bundle in
-// force at this instance is the parent, and else the whole bundle.
+// Command encodes a proposal for the log. It contains a delta if the bundle in
+// force at this instance is the parent, and the whole bundle otherwise.
 func (m *Machine) Command(s *bundle.Signed) ([]byte, error) {
 	id, err := s.Bundle.Identity()
 	if err != nil {
@@ -63,7 +64,7 @@
 	return codec.Marshal(c)
 }
 
-// setDelta encodes the change.
+// setDelta encodes the change from one bundle to another.
 func (c *command) setDelta(from, to *bundle.Bundle) error {
 	delta, err := bundle.DeltaOf(from, to)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return err
 }
 
-// decodeCommand reads what Command wrote.
+// decodeCommand decodes what Command returned.
 func decodeCommand(data []byte) (*command, error) {
 	c := new(command)
 	if err := reader.Unmarshal(data, c); err != nil {
@@ -82,9 +83,10 @@
 	return c, nil
 }
 
-// bundle rebuilds the signed bundle and verifies that it is the named one.
-func (c *command) bundle(inForce *bundle.Signed) (*bundle.Signed, error) {
-	next, err := c.rebuild(inForce)
+// verifiedBundle decodes the signed bundle and verifies that its content has the
+// identity that the command claims. It doesn't verify the sign-offs.
+func (c *command) verifiedBundle(inForce *bundle.Signed) (*bundle.Signed, error) {
+	next, err := c.decodeBundle(inForce)
 	if err != nil {
 		return nil, err
 	}
@@ -98,8 +100,8 @@
 	return &bundle.Signed{Bundle: *next, Signatures: c.Signatures}, nil
 }
 
-// rebuild decodes the whole bundle or applies the delta.
-func (c *command) rebuild(inForce *bundle.Signed) (*bundle.Bundle, error) {
+// decodeBundle decodes the whole bundle or applies the delta to the one in force.
+func (c *command) decodeBundle(inForce *bundle.Signed) (*bundle.Bundle, error) {
 	if len(c.Delta) == 0 {
 		b := new(bundle.Bundle)
 		return b, b.UnmarshalBinary(c.Whole)
--- a/bundle/acceptance/machine.go
+++ b/bundle/acceptance/machine.go
@@ -1,9 +1,9 @@
 // Package acceptance is the replicated state machine that accepts bundles.
 // Every voter applies the same commands in the order of the replicated log and
-// comes to the same answers: one winner for each version, a resend gets the
-// first answer, and no version is ever taken back.
+// gets the same results: each version has one winner, a resend gets the first
+// result, and no version is ever revoked.
 //
-// It is a plain type without input or output; the host drives it from the log.
+// It does no input or output; the host calls it from the log.
 package acceptance
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// ErrApplied marks a command whose index was applied before. The answer it
-// gave then can be had again by proposing the same bundle.
+// ErrApplied marks a command whose index was applied before. To get its result
+// again, propose the same bundle.
 const ErrApplied = errors.ConstError("log index is applied already")
 
-// ErrSnapshot marks a snapshot that Snapshot can't have written.
+// ErrSnapshot marks a damaged snapshot: one that Snapshot can't have written.
 const ErrSnapshot = errors.ConstError("snapshot of accepted bundles is damaged")
 
 // Machine keeps the digests of accepted versions and the latest signed bundle.
 // It is not safe for concurrent use.
 type Machine struct {
-	// applied is the last log index.
+	// applied is the last applied log index.
 	applied uint64
 	// accepted is nil before the first bundle.
 	accepted *bundle.AcceptanceState
@@ -30,19 +30,19 @@
 	current *bundle.Signed
 }
 
-// New is a machine before the first command.
+// New makes an empty machine.
 func New() *Machine {
 	return &Machine{}
 }
 
-// Applied is the log index of the last command.
+// Applied returns the log index of the last command; 0 before the first.
 func (m *Machine) Applied() uint64 { return m.applied }
 
-// InForce is the latest accepted bundle, nil before the first. It must not be
-// changed.
+// InForce returns the latest accepted bundle, nil before the first. The caller
+// must not change it.
 func (m *Machine) InForce() *bundle.Signed { return m.current }
 
-// Identity of the bundle in force; zero before the first.
+// Identity returns the identity of the bundle in force; zero before the first.
 func (m *Machine) Identity() bundle.Identity {
 	if m.accepted == nil {
 		return bundle.Identity{}
@@ -51,9 +51,9 @@
 	return bundle.Identity{Version: version, Parent: m.current.Bundle.Parent, Digest: digest}
 }
 
-// Apply runs the command at a log index. The answer depends on the commands so
-// far alone. The error is ErrApplied for an index that isn't new, which
-// happens when a log is read again after a restart.
+// Apply runs the command at a log index. The result depends only on this and the
+// earlier commands. The error is ErrApplied for an index that isn't new, which
+// happens when the log is replayed after a restart.
 //
 // Apply does not run bundle.Check: its rules may differ between releases, and
 // voters of two releases would then disagree for good. Precheck runs it before
@@ -70,13 +70,13 @@
 	if result, decided := m.accepted.Compare(c.Identity); decided {
 		return result, nil
 	}
-	next, err := c.bundle(m.current)
+	next, err := c.verifiedBundle(m.current)
 	if err != nil {
 		return m.invalid(c.Identity, err), nil
 	}
 	result := m.accepted.CheckSignOffs(c.Identity, next)
 	if result.Accepted() {
-		err = m.install(c.Identity, next)
+		err = m.setCurrent(c.Identity, next)
 	}
 	if err != nil {
 		return m.invalid(c.Identity, err), nil
@@ -84,7 +84,7 @@
 	return result, nil
 }
 
-// invalid is the answer to a command that holds no usable bundle.
+// invalid makes the result of a command without a usable bundle.
 func (m *Machine) invalid(id bundle.Identity, err error) bundle.Result {
 	inForce := m.Identity()
 	return bundle.Result{
@@ -94,8 +94,8 @@
 	}
 }
 
-// install makes a bundle the one in force.
-func (m *Machine) install(id bundle.Identity, next *bundle.Signed) error {
+// setCurrent puts an accepted bundle in force.
+func (m *Machine) setCurrent(id bundle.Identity, next *bundle.Signed) error {
 	accepted := m.accepted
 	if accepted == nil {
 		accepted = &bundle.AcceptanceState{}
@@ -109,17 +109,19 @@
 	return nil
 }
 
-// Precheck judges a bundle before it is proposed. The proposer calls it on the
-// leader after a linearizable read, so that each refusal is final. decided
-// false means: propose Command. bootstrap is who may sign version 1 by the
-// settings; Apply can't use settings, as those of two voters may differ.
+// Precheck checks a bundle before it is proposed. The proposer calls it on the
+// leader after a linearizable read, so that each refusal is final. If decided is
+// false, the proposer must propose Command; otherwise result is the answer.
+// bootstrap is the trust of the settings, which version 1 must satisfy; Apply
+// can't use settings, as those of two voters may differ. The error is that of
+// encoding the bundle.
 func (m *Machine) Precheck(s *bundle.Signed, bootstrap bundle.Trust) (result bundle.Result, decided bool, err error) {
 	result, err = bundle.Accept(m.accepted, s)
 	if err != nil {
 		return bundle.Result{}, false, err
 	}
 	id := bundle.Identity{Version: result.Version, Parent: s.Bundle.Parent, Digest: result.Digest}
-	if !result.Accepted() || m.holds(id) {
+	if !result.Accepted() || m.wasAccepted(id) {
 		return result, true, nil
 	}
 	if m.accepted != nil {
@@ -133,8 +135,9 @@
 	return result, false, nil
 }
 
-// holds is true for a bundle that was accepted before.
-func (m *Machine) holds(id bundle.Identity) bool {
+// wasAccepted reports whether a bundle was accepted before and is still in the
+// history.
+func (m *Machine) wasAccepted(id bundle.Identity) bool {
 	if m.accepted == nil {
 		return false
 	}
--- a/bundle/acceptance/machine_test.go
+++ b/bundle/acceptance/machine_test.go
@@ -14,19 +14,19 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// Symptom: two regions run different bundles under one version, or an operator
-// is told "accepted" and later finds other content. Events: operators race with
-// equal versions, base on old parents, resend after lost answers, skip versions
-// or sign too little, while replicas restart from snapshots and read parts of
-// the log again. Cause, where it happens: acceptance that isn't one
-// compare-and-set over a history that all replicas share.
+// Guards against two regions that run different bundles under one version, and
+// against an "accepted" bundle that is later replaced by other content. Operators
+// race with equal versions, use old parents, resend after lost answers, skip
+// versions or lack sign-offs, while replicas restart from snapshots and replay
+// parts of the log. It happens if acceptance isn't one compare-and-set over a
+// history that all replicas share.
 func TestRacesAndResends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
 		t.Repeat(map[string]func(*rapid.T){
-			"roll":    w.roll,
+			"roll":    w.proposeBundle,
 			"resend":  w.resend,
-			"garbage": w.garbage,
+			"garbage": w.proposeGarbage,
 			"restart": w.restart,
 			"":        w.check,
 		})
@@ -35,19 +35,19 @@
 
 const replicas = 3
 
-// rolled is a command in the log and what was answered.
-type rolled struct {
+// proposal is a command in the log and its result.
+type proposal struct {
 	signed  *bundle.Signed
 	id      bundle.Identity
 	command []byte
 	result  bundle.Result
 }
 
-// world is a log, its replicas and an independent record of winners.
+// world holds a log, its replicas and an independent record of winners.
 type world struct {
 	log      [][]byte
 	machines [replicas]*acceptance.Machine
-	sent     []rolled
+	sent     []proposal
 	winners  map[uint64]bundle.Digest
 	last     uint64
 }
@@ -60,7 +60,7 @@
 	return w
 }
 
-// parent is any accepted bundle, mostly the last one.
+// parent draws an accepted bundle, mostly the last one.
 func (w *world) parent(t *rapid.T) (uint64, bundle.Digest) {
 	if w.last == 0 {
 		return 0, ""
@@ -70,8 +70,8 @@
 	return version, w.winners[version]
 }
 
-// roll proposes some bundle at one of the replicas.
-func (w *world) roll(t *rapid.T) {
+// proposeBundle proposes a random bundle at one of the replicas.
+func (w *world) proposeBundle(t *rapid.T) {
 	version, parent := w.parent(t)
 	b := bundletest.Sample()
 	b.Version = version + rapid.SampledFrom([]uint64{1, 1, 1, 1, 2}).Draw(t, "step")
@@ -89,10 +89,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.propose(t, rolled{signed: signed, id: id, command: command})
+	w.propose(t, proposal{signed: signed, id: id, command: command})
 }
 
-// resend puts an earlier bundle into the log again, encoded as then or anew.
+// resend proposes an earlier bundle again, as the same command or encoded again.
 func (w *world) resend(t *rapid.T) {
 	if len(w.sent) == 0 {
 		t.Skip("nothing sent yet")
@@ -108,8 +108,8 @@
 	w.propose(t, again)
 }
 
-// garbage is what a faulty proposer may put into the log.
-func (w *world) garbage(t *rapid.T) {
+// proposeGarbage proposes what a faulty proposer may write to the log.
+func (w *world) proposeGarbage(t *rapid.T) {
 	command := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes")
 	if len(w.sent) > 0 && rapid.Bool().Draw(t, "cut") {
 		whole := rapid.SampledFrom(w.sent).Draw(t, "sent").command
@@ -122,12 +122,12 @@
 	if after != before && (!result.Accepted() || after.Digest != result.Digest) {
 		t.Fatalf("garbage moved %v to %v", before, after)
 	}
-	if after != before { // The damage left version, parent, digest and enough sign-offs whole.
+	if after != before { // The damage left version, parent, digest and enough sign-offs intact.
 		w.winners[after.Version], w.last = after.Digest, after.Version
 	}
 }
 
-// apply appends to the log; all replicas must answer alike.
+// apply appends a command to the log; all replicas must return the same result.
 func (w *world) apply(t *rapid.T, command []byte) bundle.Result {
 	w.log = append(w.log, command)
 	index := uint64(len(w.log))
@@ -147,8 +147,8 @@
 	return first
 }
 
-// propose applies and compares with what must come out.
-func (w *world) propose(t *rapid.T, r rolled) {
+// propose applies a command and compares the result with the expected one.
+func (w *world) propose(t *rapid.T, r proposal) {
 	winner, decided := w.winners[r.id.Version]
 	r.result = w.apply(t, r.command)
 	switch {
@@ -170,8 +170,9 @@
 	w.sent = append(w.sent, r)
 }
 
-// mustBeSigned counts sign-offs against the bundle before.
-func (w *world) mustBeSigned(t *rapid.T, r rolled) {
+// mustBeSigned compares the number of sign-offs with what the previous bundle
+// requires.
+func (w *world) mustBeSigned(t *rapid.T, r proposal) {
 	needed := r.signed.Bundle.SignOffs
 	for _, earlier := range w.sent {
 		if w.last > 0 && earlier.id.Digest == w.winners[w.last] {
@@ -183,8 +184,8 @@
 	}
 }
 
-// restart takes a replica from its snapshot, or from an empty disk through the
-// whole log, and reads some of the log twice.
+// restart restarts a replica from its snapshot or from an empty disk, and replays
+// the whole log.
 func (w *world) restart(t *rapid.T) {
 	i := rapid.IntRange(0, replicas-1).Draw(t, "replica")
 	fresh := acceptance.New()
@@ -207,7 +208,7 @@
 	w.machines[i] = fresh
 }
 
-// check wants one bundle in force everywhere, the last winner.
+// check requires that the last winner is in force at all replicas.
 func (w *world) check(t *rapid.T) {
 	for i, machine := range w.machines {
 		id := machine.Identity()
@@ -223,7 +224,8 @@
 	}
 }
 
-// Symptom: somebody who is no operator forms the cluster's first bundle.
+// Guards against a first bundle that is signed only by its own operators and not
+// by those of the settings.
 func TestFirstBundleNeedsSettings(t *testing.T) {
 	b := bundletest.Sample()
 	b.Operators, b.SignOffs = []bundle.Operator{bundletest.Operator("mallory")}, 1
@@ -243,8 +245,8 @@
 	}
 }
 
-// Symptom: after a restart an instance runs a bundle that nobody accepted.
-// Cause: a snapshot that was damaged on the disk and taken all the same.
+// Guards against an instance that restarts with a bundle that was never accepted,
+// from a snapshot that was damaged on disk.
 func TestDamagedSnapshot(t *testing.T) {
 	machine := acceptance.New()
 	command, err := machine.Command(bundletest.Sign(bundletest.Sample(), "ayu", "budi"))
@@ -270,8 +272,8 @@
 	}
 }
 
-// Symptom: a resend from long ago is accepted as new, or history grows without
-// bound.
+// Guards against a history that grows without bound, and against a resend of a
+// version that is no longer kept and is accepted as new.
 func TestHistoryIsBounded(t *testing.T) {
 	var history bundle.History
 	const surplus = 3
@@ -293,9 +295,9 @@
 	}
 }
 
-// Symptom: the bundle in force is not the one that operators signed. Events: a
-// faulty voter proposes other content under an identity and sign-offs that are
-// genuine. Cause: a command whose claimed digest is believed.
+// Guards against a bundle in force that operators didn't sign. A faulty voter
+// proposes other content with a genuine identity and sign-offs; it is accepted if
+// the claimed digest isn't verified.
 func TestContentMustMatchDigest(t *testing.T) {
 	signed := bundletest.Sign(bundletest.Sample(), "ayu", "budi")
 	machine := acceptance.New()
--- a/bundle/acceptance/snapshot.go
+++ b/bundle/acceptance/snapshot.go
@@ -9,16 +9,16 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// snapshot is all state of a machine.
+// snapshot is the encoded form of a machine's whole state.
 type snapshot struct {
 	Applied uint64         `json:"applied"`
 	History bundle.History `json:"history"`
-	// Bundle in force and its sign-offs; empty before the first.
+	// Bundle is the one in force and Signatures its sign-offs; empty before the first.
 	Bundle     []byte             `json:"bundle,omitempty"`
 	Signatures []bundle.Signature `json:"signatures,omitempty"`
 }
 
-// Snapshot encodes the whole state, after a SHA-256 sum of it.
+// Snapshot encodes the whole state, preceded by its SHA-256 sum.
 func (m *Machine) Snapshot() ([]byte, error) {
 	s := snapshot{Applied: m.applied}
 	if m.accepted != nil {
@@ -38,8 +38,8 @@
 	return append(sum[:], data...), nil
 }
 
-// unseal verifies the sum before the content.
-func unseal(data []byte) ([]byte, error) {
+// verifySum verifies the sum of a snapshot and returns the content.
+func verifySum(data []byte) ([]byte, error) {
 	if len(data) < sha256.Size {
 		return nil, errors.Annotatef(ErrSnapshot, "only %d bytes", len(data))
 	}
@@ -50,15 +50,15 @@
 	return content, nil
 }
 
-// damaged makes an error one of ErrSnapshot.
+// damaged wraps an error so that it is an ErrSnapshot.
 func damaged(err error) error {
 	return errors.Annotate(errors.WithType(err, ErrSnapshot), string(ErrSnapshot))
 }
 
-// Restore makes the machine of a snapshot. Damage is an error that wraps
-// ErrSnapshot and never another bundle in force.
+// Restore makes a machine from a snapshot. The error for a damaged one wraps
+// ErrSnapshot; damage never results in another bundle in force.
 func Restore(data []byte) (*Machine, error) {
-	content, err := unseal(data)
+	content, err := verifySum(data)
 	if err != nil {
 		return nil, err
 	}
