--- a/bundle/strict/check.go
+++ b/bundle/strict/check.go
@@ -11,26 +11,26 @@
 // MaxIDLength bounds ids, in bytes.
 const MaxIDLength = 48
 
-// idForm keeps ids fit for paths, headers, file names and metric names.
-var idForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
+// idPattern matches ids that are safe in paths, headers, file names and metric names.
+var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// CheckID refuses what is no id: 1 to 48 letters, digits, "-", ".", "_", the
-// first a letter or digit.
+// CheckID returns an error unless id has 1 to MaxIDLength letters, digits, "-",
+// ".", "_" and begins with a letter or digit.
 func CheckID(id string) error {
 	switch {
 	case id == "":
 		return errors.New("is missing")
 	case len(id) > MaxIDLength:
 		return errors.Errorf("is %d bytes long, but at most %d are allowed", len(id), MaxIDLength)
-	case !idForm.MatchString(id):
+	case !idPattern.MatchString(id):
 		return errors.Errorf("%q is no id; use letters, digits, \"-\", \".\", \"_\", the first a letter or digit", id)
 	}
 	return nil
 }
 
-// CheckAddress refuses what is not IP:port with a port above 0. Names are
-// refused, as processes talk by IP numbers and must start without a name
-// service.
+// CheckAddress returns an error unless address is IP:port with a port above 0.
+// Host names are refused, as processes address each other by IP and must start
+// without a name service.
 func CheckAddress(address string) error {
 	if address == "" {
 		return errors.New("is missing; give IP:port")
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// describeAddress says what is wrong with an address that can't be parsed.
+// describeAddress returns the error for an address that can't be parsed.
 func describeAddress(address string) error {
 	colon := strings.LastIndexByte(address, ':')
 	if colon < 0 {
--- a/bundle/strict/decode.go
+++ b/bundle/strict/decode.go
@@ -13,15 +13,15 @@
 	"github.com/juju/errors"
 )
 
-// MaxDepth bounds the nesting of a document, far above that of our types.
+// MaxDepth bounds the nesting of a document; the types decoded here need far less.
 const MaxDepth = 64
 
-// MaxProblems bounds the list for a document that is wrong throughout.
+// MaxProblems bounds the number of problems reported for one document.
 const MaxProblems = 1000
 
-// Decode reads one JSON document over the struct that into points to; fields
-// that the document leaves out keep their values. The error is of type
-// Problems. On an error *into is unchanged.
+// Decode decodes one JSON document into the struct that into points to. Fields
+// that the document omits keep their values. The error is of type Problems; on
+// an error *into is unchanged.
 func Decode(data []byte, into any) error {
 	if !utf8.Valid(data) {
 		return Problems{{Message: "not valid UTF-8"}}
@@ -31,10 +31,10 @@
 	target := reflect.TypeOf(into).Elem()
 	err := w.value("", target, 0)
 	if err == nil {
-		err = w.end()
+		err = w.expectEnd()
 	}
 	if err != nil {
-		w.problems.Add("", "%s", w.syntax(err))
+		w.problems.Add("", "%s", w.syntaxMessage(err))
 	}
 	if len(w.problems) > 0 {
 		return w.problems
@@ -48,18 +48,18 @@
 	return nil
 }
 
-// errTooMany ends the walk of a document that is wrong throughout.
+// errTooMany ends the walk of a document with more than MaxProblems problems.
 var errTooMany = errors.Errorf("more than %d faults, the rest is not listed", MaxProblems)
 
-// walker compares the tokens of a document with a type.
+// walker compares the tokens of a document with a Go type.
 type walker struct {
 	decoder  *json.Decoder
 	data     []byte
 	problems Problems
 }
 
-// add records a fault.
-func (w *walker) add(path, format string, args ...any) error {
+// addProblem records a problem. It returns errTooMany if there are too many.
+func (w *walker) addProblem(path, format string, args ...any) error {
 	if len(w.problems) >= MaxProblems {
 		return errTooMany
 	}
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// value consumes one value; t is nil for a value that is skipped. Errors are
-// faults of syntax, which end the walk.
+// value consumes one value. t is its type, nil to skip the value. An error ends
+// the walk: a syntax error, too deep nesting or errTooMany.
 func (w *walker) value(path string, t reflect.Type, depth int) error {
 	if depth > MaxDepth {
 		return errors.Errorf("nested deeper than %d", MaxDepth)
@@ -91,10 +91,10 @@
 	}
 }
 
-// object consumes the fields and the closing brace.
+// object consumes the fields of an object and the closing brace.
 func (w *walker) object(path string, t reflect.Type, depth int) error {
 	if t != nil && t.Kind() != reflect.Struct {
-		if err := w.add(path, "is an object, but must be %s", describe(t)); err != nil {
+		if err := w.addProblem(path, "is an object, but must be %s", typeName(t)); err != nil {
 			return err
 		}
 		t = nil
@@ -119,21 +119,21 @@
 	return err
 }
 
-// field is the type of the named field, or nil where its value is skipped.
+// field returns the type of the named field, or nil if its value is to be skipped.
 func (w *walker) field(path string, t reflect.Type, name string, repeated bool) (reflect.Type, error) {
 	if t == nil {
 		return nil, nil
 	}
 	if repeated {
-		return nil, w.add(Field(path, name), "stands twice")
+		return nil, w.addProblem(Field(path, name), "stands twice")
 	}
-	if fieldType, known := fieldNamed(t, name); known {
+	if fieldType, known := fieldByName(t, name); known {
 		return fieldType, nil
 	}
-	return nil, w.add(Field(path, name), "unknown field; known are %s", strings.Join(names(t), ", "))
+	return nil, w.addProblem(Field(path, name), "unknown field; known are %s", strings.Join(fieldNames(t), ", "))
 }
 
-// list consumes the elements and the closing bracket.
+// list consumes the elements of a list and the closing bracket.
 func (w *walker) list(path string, t reflect.Type, depth int) error {
 	var element reflect.Type
 	switch {
@@ -141,7 +141,7 @@
 	case t.Kind() == reflect.Slice:
 		element = t.Elem()
 	default:
-		if err := w.add(path, "is a list, but must be %s", describe(t)); err != nil {
+		if err := w.addProblem(path, "is a list, but must be %s", typeName(t)); err != nil {
 			return err
 		}
 	}
@@ -154,25 +154,25 @@
 	return err
 }
 
-// scalar compares a string, number, truth value or null with the type.
+// scalar compares a string, number, boolean or null with the type.
 func (w *walker) scalar(path string, t reflect.Type, token json.Token) error {
 	if t == nil {
 		return nil
 	}
 	if token == nil {
-		return w.add(path, "is null, but must be %s; leave the field out instead", describe(t))
+		return w.addProblem(path, "is null, but must be %s; leave the field out instead", typeName(t))
 	}
 	if !fits(t, token) {
 		shown, err := json.Marshal(token)
 		if err != nil {
 			return err
 		}
-		return w.add(path, "is %s, but must be %s", shorten(string(shown)), describe(t))
+		return w.addProblem(path, "is %s, but must be %s", truncate(string(shown)), typeName(t))
 	}
 	return nil
 }
 
-// fits is true where a field of type t can hold the token as it is written.
+// fits reports whether a field of type t can hold the token as it is written.
 func fits(t reflect.Type, token json.Token) bool {
 	number, isNumber := token.(json.Number)
 	switch t.Kind() {
@@ -196,8 +196,8 @@
 	}
 }
 
-// end refuses bytes after the document.
-func (w *walker) end() error {
+// expectEnd returns an error if anything follows the document.
+func (w *walker) expectEnd() error {
 	_, err := w.decoder.Token()
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -208,8 +208,8 @@
 	return err
 }
 
-// syntax adds line and column to a fault of syntax.
-func (w *walker) syntax(err error) string {
+// syntaxMessage adds line and column to an error that ended the walk.
+func (w *walker) syntaxMessage(err error) string {
 	offset := int(w.decoder.InputOffset())
 	var fault *json.SyntaxError
 	if errors.As(err, &fault) {
@@ -224,8 +224,8 @@
 	return fmt.Sprintf("line %d, column %d: %v", line, column, err)
 }
 
-// fieldNamed finds the field with exactly this JSON name.
-func fieldNamed(t reflect.Type, name string) (reflect.Type, bool) {
+// fieldByName returns the type of the field with exactly this JSON name.
+func fieldByName(t reflect.Type, name string) (reflect.Type, bool) {
 	for i := range t.NumField() {
 		if jsonName(t.Field(i)) == name {
 			return t.Field(i).Type, true
@@ -234,8 +234,8 @@
 	return nil, false
 }
 
-// names of all fields.
-func names(t reflect.Type) []string {
+// fieldNames returns the JSON names of all fields.
+func fieldNames(t reflect.Type) []string {
 	all := make([]string, t.NumField())
 	for i := range all {
 		all[i] = jsonName(t.Field(i))
@@ -243,7 +243,7 @@
 	return all
 }
 
-// jsonName is the name in the field's tag.
+// jsonName returns the JSON name of a field.
 func jsonName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	if name == "" {
@@ -252,19 +252,19 @@
 	return name
 }
 
-// maxShown bounds the part of a wrong value that a message repeats, in bytes.
-const maxShown = 60
+// maxShownBytes bounds the part of a wrong value that a message quotes.
+const maxShownBytes = 60
 
-// shorten cuts a long value.
-func shorten(s string) string {
-	if len(s) <= maxShown {
+// truncate truncates a value to maxShownBytes.
+func truncate(s string) string {
+	if len(s) <= maxShownBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxShown], "") + "..."
+	return strings.ToValidUTF8(s[:maxShownBytes], "") + "..."
 }
 
-// describe names the JSON form of a type.
-func describe(t reflect.Type) string {
+// typeName returns the name of the JSON type that a Go type decodes from.
+func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string"
--- a/bundle/strict/problem.go
+++ b/bundle/strict/problem.go
@@ -1,8 +1,8 @@
-// Package strict decodes JSON that people write by hand: it names the path of
-// each unknown, repeated or wrongly typed field and reports all of them at
-// once. The standard decoder stops at the first fault, matches names without
-// regard to case and lets the last of two equal names win, so that a typing
-// mistake in a limit or a residency rule would pass unseen.
+// Package strict decodes JSON that people write by hand. It reports the paths of
+// all unknown, repeated or wrongly typed fields at once. The standard decoder
+// stops at the first problem, ignores the case of names and lets the last of two
+// equal names win, so that a typo in a limit or a residency rule would go
+// unnoticed.
 package strict
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// Problem is one fault at one place of a document.
+// Problem is one error at one path of a document.
 type Problem struct {
 	// Path of the field, such as `targets[3].service`; empty for the document.
 	Path string `json:"path"`
@@ -20,7 +20,7 @@
 	Message string `json:"message"`
 }
 
-// String joins path and message.
+// String returns path and message, separated by a colon.
 func (p Problem) String() string {
 	if p.Path == "" {
 		return p.Message
@@ -28,15 +28,15 @@
 	return p.Path + ": " + p.Message
 }
 
-// Problems are all faults of a document; an empty list is no fault.
+// Problems are all problems of a document; an empty list means that it is valid.
 type Problems []Problem
 
-// Add appends a fault at path.
+// Add appends a problem at path.
 func (p *Problems) Add(path, format string, args ...any) {
 	*p = append(*p, Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// Error lists one fault a line.
+// Error lists the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -45,7 +45,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err is nil where there is no fault, and else the list as an error.
+// Err returns the list as an error, or nil if it is empty.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -53,17 +53,18 @@
 	return p
 }
 
-// Index is the path of element i of the list at path.
+// Index returns the path of element i of the list at path.
 func Index(path string, i int) string {
 	return fmt.Sprintf("%s[%d]", path, i)
 }
 
-// plainName matches names that stand in a path without quotes.
-var plainName = regexp.MustCompile(`^[A-Za-z0-9_-]+$`)
+// unquotedName matches names that need no quotes in a path.
+var unquotedName = regexp.MustCompile(`^[A-Za-z0-9_-]+$`)
 
-// Field is the path of the field name of the object at path.
+// Field returns the path of the field name of the object at path. A name with
+// other characters than letters, digits, "_" and "-" is quoted.
 func Field(path, name string) string {
-	if !plainName.MatchString(name) {
+	if !unquotedName.MatchString(name) {
 		name = strconv.Quote(name)
 	}
 	if path == "" {
