--- a/bundle/bundletest/sample.go
+++ b/bundle/bundletest/sample.go
@@ -1,6 +1,5 @@
-// Package bundletest makes bundles for tests and measurements: a small one in
-// which no field is zero, and large ones of any size. It is imported by tests
-// only.
+// Package bundletest makes bundles for tests and benchmarks: a small one in which
+// hardly any field is zero, and large ones of any size. Only tests may import it.
 package bundletest
 
 import (
@@ -13,26 +12,26 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// Operators of the sample, each with the key of Key.
+// Operators are the ids of the sample's operators; Key returns their keys.
 var Operators = []string{"ayu", "budi", "citra"}
 
-// Key of an operator or of any other name, the same each time.
+// Key returns the key of an operator or of any other name, the same for each call.
 func Key(name string) ed25519.PrivateKey {
 	seed := sha256.Sum256([]byte("operator " + name))
 	return ed25519.NewKeyFromSeed(seed[:])
 }
 
-// Operator as it stands in a bundle.
+// Operator returns the entry of an operator in a bundle.
 func Operator(name string) bundle.Operator {
 	public := Key(name).Public().(ed25519.PublicKey)
 	return bundle.Operator{ID: name, PublicKey: base64.StdEncoding.EncodeToString(public)}
 }
 
-// Sign has the named operators sign a bundle.
+// Sign returns a bundle with sign-offs of the named operators.
 func Sign(b *bundle.Bundle, names ...string) *bundle.Signed {
 	id, err := b.Identity()
 	if err != nil {
-		panic(err) // Bundles of plain values can always be encoded.
+		panic(err) // All field types can be encoded.
 	}
 	signed := &bundle.Signed{Bundle: *b}
 	for _, name := range names {
@@ -41,14 +40,14 @@
 	return signed
 }
 
-// KeyHash is what a workspace keeps of a key.
+// KeyHash returns the hash of a workspace key as Workspace.KeyHashes has it.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Sample is a bundle without faults in which hardly a field is zero. Each call
-// makes a new copy.
+// Sample returns a valid bundle in which hardly any field is zero. Each call makes
+// a new copy.
 func Sample() *bundle.Bundle {
 	return &bundle.Bundle{
 		Version:    1,
@@ -125,15 +124,15 @@
 	}}
 }
 
-// Size of a large bundle.
+// Size is the size of a large bundle, in items of each kind.
 type Size struct {
 	Workspaces, Targets, Models, Regions, Zones int
 }
 
-// FullSize is the size that the system has to carry.
+// FullSize is the size that the system must support.
 var FullSize = Size{Workspaces: 10_000, Targets: 690, Models: 36, Regions: 11, Zones: 40}
 
-// Large is a bundle without faults of a size.
+// Large returns a valid bundle of a size.
 func Large(size Size) *bundle.Bundle {
 	b := Sample()
 	b.Regions, b.Models, b.Services, b.Targets, b.Workspaces = nil, nil, nil, nil, nil
