--- a/bundle/accept.go
+++ b/bundle/accept.go
@@ -4,47 +4,48 @@
 	"fmt"
 )
 
-// Outcome is the answer to a bundle that was rolled.
+// Outcome is the kind of a Result.
 type Outcome string
 
 const (
-	// OutcomeAccepted bundles are, or once were, the one of their version.
+	// OutcomeAccepted bundles are, or were, in force under their version.
 	OutcomeAccepted Outcome = "accepted"
-	// OutcomeConflict bundles lost their version to other content.
+	// OutcomeConflict bundles have the version of an accepted bundle with other
+	// content.
 	OutcomeConflict Outcome = "conflict"
 	// OutcomeGap bundles skip a version.
 	OutcomeGap Outcome = "gap"
-	// OutcomeWrongParent bundles are based on another than the one in force.
+	// OutcomeWrongParent bundles have another parent than the bundle in force.
 	OutcomeWrongParent Outcome = "wrong_parent"
 	// OutcomeTooOld bundles have a version whose digest is no longer kept.
 	OutcomeTooOld Outcome = "too_old"
 	// OutcomeUnsigned bundles lack valid sign-offs.
 	OutcomeUnsigned Outcome = "unsigned"
-	// OutcomeInvalid bundles fail their check.
+	// OutcomeInvalid bundles fail Check or can't be decoded.
 	OutcomeInvalid Outcome = "invalid"
 )
 
-// Result is the answer to a bundle that was rolled. For an accepted bundle it
-// depends on its identity alone, so that a resend at any later time, to any
+// Result is the answer to a bundle that was proposed. For an accepted bundle it
+// depends only on its identity, so that a resend at any later time, to any
 // instance, gets the same bytes.
 type Result struct {
 	Outcome Outcome `json:"outcome"`
-	// Version and Digest of the bundle that was rolled.
+	// Version and Digest of the proposed bundle.
 	Version uint64 `json:"version"`
 	Digest  Digest `json:"digest"`
-	// Winner is the digest that was accepted under Version, after a conflict.
+	// Winner is the accepted digest of Version; set for a conflict.
 	Winner Digest `json:"winner,omitempty"`
-	// InForceVersion and InForceDigest were in force when a bundle was refused.
+	// InForceVersion and InForceDigest were in force when the bundle was refused.
 	InForceVersion uint64 `json:"in_force_version,omitempty"`
 	InForceDigest  Digest `json:"in_force_digest,omitempty"`
 	// Problems say why a bundle is invalid or unsigned.
 	Problems Problems `json:"problems,omitempty"`
 }
 
-// Accepted is true for a bundle that is, or once was, in force.
+// Accepted reports whether the bundle is, or was, in force.
 func (r Result) Accepted() bool { return r.Outcome == OutcomeAccepted }
 
-// String is a line for people: of a refusal, the reason.
+// String describes the result, with the reason of a refusal.
 func (r Result) String() string {
 	switch r.Outcome {
 	case OutcomeAccepted:
@@ -62,25 +63,26 @@
 	}
 }
 
-// Accepted is what the rule knows of the past: the versions accepted so far and
-// the trust of the last one. A nil *Accepted is the time before the first.
+// AcceptanceState is what acceptance depends on: the versions accepted so far and
+// the trust of the last one. It is nil before the first.
 type AcceptanceState struct {
-	// Trust that the bundle in force puts in operators.
+	// Trust says whose sign-offs the next bundle needs.
 	Trust   Trust
 	History History
 }
 
-// Accept is the acceptance rule: compare-and-set on version and parent, then
-// sign-offs and check. It is pure; the caller records an accepted bundle.
+// Accept decides whether a bundle is accepted: it compares version and parent, runs
+// Check, and verifies the sign-offs. It has no side effects; the caller records an
+// accepted bundle. The error is that of encoding the bundle.
 //
-// What goes wrong without it: two operators roll different bundles under one
-// version, both get "accepted", and regions differ for good.
+// Without this rule two operators could propose different bundles under one
+// version, both would be accepted, and regions would differ for good.
 func Accept(inForce *AcceptanceState, s *Signed) (Result, error) {
 	id, err := s.Bundle.Identity()
 	if err != nil {
 		return Result{}, err
 	}
-	// Version 0 was never accepted, so that Compare would call it too old.
+	// Version 0 was never accepted, but Compare would return OutcomeTooOld for it.
 	if result, decided := inForce.Compare(id); decided && id.Version != 0 {
 		return result, nil
 	}
@@ -90,11 +92,12 @@
 	return inForce.CheckSignOffs(id, s), nil
 }
 
-// Compare is the compare-and-set. It is decided for resends and for whatever
-// is not the next version; only an undecided bundle may go on to Seal.
+// Compare compares an identity with the history and the bundle in force. It
+// returns true if the result is final: for resends and for all but the next
+// version. Otherwise the caller goes on with CheckSignOffs.
 func (a *AcceptanceState) Compare(id Identity) (Result, bool) {
 	last, inForce := a.last()
-	switch winner, kept := a.digestOf(id.Version); {
+	switch winner, kept := a.acceptedDigest(id.Version); {
 	case kept && winner == id.Digest:
 		return Result{Outcome: OutcomeAccepted, Version: id.Version, Digest: id.Digest}, true
 	case kept:
@@ -111,9 +114,10 @@
 	return Result{}, false
 }
 
-// Seal verifies the sign-offs of a bundle that Compare left undecided. The
-// first bundle vouches for itself: it must be signed by its own operators, so
-// that all replicas judge alike; Precheck holds it against the settings.
+// CheckSignOffs verifies the sign-offs of a bundle for which Compare returned
+// false. The first bundle must be signed by its own operators, so that all replicas
+// get the same result; acceptance.Machine.Precheck also compares it with the
+// settings.
 func (a *AcceptanceState) CheckSignOffs(id Identity, s *Signed) Result {
 	trust := s.Bundle.NextTrust()
 	if a != nil {
@@ -125,7 +129,7 @@
 	return Result{Outcome: OutcomeAccepted, Version: id.Version, Digest: id.Digest}
 }
 
-// refuse makes the answer to a bundle that is not accepted.
+// refuse makes the result for a bundle that is not accepted.
 func (a *AcceptanceState) refuse(id Identity, outcome Outcome, problems Problems) Result {
 	version, digest := a.last()
 	return Result{
@@ -134,7 +138,7 @@
 	}
 }
 
-// last is the version in force.
+// last returns version and digest of the bundle in force.
 func (a *AcceptanceState) last() (uint64, Digest) {
 	if a == nil {
 		return 0, ""
@@ -142,8 +146,8 @@
 	return a.History.Last()
 }
 
-// digestOf finds what was accepted under a version.
-func (a *AcceptanceState) digestOf(version uint64) (Digest, bool) {
+// acceptedDigest returns the accepted digest of a version, while it is kept.
+func (a *AcceptanceState) acceptedDigest(version uint64) (Digest, bool) {
 	if a == nil {
 		return "", false
 	}
--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// BenchmarkFull measures a bundle of full size: 10,000 workspaces, 690 targets,
-// 36 models, 11 regions with 40 zones.
+// BenchmarkFull measures the operations on a bundle of full size: 10,000
+// workspaces, 690 targets, 36 models, 11 regions with 40 zones.
 func BenchmarkFull(b *testing.B) {
 	full := bundletest.Large(bundletest.FullSize)
 	text, err := bundle.Encode(full)
@@ -38,8 +38,8 @@
 	run("delta", func() error { _, err := bundle.DeltaOf(full, full); return err })
 }
 
-// BenchmarkChangeSize reports the bytes on the wire for one change: as a whole
-// bundle (the baseline), as the sections that differ, and as a delta.
+// BenchmarkChangeSize reports the encoded size of one change: as a whole bundle
+// (the baseline), as the sections that differ, and as a delta.
 func BenchmarkChangeSize(b *testing.B) {
 	changes := []struct {
 		name   string
--- a/bundle/binary.go
+++ b/bundle/binary.go
@@ -4,13 +4,13 @@
 	"github.com/juju/errors"
 )
 
-// MarshalBinary is the canonical CBOR form of the whole bundle, for the
-// replicated log and for snapshots.
+// MarshalBinary encodes the whole bundle in canonical CBOR, for the replicated log
+// and for snapshots.
 func (b *Bundle) MarshalBinary() ([]byte, error) {
-	return canonical.Marshal((*plainBundle)(b))
+	return canonicalMode.Marshal((*plainBundle)(b))
 }
 
-// UnmarshalBinary reads what MarshalBinary wrote.
+// UnmarshalBinary decodes what MarshalBinary returned. The error wraps ErrDamaged.
 func (b *Bundle) UnmarshalBinary(data []byte) error {
 	if len(data) > MaxBytes {
 		return damaged(errors.Errorf("%d bytes are too many", len(data)))
@@ -23,5 +23,5 @@
 	return nil
 }
 
-// plainBundle has no methods, so that the codec doesn't call them again.
+// plainBundle has no methods, so that the codec doesn't call them recursively.
 type plainBundle Bundle
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -15,7 +15,7 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// mustDigest of a bundle of plain values.
+// mustDigest returns the digest of a bundle.
 func mustDigest(t interface{ Fatal(...any) }, b *bundle.Bundle) bundle.Digest {
 	digest, err := b.Digest()
 	if err != nil {
@@ -24,13 +24,13 @@
 	return digest
 }
 
-// leaf is one scalar of a bundle, found anew in each copy.
+// leaf is one scalar or list of a bundle; find returns it in any copy.
 type leaf struct {
 	path string
 	find func(*bundle.Bundle) reflect.Value
 }
 
-// leaves walks all scalars and lists of the sample.
+// leaves returns all scalars and lists of the sample.
 func leaves() []leaf {
 	var all []leaf
 	var walk func(path string, v reflect.Value, find func(*bundle.Bundle) reflect.Value)
@@ -53,7 +53,7 @@
 	return all
 }
 
-// change gives a value that differs.
+// change sets a different value.
 func change(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.String:
@@ -77,9 +77,9 @@
 	}
 }
 
-// Symptom: two instances say that they are on the same digest and yet decide
-// differently. Cause: a field that the digest, the sections, the delta or the
-// diff leave out. So each field, one at a time, must show in all four.
+// Guards against two instances that have the same digest in force but decide
+// differently, as the digest, the sections, the delta or the diff omit a field. A
+// change of each field must show in all four.
 func TestEachFieldCounts(t *testing.T) {
 	before := bundletest.Sample()
 	want := mustDigest(t, before)
@@ -93,17 +93,17 @@
 		if changes := bundle.Diff(before, after); len(changes) == 0 {
 			t.Errorf("%s: a change is not in the diff", leaf.path)
 		}
-		if joined, err := joinAgain(after); err != nil || mustDigest(t, joined) != digest {
+		if joined, err := roundTripSections(after); err != nil || mustDigest(t, joined) != digest {
 			t.Errorf("%s: split and join: %v", leaf.path, err)
 		}
-		if got, err := throughDelta(before, after); err != nil || len(bundle.Diff(after, got)) > 0 {
+		if got, err := roundTripDelta(before, after); err != nil || len(bundle.Diff(after, got)) > 0 {
 			t.Errorf("%s: delta: %v", leaf.path, err)
 		}
 	}
 }
 
-// joinAgain splits and joins.
-func joinAgain(b *bundle.Bundle) (*bundle.Bundle, error) {
+// roundTripSections splits and joins a bundle.
+func roundTripSections(b *bundle.Bundle) (*bundle.Bundle, error) {
 	manifest, sections, err := bundle.Split(b)
 	if err != nil {
 		return nil, err
@@ -111,8 +111,8 @@
 	return bundle.Join(manifest, sections)
 }
 
-// throughDelta takes the delta over its encoded form.
-func throughDelta(from, to *bundle.Bundle) (*bundle.Bundle, error) {
+// roundTripDelta applies the encoded and decoded delta.
+func roundTripDelta(from, to *bundle.Bundle) (*bundle.Bundle, error) {
 	delta, err := bundle.DeltaOf(from, to)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	return again.Apply(from)
 }
 
-// mutate changes some leaves and drops, repeats or shuffles items.
+// mutate changes some leaves, adds workspaces and shuffles targets.
 func mutate(t *rapid.T, b *bundle.Bundle, label string) {
 	all := leaves()
 	for range rapid.IntRange(0, 4).Draw(t, label+" changes") {
@@ -142,7 +142,7 @@
 	b.Targets = rapid.Permutation(b.Targets).Draw(t, label+" order")
 }
 
-// extraWorkspaces fall into several buckets.
+// extraWorkspaces draws workspaces of several buckets.
 func extraWorkspaces(t *rapid.T, label string) []bundle.Workspace {
 	var extra []bundle.Workspace
 	for _, id := range rapid.SliceOfNDistinct(rapid.IntRange(0, 300), 0, 12, rapid.ID).Draw(t, label+" workspaces") {
@@ -153,9 +153,9 @@
 	return extra
 }
 
-// Symptom: a neighbour's sections give another bundle than the one accepted.
-// Whatever is lost, damaged, renamed or repeated, Join gives the named bundle or
-// ErrDamaged; and only sections that differ are missing.
+// Guards against a peer's sections that result in another bundle than the accepted
+// one. Whatever is lost, damaged, renamed or repeated, Join returns the named bundle
+// or ErrDamaged, and only sections that differ are missing.
 func TestSectionsAndDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := bundletest.Sample(), bundletest.Sample()
@@ -178,14 +178,14 @@
 		if err != nil || mustDigest(t, joined) != mustDigest(t, b) {
 			t.Fatalf("join after exchange: %v", err)
 		}
-		if got, err := throughDelta(a, b); err != nil || mustDigest(t, got) != mustDigest(t, b) {
+		if got, err := roundTripDelta(a, b); err != nil || mustDigest(t, got) != mustDigest(t, b) {
 			t.Fatalf("delta: %v", err)
 		}
 		damage(t, manifestA, sectionsA)
 	})
 }
 
-// damage spoils a split bundle in one way and wants ErrDamaged.
+// damage damages a split bundle in one way and requires ErrDamaged.
 func damage(t *rapid.T, manifest bundle.Manifest, sections map[bundle.Digest][]byte) {
 	want, err := manifest.Digest()
 	if err != nil {
@@ -216,8 +216,8 @@
 	}
 }
 
-// Symptom: a delta that was made for another base passes, and an instance runs
-// what nobody signed.
+// Guards against a delta for another base that is applied, so that an instance runs
+// a bundle that was not signed.
 func TestDeltaOnWrongBase(t *testing.T) {
 	from, to, other := bundletest.Sample(), bundletest.Sample(), bundletest.Sample()
 	to.Version, other.Targets[0].Slots = 2, 99
@@ -230,7 +230,8 @@
 	}
 }
 
-// Each line of the table breaks one field; the check must name just its path.
+// Guards against a problem that Check misses or reports at a wrong path. Each case
+// breaks one field, whose path must be the only one reported.
 func TestCheckNamesPaths(t *testing.T) {
 	cases := []struct {
 		path  string
@@ -292,8 +293,8 @@
 	})
 }
 
-// Symptom: one person signs for two, or a sign-off for one bundle is taken for
-// another.
+// Guards against one person who signs for two, and against a sign-off of one bundle
+// that counts for another.
 func TestVerifyCountsDistinctOperators(t *testing.T) {
 	b := bundletest.Sample()
 	id, err := b.Identity()
@@ -324,9 +325,8 @@
 	})
 }
 
-// Symptom: an operator who rolls "{}" is told that its version is too old, and
-// looks for a newer bundle. Cause: version 0 was compared with the history
-// before the bundle was checked.
+// Guards against the misleading result "too old" for a bundle "{}". It comes about
+// if version 0 is compared with the history before the bundle is checked.
 func TestVersionZeroIsInvalid(t *testing.T) {
 	convey.Convey("A bundle without a version is invalid, whatever is in force", t, func() {
 		var history bundle.History
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -10,7 +10,7 @@
 	"github.com/gullhaven/gullhaven/coord/claim"
 )
 
-// Bounds of the check.
+// Bounds that Check applies.
 const (
 	maxShare         = 1.0
 	maxPriority      = 9
@@ -24,9 +24,9 @@
 	digestCharacters = 64
 )
 
-// Check reports all faults of a bundle with the path of each wrong field, such
-// as `targets[3].service: no such service "x"`. A bundle without faults can be
-// applied by every instance.
+// Check returns all problems of a bundle with the path of each invalid field, such
+// as `targets[3].service: no such service "x"`. Every instance can apply a bundle
+// without problems.
 func Check(b *Bundle) Problems {
 	c := newChecker(b)
 	c.head()
@@ -40,7 +40,7 @@
 	return c.problems
 }
 
-// checker collects problems; its maps find what others refer to.
+// checker collects the problems of a bundle; its maps resolve references.
 type checker struct {
 	*Bundle
 	problems      Problems
@@ -60,7 +60,7 @@
 	}
 }
 
-// byID indexes a list.
+// byID indexes a list by id.
 func byID[T any](list []T, id func(T) string) map[string]*T {
 	index := make(map[string]*T, len(list))
 	for i := range list {
@@ -69,19 +69,19 @@
 	return index
 }
 
-// require adds a fault at path unless ok.
+// require adds a problem at path unless ok.
 func (c *checker) require(ok bool, path, format string, args ...any) {
 	if !ok {
 		c.problems.Add(path, format, args...)
 	}
 }
 
-// number requires low <= value <= high; not-a-number fails too.
+// number requires low <= value <= high; NaN fails too.
 func (c *checker) number(path string, value, low, high float64) {
 	c.require(value >= low && value <= high, path, "is %v, but must be from %v to %v", value, low, high)
 }
 
-// id requires a well-formed id that isn't in seen, and adds it there.
+// id requires a valid id that isn't in seen, and adds it to seen.
 func (c *checker) id(path, id string, seen map[string]bool) {
 	if err := strict.CheckID(id); err != nil {
 		c.problems.Add(path, "%v", err)
@@ -91,7 +91,7 @@
 	seen[id] = true
 }
 
-// head checks version, parent, note and sign-offs.
+// head checks version, parent and note.
 func (c *checker) head() {
 	switch {
 	case c.Version == 0:
@@ -106,14 +106,14 @@
 	c.require(len(c.Note) <= maxNoteBytes, "note", "is %d bytes long, but at most %d are allowed", len(c.Note), maxNoteBytes)
 }
 
-// isDigest is true for the form of SHA-256 in lower-case hex.
+// isDigest reports whether text has the form of a SHA-256 in lower-case hex.
 func isDigest(text string) bool {
 	raw, err := hex.DecodeString(text)
 	return err == nil && len(text) == digestCharacters && hex.EncodeToString(raw) == text
 }
 
-// operators checks who may sign the next bundle. More sign-offs than operators
-// would lock everybody out for good.
+// operators checks who may sign the next bundle. If that needed more sign-offs than
+// there are operators, no bundle could ever be accepted again.
 func (c *checker) operators() {
 	c.require(len(c.Operators) > 0, "operators", "is empty; nobody could sign the next bundle")
 	c.require(c.SignOffs >= 1 && c.SignOffs <= len(c.Operators), "sign_offs",
@@ -121,7 +121,7 @@
 	c.problems = append(c.problems, CheckOperators("operators", c.Operators)...)
 }
 
-// CheckOperators reports all faults of a list of operators that stands at path.
+// CheckOperators returns all problems of the list of operators at path.
 func CheckOperators(path string, operators []Operator) Problems {
 	c := &checker{}
 	seen := map[string]bool{}
@@ -158,7 +158,8 @@
 	}
 }
 
-// claimsHome checks that claims have one home, not a chain of them.
+// claimsHome checks that a region's claims are kept by a region that keeps its own
+// claims, so that there is no chain.
 func (c *checker) claimsHome(path string, region Region) {
 	if region.ClaimsHome == "" {
 		return
@@ -184,12 +185,12 @@
 	}
 }
 
-// region requires a known region.
+// region requires the id of a known region.
 func (c *checker) region(path, id string) {
 	c.require(c.regionByID[id] != nil, path, "no such region %q", id)
 }
 
-// residency requires known regions, each once.
+// residency requires distinct ids of known regions.
 func (c *checker) residency(path string, regions []string) {
 	for i, region := range regions {
 		at := strict.Index(path, i)
@@ -217,14 +218,14 @@
 	}
 }
 
-// weights checks what versions and adapters have in common.
+// weights checks the fields that versions and adapters have in common.
 func (c *checker) weights(path, id, weights string, size int64, seen map[string]bool) {
 	c.id(path+".id", id, seen)
 	c.require(weights != "", path+".weights", "is missing; give the key in the weight store")
 	c.require(size > 0, path+".size_bytes", "is %d, but must be above 0", size)
 }
 
-// rules checks the tuning of requests.
+// rules checks the bounds of all rules.
 func (c *checker) rules() {
 	r := c.Rules
 	c.number("rules.max_attempts", float64(r.MaxAttempts), 1, maxAttempts)
@@ -236,7 +237,7 @@
 	c.require(r.MaxConcurrentLoads >= 1, "rules.max_concurrent_loads", "is %d, but must be 1 or more", r.MaxConcurrentLoads)
 }
 
-// quote lists names for people.
+// quote formats a list of names for a message.
 func quote(names []string) string {
 	return fmt.Sprintf("%q", names)
 }
--- a/bundle/check_service.go
+++ b/bundle/check_service.go
@@ -6,7 +6,7 @@
 	"github.com/gullhaven/gullhaven/bundle/strict"
 )
 
-// services checks what callers can ask for.
+// services checks all services.
 func (c *checker) services() {
 	seen := map[string]bool{}
 	for i := range c.Services {
@@ -27,8 +27,8 @@
 	}
 }
 
-// objective checks a service level. A share of 1 leaves no budget to burn and
-// every report would divide by zero.
+// objective checks a service level objective. A share of 1 leaves no error budget,
+// and reports would divide by zero.
 func (c *checker) objective(path string, service *Service) {
 	o := service.Objective
 	c.require(o.FirstTokenMillis > 0 && o.FirstTokenMillis <= dayMillis, path+".first_token_ms",
@@ -42,7 +42,7 @@
 	c.require(o.BetweenTokensMillis == 0, path+".between_tokens_ms", "holds for model services only")
 }
 
-// modelService checks model, version and adapters.
+// modelService checks model, version and adapters of a model service.
 func (c *checker) modelService(path string, service *Service) {
 	model, known := c.modelByID[service.Model]
 	if !known {
@@ -59,14 +59,14 @@
 	}
 }
 
-// plainService refuses what holds for model services only.
+// plainService refuses fields that only model services may set.
 func (c *checker) plainService(path string, service *Service) {
 	c.require(service.Model == "", path+".model", "holds for model services only")
 	c.require(service.Version == "", path+".version", "holds for model services only")
 	c.require(len(service.Adapters) == 0, path+".adapters", "holds for model services only")
 }
 
-// targets checks the runners of services.
+// targets checks all targets.
 func (c *checker) targets() {
 	seen := map[string]bool{}
 	addresses := map[string]string{}
@@ -74,7 +74,7 @@
 		target := &c.Targets[i]
 		path := strict.Index("targets", i)
 		c.id(path+".id", target.ID, seen)
-		c.place(path, target)
+		c.placement(path, target)
 		c.address(path+".address", target, addresses)
 		c.require(target.State == TargetActive || target.State == TargetLeaving, path+".state",
 			"%q is neither %q nor %q", target.State, TargetActive, TargetLeaving)
@@ -86,8 +86,9 @@
 	c.roles()
 }
 
-// roles requires both halves of a split service. Prompts that are prefilled
-// where nobody can decode them would all miss their deadlines.
+// roles requires that the targets of a model service, if it has any, both prefill
+// and decode. If none could decode the prefilled prompts, all of them would miss
+// their deadlines.
 func (c *checker) roles() {
 	type halves struct{ prefill, decode, both bool }
 	found := map[string]*halves{}
@@ -110,8 +111,8 @@
 	}
 }
 
-// place checks region and zone.
-func (c *checker) place(path string, target *Target) {
+// placement checks region and zone of a target.
+func (c *checker) placement(path string, target *Target) {
 	region, known := c.regionByID[target.Region]
 	if !known {
 		c.problems.Add(path+".region", "no such region %q", target.Region)
@@ -120,7 +121,7 @@
 	c.require(slices.Contains(region.Zones, target.Zone), path+".zone", "region %q has no zone %q", region.ID, target.Zone)
 }
 
-// address checks that no two targets share one.
+// address checks the form of a target's address and that no other target has it.
 func (c *checker) address(path string, target *Target, owners map[string]string) {
 	if err := strict.CheckAddress(target.Address); err != nil {
 		c.problems.Add(path, "%v", err)
@@ -131,7 +132,7 @@
 	owners[target.Address] = target.ID
 }
 
-// targetService checks what depends on the service.
+// targetService checks the fields of a target that depend on its service.
 func (c *checker) targetService(path string, target *Target) {
 	service, known := c.serviceByID[target.Service]
 	if !known {
@@ -151,7 +152,7 @@
 	c.engine(path, target)
 }
 
-// engine checks role and speeds of a target of a model service.
+// engine checks role and rated speeds of a target of a model service.
 func (c *checker) engine(path string, target *Target) {
 	roles := []TargetRole{"", RoleBoth, RolePrefill, RoleDecode}
 	c.require(slices.Contains(roles, target.Role), path+".role", "%q is none of %q", target.Role, roles[1:])
@@ -163,12 +164,12 @@
 	}
 }
 
-// speed requires a rated speed: predictions divide by it.
+// speed requires a speed above 0, as predictions divide by it.
 func (c *checker) speed(path string, value float64) {
 	c.require(value > 0 && value <= maxRate, path, "is %v, but must be above 0", value)
 }
 
-// workspaces checks the callers' accounts.
+// workspaces checks all workspaces.
 func (c *checker) workspaces() {
 	seen := map[string]bool{}
 	for i := range c.Workspaces {
@@ -189,7 +190,7 @@
 	}
 }
 
-// keyHashes checks that a key belongs to one workspace.
+// keyHashes checks that no other workspace has a key of this one.
 func (c *checker) keyHashes(path string, workspace *Workspace) {
 	c.require(len(workspace.KeyHashes) > 0, path, "is empty; nobody could use the workspace")
 	for i, hash := range workspace.KeyHashes {
--- a/bundle/decode.go
+++ b/bundle/decode.go
@@ -7,19 +7,19 @@
 	"github.com/gullhaven/gullhaven/bundle/strict"
 )
 
-// MaxBytes bounds a bundle document: about ten times one with 10,000
-// workspaces and 690 targets.
+// MaxBytes bounds an encoded bundle. It is about ten times the size of one with
+// 10,000 workspaces and 690 targets.
 const MaxBytes = 64 << 20
 
-// Problem is one fault at one path of a bundle.
+// Problem is one problem at one path of a bundle.
 type Problem = strict.Problem
 
-// Problems are all faults of a bundle; it is the error type of Decode.
+// Problems are all problems of a bundle. It is the error type of Decode.
 type Problems = strict.Problems
 
-// Decode reads a bundle from JSON. Unknown, repeated and wrongly typed fields
-// are errors; the error is of type Problems and names all of them. It does not
-// Check.
+// Decode decodes a bundle from JSON. Unknown, repeated and wrongly typed fields
+// are errors; the error is of type Problems and lists all of them. Decode does not
+// call Check.
 func Decode(data []byte) (*Bundle, error) {
 	b := new(Bundle)
 	if err := decode(data, b); err != nil {
@@ -28,7 +28,8 @@
 	return b, nil
 }
 
-// DecodeSigned reads a signed bundle from JSON, like Decode.
+// DecodeSigned decodes a signed bundle from JSON, like Decode. It does not verify
+// the signatures.
 func DecodeSigned(data []byte) (*Signed, error) {
 	s := new(Signed)
 	if err := decode(data, s); err != nil {
@@ -37,7 +38,7 @@
 	return s, nil
 }
 
-// decode reads a document of bounded size.
+// decode decodes a document of up to MaxBytes.
 func decode(data []byte, into any) error {
 	if len(data) > MaxBytes {
 		return Problems{{Message: "larger than a bundle may be"}}
@@ -45,17 +46,17 @@
 	return strict.Decode(data, into)
 }
 
-// Encode writes a bundle as indented JSON that Decode reads.
+// Encode encodes a bundle as indented JSON for Decode.
 func Encode(b *Bundle) ([]byte, error) {
 	return encode(withLists(*b))
 }
 
-// EncodeSigned writes a signed bundle as indented JSON that DecodeSigned reads.
+// EncodeSigned encodes a signed bundle as indented JSON for DecodeSigned.
 func EncodeSigned(s *Signed) ([]byte, error) {
-	return encode(Signed{Bundle: withLists(s.Bundle), Signatures: orEmpty(s.Signatures)})
+	return encode(Signed{Bundle: withLists(s.Bundle), Signatures: emptyIfNil(s.Signatures)})
 }
 
-// encode ends the document with a line feed, as files do.
+// encode encodes a document as indented JSON with a final line feed.
 func encode(document any) ([]byte, error) {
 	data, err := json.MarshalIndent(document, "", "  ")
 	if err != nil {
@@ -64,29 +65,29 @@
 	return append(data, '\n'), nil
 }
 
-// withLists replaces absent lists by empty ones. The encoder would write null
-// for them, which Decode refuses.
+// withLists returns a copy with empty lists for nil ones, which the encoder would
+// write as null and Decode would refuse.
 func withLists(b Bundle) Bundle {
-	b.Operators = orEmpty(b.Operators)
-	b.Regions = orEmpty(slices.Clone(b.Regions))
+	b.Operators = emptyIfNil(b.Operators)
+	b.Regions = emptyIfNil(slices.Clone(b.Regions))
 	for i := range b.Regions {
-		b.Regions[i].Zones = orEmpty(b.Regions[i].Zones)
+		b.Regions[i].Zones = emptyIfNil(b.Regions[i].Zones)
 	}
-	b.Models = orEmpty(slices.Clone(b.Models))
+	b.Models = emptyIfNil(slices.Clone(b.Models))
 	for i := range b.Models {
-		b.Models[i].Versions = orEmpty(b.Models[i].Versions)
+		b.Models[i].Versions = emptyIfNil(b.Models[i].Versions)
 	}
-	b.Services = orEmpty(b.Services)
-	b.Targets = orEmpty(b.Targets)
-	b.Workspaces = orEmpty(slices.Clone(b.Workspaces))
+	b.Services = emptyIfNil(b.Services)
+	b.Targets = emptyIfNil(b.Targets)
+	b.Workspaces = emptyIfNil(slices.Clone(b.Workspaces))
 	for i := range b.Workspaces {
-		b.Workspaces[i].KeyHashes = orEmpty(b.Workspaces[i].KeyHashes)
+		b.Workspaces[i].KeyHashes = emptyIfNil(b.Workspaces[i].KeyHashes)
 	}
 	return b
 }
 
-// orEmpty is the list, or an empty one where there is none.
-func orEmpty[T any](list []T) []T {
+// emptyIfNil returns list, or an empty one if it is nil.
+func emptyIfNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
--- a/bundle/decode_test.go
+++ b/bundle/decode_test.go
@@ -11,8 +11,8 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// Symptom: a limit that an operator typed is not in force. Cause: the field's
-// name was mistyped, written twice or in another case, and was passed over.
+// Guards against a limit that an operator set but that is not in force, as the
+// field's name is misspelled, repeated or in another case, and is ignored.
 func TestDecodeIsStrict(t *testing.T) {
 	cases := []struct{ name, document, want string }{
 		{"unknown field", `{"regions":[{"id":"a","zone":[]}]}`, `regions[0].zone: unknown field; known are id, zones,`},
@@ -42,7 +42,7 @@
 	}
 }
 
-// FuzzDecode wants that each document is an error or a bundle that keeps its
+// FuzzDecode requires that each document is an error or a bundle that keeps its
 // digest over encoding, splitting and joining.
 func FuzzDecode(f *testing.F) {
 	sample, err := bundle.Encode(bundletest.Sample())
@@ -66,14 +66,15 @@
 		if err != nil || mustDigest(t, again) != want {
 			t.Fatalf("the digest is not kept over JSON: %v", err)
 		}
-		joined, err := joinAgain(b)
+		joined, err := roundTripSections(b)
 		if err != nil || mustDigest(t, joined) != want {
 			t.Fatalf("the digest is not kept over sections: %v", err)
 		}
 	})
 }
 
-// FuzzDecodeSigned wants no panic from whatever the operators' interface gets.
+// FuzzDecodeSigned requires that no input of the operators' interface panics or is
+// accepted without signatures.
 func FuzzDecodeSigned(f *testing.F) {
 	signed, err := bundle.EncodeSigned(bundletest.Sign(bundletest.Sample(), "ayu", "budi"))
 	if err != nil {
@@ -92,7 +93,7 @@
 	})
 }
 
-// The examples are what newcomers copy, so they must be free of faults.
+// Guards against invalid examples, which users copy.
 func TestExamplesPass(t *testing.T) {
 	files, err := filepath.Glob("../examples/*/bundle.json")
 	if err != nil {
--- a/bundle/delta.go
+++ b/bundle/delta.go
@@ -6,15 +6,14 @@
 	"github.com/juju/errors"
 )
 
-// Delta is what turns one bundle into another, item by item. For a change of
-// one workspace or target it is a few hundred bytes, where the section that
-// holds it is tens of kilobytes: at 2,500 changes a day that decides whether
-// the log fits a slow link.
+// Delta is the difference of two bundles, item by item. For a change of one
+// workspace or target it takes a few hundred bytes, whereas a section takes tens
+// of kilobytes. At 2,500 changes a day the log needs this to fit a slow link.
 type Delta struct {
-	// From and To are the digests of both bundles.
+	// From and To are the digests of the two bundles.
 	From Digest `json:"from"`
 	To   Digest `json:"to"`
-	// Head replaces all that is not a list.
+	// Head replaces all fields that are not lists.
 	Head       head                 `json:"head"`
 	Operators  itemDelta[Operator]  `json:"operators,omitzero"`
 	Regions    itemDelta[Region]    `json:"regions,omitzero"`
@@ -24,18 +23,18 @@
 	Workspaces itemDelta[Workspace] `json:"workspaces,omitzero"`
 }
 
-// itemDelta changes one list of items that are known by their ids.
+// itemDelta changes one list of items that are identified by id.
 type itemDelta[T any] struct {
-	// Put replaces the item with the same id, or adds it.
+	// Put lists items to add, or to replace those with the same id.
 	Put []T `json:"put,omitempty"`
-	// Remove lists ids.
+	// Remove lists the ids of items to remove.
 	Remove []string `json:"remove,omitempty"`
 }
 
-// IsZero leaves an unchanged list out of the encoding.
+// IsZero reports whether the list is unchanged, so that the encoding omits it.
 func (d itemDelta[T]) IsZero() bool { return len(d.Put) == 0 && len(d.Remove) == 0 }
 
-// DeltaOf compares two bundles that have passed their check.
+// DeltaOf returns the delta that turns from into to. Both must have passed Check.
 func DeltaOf(from, to *Bundle) (*Delta, error) {
 	before, err := from.Digest()
 	if err != nil {
@@ -55,9 +54,9 @@
 	return d, nil
 }
 
-// Apply makes the bundle that the delta leads to; from stays as it is. The
-// result is verified by its digest, so that a delta on the wrong base is an
-// error and never a bundle that nobody signed. The error wraps ErrDamaged.
+// Apply returns the bundle that the delta makes of from, which stays as it is. The
+// result is verified by its digest, so that a delta on the wrong base is an error
+// and never results in a bundle that was not signed. The error wraps ErrDamaged.
 func (d *Delta) Apply(from *Bundle) (*Bundle, error) {
 	b := &Bundle{
 		Operators:  applyItems(from.Operators, d.Operators, operatorID),
@@ -67,7 +66,7 @@
 		Targets:    applyItems(from.Targets, d.Targets, targetID),
 		Workspaces: applyItems(from.Workspaces, d.Workspaces, workspaceID),
 	}
-	d.Head.into(b)
+	d.Head.applyTo(b)
 	got, err := b.Digest()
 	if err != nil {
 		return nil, damaged(err)
@@ -78,12 +77,13 @@
 	return b, nil
 }
 
-// MarshalBinary is the delta in canonical CBOR.
+// MarshalBinary encodes the delta in canonical CBOR.
 func (d *Delta) MarshalBinary() ([]byte, error) {
-	return canonical.Marshal((*plainDelta)(d))
+	return canonicalMode.Marshal((*plainDelta)(d))
 }
 
-// UnmarshalBinary reads what MarshalBinary wrote; Apply verifies the content.
+// UnmarshalBinary decodes what MarshalBinary returned; Apply verifies the content.
+// The error wraps ErrDamaged.
 func (d *Delta) UnmarshalBinary(data []byte) error {
 	var fresh plainDelta
 	if err := sectionReader.Unmarshal(data, &fresh); err != nil {
@@ -93,21 +93,21 @@
 	return nil
 }
 
-// plainDelta has no methods, so that the codec doesn't call them again.
+// plainDelta has no methods, so that the codec doesn't call them recursively.
 type plainDelta Delta
 
-// compareItems finds what was put and removed, in the order of ids.
+// compareItems returns the items to put and remove, sorted by id.
 func compareItems[T any](from, to []T, id func(T) string) itemDelta[T] {
 	var d itemDelta[T]
 	before := byID(from, id)
 	after := byID(to, id)
-	for _, item := range sorted(to, id) {
+	for _, item := range sortedByID(to, id) {
 		old, known := before[id(item)]
-		if !known || !sameEncoding(*old, item) {
+		if !known || !equalEncoding(*old, item) {
 			d.Put = append(d.Put, item)
 		}
 	}
-	for _, item := range sorted(from, id) {
+	for _, item := range sortedByID(from, id) {
 		if after[id(item)] == nil {
 			d.Remove = append(d.Remove, id(item))
 		}
@@ -115,33 +115,34 @@
 	return d
 }
 
-// sameEncoding compares as the digest does. Items that can't be encoded differ.
-func sameEncoding(x, y any) bool {
-	left, err := canonical.Marshal(x)
+// equalEncoding compares canonical encodings, as the digest does. Items that can't
+// be encoded differ.
+func equalEncoding(x, y any) bool {
+	left, err := canonicalMode.Marshal(x)
 	if err != nil {
 		return false
 	}
-	right, err := canonical.Marshal(y)
+	right, err := canonicalMode.Marshal(y)
 	return err == nil && bytes.Equal(left, right)
 }
 
-// applyItems makes the changed list in the order of ids.
+// applyItems returns the changed list, sorted by id, or from if nothing changes.
 func applyItems[T any](from []T, d itemDelta[T], id func(T) string) []T {
 	if d.IsZero() {
 		return from
 	}
-	gone := make(map[string]bool, len(d.Put)+len(d.Remove))
+	replaced := make(map[string]bool, len(d.Put)+len(d.Remove))
 	for _, item := range d.Put {
-		gone[id(item)] = true
+		replaced[id(item)] = true
 	}
 	for _, name := range d.Remove {
-		gone[name] = true
+		replaced[name] = true
 	}
 	list := make([]T, 0, len(from)+len(d.Put))
 	for _, item := range from {
-		if !gone[id(item)] {
+		if !replaced[id(item)] {
 			list = append(list, item)
 		}
 	}
-	return sorted(append(list, d.Put...), id)
+	return sortedByID(append(list, d.Put...), id)
 }
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -10,7 +10,7 @@
 	"github.com/gullhaven/gullhaven/bundle/strict"
 )
 
-// ChangeKind says what happened to a field or an item.
+// ChangeKind is the kind of a Change.
 type ChangeKind string
 
 const (
@@ -22,17 +22,17 @@
 	ChangeSet ChangeKind = "changed"
 )
 
-// Change is one difference, for people.
+// Change is one difference of two bundles, for display.
 type Change struct {
-	// Path such as `targets["briefing-1"].state`; items stand under their ids.
+	// Path such as `targets["briefing-1"].state`, with the ids of items.
 	Path string     `json:"path"`
 	Kind ChangeKind `json:"kind"`
-	// Before and After are JSON; empty where there is none.
+	// Before and After are the values as JSON; empty if there is none.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// String is one line.
+// String formats the change in one line.
 func (c Change) String() string {
 	switch c.Kind {
 	case ChangeAdded:
@@ -44,19 +44,18 @@
 	}
 }
 
-// Diff lists all differences of two bundles in the order of the fields.
+// Diff returns all differences of two bundles in the order of the fields.
 func Diff(a, b *Bundle) []Change {
 	var d differ
 	d.value("", reflect.ValueOf(*a), reflect.ValueOf(*b))
 	return d.changes
 }
 
-// differ collects changes.
 type differ struct {
 	changes []Change
 }
 
-// value compares two values of one type.
+// value compares two values of the same type.
 func (d *differ) value(path string, a, b reflect.Value) {
 	switch {
 	case a.Kind() == reflect.Struct:
@@ -65,31 +64,31 @@
 		}
 	case a.Kind() == reflect.Slice && a.Type().Elem().Kind() == reflect.Struct:
 		d.items(path, a, b)
-	case show(a) != show(b):
-		d.changes = append(d.changes, Change{Path: path, Kind: ChangeSet, Before: show(a), After: show(b)})
+	case jsonOf(a) != jsonOf(b):
+		d.changes = append(d.changes, Change{Path: path, Kind: ChangeSet, Before: jsonOf(a), After: jsonOf(b)})
 	}
 }
 
-// items compares two lists whose items are known by their first field.
+// items compares two lists whose items are identified by their first field.
 func (d *differ) items(path string, a, b reflect.Value) {
-	before, after := indexed(a), indexed(b)
-	for _, id := range ids(a, b) {
+	before, after := indexByID(a), indexByID(b)
+	for _, id := range allIDs(a, b) {
 		at := fmt.Sprintf("%s[%q]", path, id)
 		old, had := before[id]
 		item, has := after[id]
 		switch {
 		case !had:
-			d.changes = append(d.changes, Change{Path: at, Kind: ChangeAdded, After: show(item)})
+			d.changes = append(d.changes, Change{Path: at, Kind: ChangeAdded, After: jsonOf(item)})
 		case !has:
-			d.changes = append(d.changes, Change{Path: at, Kind: ChangeRemoved, Before: show(old)})
+			d.changes = append(d.changes, Change{Path: at, Kind: ChangeRemoved, Before: jsonOf(old)})
 		default:
 			d.value(at, old, item)
 		}
 	}
 }
 
-// indexed finds items by id.
-func indexed(list reflect.Value) map[string]reflect.Value {
+// indexByID indexes the items of a list by id.
+func indexByID(list reflect.Value) map[string]reflect.Value {
 	index := make(map[string]reflect.Value, list.Len())
 	for i := range list.Len() {
 		index[itemID(list.Index(i))] = list.Index(i)
@@ -97,8 +96,8 @@
 	return index
 }
 
-// ids of both lists, sorted, each once.
-func ids(lists ...reflect.Value) []string {
+// allIDs returns the distinct ids of all lists, sorted.
+func allIDs(lists ...reflect.Value) []string {
 	var all []string
 	for _, list := range lists {
 		for i := range list.Len() {
@@ -109,17 +108,17 @@
 	return slices.Compact(all)
 }
 
-// itemID is the first field: the id, or the region of a link.
+// itemID returns the first field: the id, or the region of a link.
 func itemID(item reflect.Value) string { return item.Field(0).String() }
 
-// jsonName is the name in the field's tag.
+// jsonName returns the name in the field's tag.
 func jsonName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	return name
 }
 
-// show is the JSON form; an absent list is an empty one.
-func show(v reflect.Value) string {
+// jsonOf returns a value as JSON; a nil list is shown as an empty one.
+func jsonOf(v reflect.Value) string {
 	if v.Kind() == reflect.Slice && v.Len() == 0 {
 		return "[]"
 	}
--- a/bundle/join.go
+++ b/bundle/join.go
@@ -6,40 +6,41 @@
 	"github.com/juju/errors"
 )
 
-// ErrDamaged marks sections that don't make up the manifest's bundle: one is
-// absent, its bytes have another digest, or it holds what belongs elsewhere.
+// ErrDamaged marks sections that don't make up the manifest's bundle (one is
+// missing, has another digest, or contains items of another section) and data that
+// can't be decoded.
 const ErrDamaged = errors.ConstError("bundle sections are damaged")
 
-// damaged makes an error one of ErrDamaged.
+// damaged wraps an error so that it is an ErrDamaged.
 func damaged(err error) error {
 	return errors.Annotate(errors.WithType(err, ErrDamaged), string(ErrDamaged))
 }
 
-// Join puts a bundle together and verifies each section by its digest. The
-// caller compares the manifest's own digest with the one it asked for. The
-// error wraps ErrDamaged.
+// Join assembles a bundle and verifies each section by its digest. The caller must
+// compare the manifest's own digest with the one it requested. The error wraps
+// ErrDamaged.
 func Join(m Manifest, sections map[Digest][]byte) (*Bundle, error) {
 	j := joiner{bundle: new(Bundle), sections: sections}
 	for _, ref := range m.Sections {
-		if err := j.take(ref); err != nil {
+		if err := j.addSection(ref); err != nil {
 			return nil, damaged(errors.Annotatef(err, "section %q", ref.Name))
 		}
 	}
-	j.bundle.Workspaces = sorted(j.bundle.Workspaces, workspaceID)
-	if err := sameManifest(m, j.bundle); err != nil {
+	j.bundle.Workspaces = sortedByID(j.bundle.Workspaces, workspaceID)
+	if err := verifyManifest(m, j.bundle); err != nil {
 		return nil, damaged(err)
 	}
 	return j.bundle, nil
 }
 
-// joiner fills a bundle.
+// joiner assembles a bundle from sections.
 type joiner struct {
 	bundle   *Bundle
 	sections map[Digest][]byte
 }
 
-// take adds one section.
-func (j *joiner) take(ref SectionRef) error {
+// addSection verifies, decodes and adds one section.
+func (j *joiner) addSection(ref SectionRef) error {
 	data, here := j.sections[ref.Digest]
 	if !here {
 		return errors.Errorf("%s is absent", ref.Digest)
@@ -50,7 +51,7 @@
 	b := j.bundle
 	switch {
 	case ref.Name == sectionHead:
-		return j.head(data)
+		return j.addHead(data)
 	case ref.Name == sectionOperators:
 		return appendSection(&b.Operators, data)
 	case ref.Name == sectionRegions:
@@ -68,17 +69,17 @@
 	}
 }
 
-// head takes all that is not a list.
-func (j *joiner) head(data []byte) error {
+// addHead decodes and sets the fields that are not lists.
+func (j *joiner) addHead(data []byte) error {
 	var h head
 	if err := sectionReader.Unmarshal(data, &h); err != nil {
 		return err
 	}
-	h.into(j.bundle)
+	h.applyTo(j.bundle)
 	return nil
 }
 
-// appendSection decodes a list and appends it.
+// appendSection decodes a list and appends its items.
 func appendSection[T any](list *[]T, data []byte) error {
 	var more []T
 	if err := sectionReader.Unmarshal(data, &more); err != nil {
@@ -88,10 +89,10 @@
 	return nil
 }
 
-// sameManifest splits the result again. A section under a wrong name, twice or
-// left out would otherwise give a bundle with another digest than the
-// manifest's, and instances would disagree on what is in force.
-func sameManifest(m Manifest, b *Bundle) error {
+// verifyManifest splits the result again and compares it with the manifest. A
+// section that is misnamed, repeated or left out would otherwise result in a bundle
+// with another digest, and instances would disagree on what is in force.
+func verifyManifest(m Manifest, b *Bundle) error {
 	again, _, err := Split(b)
 	if err != nil {
 		return err
--- a/bundle/sections.go
+++ b/bundle/sections.go
@@ -11,11 +11,12 @@
 	"github.com/juju/errors"
 )
 
-// WorkspaceBuckets is how many sections the workspaces are spread over, by a
-// hash of the id. With 10,000 workspaces a bucket holds about 156.
+// WorkspaceBuckets is the number of sections that the workspaces are distributed
+// over by a hash of the id. With 10,000 workspaces a bucket holds about 156.
 const WorkspaceBuckets = 64
 
-// Names of sections; targets and workspaces have one for each region or bucket.
+// Names of sections. Those of targets and workspaces are prefixes: there is a
+// section for each region or bucket.
 const (
 	sectionHead       = "head"
 	sectionOperators  = "operators"
@@ -26,19 +27,19 @@
 	sectionWorkspaces = "workspaces/"
 )
 
-// Manifest lists the sections of a bundle in the order of their names. Its
-// digest is the digest of the bundle.
+// Manifest lists the sections of a bundle, sorted by name. Its digest is the
+// digest of the bundle.
 type Manifest struct {
 	Sections []SectionRef `json:"sections"`
 }
 
-// SectionRef names one section by its content.
+// SectionRef identifies one section by name and content.
 type SectionRef struct {
 	Name   string `json:"name"`
 	Digest Digest `json:"digest"`
 }
 
-// head is the section of all that is not a list.
+// head is the section of all fields that are not lists.
 type head struct {
 	Version  uint64 `json:"version"`
 	Parent   Digest `json:"parent"`
@@ -47,19 +48,19 @@
 	Rules    Rules  `json:"rules"`
 }
 
-// headOf takes the head of a bundle.
+// headOf returns the head of a bundle.
 func headOf(b *Bundle) head {
 	return head{Version: b.Version, Parent: b.Parent, Note: b.Note, SignOffs: b.SignOffs, Rules: b.Rules}
 }
 
-// into sets the head of a bundle.
-func (h head) into(b *Bundle) {
+// applyTo sets the fields of the head in a bundle.
+func (h head) applyTo(b *Bundle) {
 	b.Version, b.Parent, b.Note, b.SignOffs, b.Rules = h.Version, h.Parent, h.Note, h.SignOffs, h.Rules
 }
 
-// canonical is deterministic CBOR (RFC 8949, section 4.2); an absent and an
-// empty list encode alike.
-var canonical = newCanonical()
+// canonicalMode encodes deterministic CBOR (RFC 8949, section 4.2). A nil and an
+// empty list have the same encoding.
+var canonicalMode = newCanonical()
 
 func newCanonical() cbor.EncMode {
 	options := cbor.CoreDetEncOptions()
@@ -71,7 +72,7 @@
 	return mode
 }
 
-// sectionReader refuses what the writer can't have written.
+// sectionReader refuses encodings that canonicalMode can't have written.
 var sectionReader = newSectionReader()
 
 func newSectionReader() cbor.DecMode {
@@ -87,19 +88,20 @@
 	return mode
 }
 
-// SumOf is the digest of bytes.
+// DigestOf returns the digest of data.
 func DigestOf(data []byte) Digest {
 	sum := sha256.Sum256(data)
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// MarshalBinary is the manifest in canonical CBOR, as it is exchanged and
-// summed.
+// MarshalBinary encodes the manifest in canonical CBOR, as it is exchanged and
+// digested.
 func (m Manifest) MarshalBinary() ([]byte, error) {
-	return canonical.Marshal(plainManifest(m))
+	return canonicalMode.Marshal(plainManifest(m))
 }
 
-// UnmarshalBinary reads what MarshalBinary wrote; Join verifies the content.
+// UnmarshalBinary decodes what MarshalBinary returned; Join verifies the content.
+// The error wraps ErrDamaged.
 func (m *Manifest) UnmarshalBinary(data []byte) error {
 	var fresh plainManifest
 	if err := sectionReader.Unmarshal(data, &fresh); err != nil {
@@ -109,10 +111,10 @@
 	return nil
 }
 
-// plainManifest has no methods, so that the codec doesn't call them again.
+// plainManifest has no methods, so that the codec doesn't call them recursively.
 type plainManifest Manifest
 
-// Digest is the digest of the manifest.
+// Digest returns the digest of the manifest's encoding.
 func (m Manifest) Digest() (Digest, error) {
 	data, err := m.MarshalBinary()
 	if err != nil {
@@ -121,9 +123,9 @@
 	return DigestOf(data), nil
 }
 
-// Digest is the identity of the bundle: it covers every field. The order of
-// operators, regions, models, services, targets and workspaces among
-// themselves does not count, as they are known by their ids.
+// Digest returns the digest of the bundle, which covers every field. The order
+// within operators, regions, models, services, targets and workspaces does not
+// matter, as their items are identified by id.
 func (b *Bundle) Digest() (Digest, error) {
 	manifest, _, err := Split(b)
 	if err != nil {
@@ -132,26 +134,27 @@
 	return manifest.Digest()
 }
 
-// Split cuts a bundle into sections that are addressed by their content, so
-// that two instances exchange only those that differ.
+// Split splits a bundle into sections by digest, so that two instances exchange
+// only those that differ. The manifest lists them; Join is the inverse.
 func Split(b *Bundle) (Manifest, map[Digest][]byte, error) {
 	s := splitter{sections: map[Digest][]byte{}}
 	s.put(sectionHead, headOf(b))
-	s.put(sectionOperators, sorted(b.Operators, operatorID))
-	s.put(sectionRegions, sorted(b.Regions, regionID))
-	s.put(sectionModels, sorted(b.Models, modelID))
-	s.put(sectionServices, sorted(b.Services, serviceID))
-	for region, targets := range grouped(b.Targets, targetSection) {
-		s.put(region, sorted(targets, targetID))
+	s.put(sectionOperators, sortedByID(b.Operators, operatorID))
+	s.put(sectionRegions, sortedByID(b.Regions, regionID))
+	s.put(sectionModels, sortedByID(b.Models, modelID))
+	s.put(sectionServices, sortedByID(b.Services, serviceID))
+	for region, targets := range groupBySection(b.Targets, targetSection) {
+		s.put(region, sortedByID(targets, targetID))
 	}
-	for bucket, workspaces := range grouped(b.Workspaces, workspaceSection) {
-		s.put(bucket, sorted(workspaces, workspaceID))
+	for bucket, workspaces := range groupBySection(b.Workspaces, workspaceSection) {
+		s.put(bucket, sortedByID(workspaces, workspaceID))
 	}
 	slices.SortFunc(s.manifest.Sections, func(x, y SectionRef) int { return cmp.Compare(x.Name, y.Name) })
 	return s.manifest, s.sections, s.err
 }
 
-// Missing lists the sections of the manifest that the caller doesn't have.
+// Missing returns the digests of the manifest's sections for which have returns
+// false, each once.
 func Missing(m Manifest, have func(Digest) bool) []Digest {
 	var missing []Digest
 	for _, ref := range m.Sections {
@@ -162,16 +165,16 @@
 	return missing
 }
 
-// splitter collects sections.
+// splitter collects the sections of a bundle and the last error.
 type splitter struct {
 	manifest Manifest
 	sections map[Digest][]byte
 	err      error
 }
 
-// put encodes one section.
+// put encodes and adds one section.
 func (s *splitter) put(name string, content any) {
-	data, err := canonical.Marshal(content)
+	data, err := canonicalMode.Marshal(content)
 	if err != nil {
 		s.err = errors.Annotatef(err, "section %s", name)
 		return
@@ -181,7 +184,7 @@
 	s.manifest.Sections = append(s.manifest.Sections, SectionRef{Name: name, Digest: digest})
 }
 
-// The ids by which the lists of a bundle are known.
+// The ids of the items in the lists of a bundle.
 func operatorID(o Operator) string   { return o.ID }
 func regionID(r Region) string       { return r.ID }
 func modelID(m Model) string         { return m.ID }
@@ -189,24 +192,24 @@
 func targetID(t Target) string       { return t.ID }
 func workspaceID(w Workspace) string { return w.ID }
 
-// targetSection is the section that holds a target.
+// targetSection returns the name of the section of a target.
 func targetSection(t Target) string { return sectionTargets + t.Region }
 
-// workspaceSection is the section that holds a workspace.
+// workspaceSection returns the name of the section of a workspace.
 func workspaceSection(w Workspace) string {
 	sum := sha256.Sum256([]byte(w.ID))
 	return fmt.Sprintf("%s%02x", sectionWorkspaces, sum[0]%WorkspaceBuckets)
 }
 
-// sorted is a copy in the order of ids.
-func sorted[T any](list []T, id func(T) string) []T {
+// sortedByID returns a sorted copy of a list.
+func sortedByID[T any](list []T, id func(T) string) []T {
 	list = slices.Clone(list)
 	slices.SortStableFunc(list, func(x, y T) int { return cmp.Compare(id(x), id(y)) })
 	return list
 }
 
-// grouped spreads a list over sections.
-func grouped[T any](list []T, section func(T) string) map[string][]T {
+// groupBySection groups the items of a list by the name of their section.
+func groupBySection[T any](list []T, section func(T) string) map[string][]T {
 	groups := map[string][]T{}
 	for _, item := range list {
 		name := section(item)
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -15,7 +15,7 @@
 	Signatures []Signature `json:"signatures"`
 }
 
-// Signature is one operator's sign-off over version, parent and digest.
+// Signature is one operator's sign-off of version, parent and digest.
 type Signature struct {
 	// Operator is the id of the signer.
 	Operator string `json:"operator"`
@@ -26,30 +26,30 @@
 // ErrSignOffs marks a bundle without enough valid sign-offs.
 const ErrSignOffs = errors.ConstError("not enough valid sign-offs")
 
-// signedPurpose keeps a signature from being valid for anything else.
-const signedPurpose = "gullhaven bundle sign-off 1"
+// signaturePurpose prevents the use of a signature for another purpose.
+const signaturePurpose = "gullhaven bundle sign-off 1"
 
-// Trust says whose sign-offs a bundle needs, and how many of them.
+// Trust is the set of operators who may sign a bundle and the number of sign-offs
+// that it needs.
 type Trust struct {
 	Operators []Operator
-	// SignOffs is how many distinct operators must sign; at least 1.
+	// SignOffs is the number of distinct operators who must sign; at least 1.
 	SignOffs int
 }
 
-// Next is the trust that the bundle in force puts in operators for the next one.
+// NextTrust returns whose sign-offs the bundle after this one needs.
 func (b *Bundle) NextTrust() Trust {
 	return Trust{Operators: b.Operators, SignOffs: b.SignOffs}
 }
 
-// Identity is what names a bundle: it is what operators sign and what
-// acceptance compares.
+// Identity identifies a bundle. Operators sign it, and acceptance compares it.
 type Identity struct {
 	Version uint64 `json:"version"`
 	Parent  Digest `json:"parent,omitempty"`
 	Digest  Digest `json:"digest"`
 }
 
-// Identity of the bundle.
+// Identity returns the identity of the bundle.
 func (b *Bundle) Identity() (Identity, error) {
 	digest, err := b.Digest()
 	if err != nil {
@@ -58,12 +58,12 @@
 	return Identity{Version: b.Version, Parent: b.Parent, Digest: digest}, nil
 }
 
-// message is the signed text.
+// message returns the text that is signed.
 func (id Identity) message() []byte {
-	return fmt.Appendf(nil, "%s\nversion %d\nparent %q\ndigest %q\n", signedPurpose, id.Version, id.Parent, id.Digest)
+	return fmt.Appendf(nil, "%s\nversion %d\nparent %q\ndigest %q\n", signaturePurpose, id.Version, id.Parent, id.Digest)
 }
 
-// Sign makes one operator's sign-off.
+// Sign makes the sign-off of an operator with its private key.
 func Sign(id Identity, operator string, key ed25519.PrivateKey) Signature {
 	return Signature{
 		Operator: operator,
@@ -71,9 +71,9 @@
 	}
 }
 
-// Verify counts the distinct operators with a valid sign-off. The error wraps
-// ErrSignOffs and tells why each other signature doesn't count. One key counts
-// once, even under two ids: else one person could sign for two.
+// Verify checks that enough distinct operators of trust have signed. The error
+// wraps ErrSignOffs and gives the reason for each signature that doesn't count. A
+// key counts once, even under two ids; otherwise one person could sign for two.
 func Verify(id Identity, signatures []Signature, trust Trust) error {
 	counted := map[string]bool{}
 	var reasons []error
@@ -92,11 +92,11 @@
 	if len(counted) >= needed {
 		return nil
 	}
-	short := errors.Annotatef(ErrSignOffs, "%d of %d", len(counted), needed)
-	return stderrors.Join(append([]error{short}, reasons...)...)
+	tooFew := errors.Annotatef(ErrSignOffs, "%d of %d", len(counted), needed)
+	return stderrors.Join(append([]error{tooFew}, reasons...)...)
 }
 
-// check verifies one signature and returns the key that made it.
+// check verifies one signature and returns the public key of its operator.
 func (t Trust) check(id Identity, signature Signature) (string, error) {
 	operator, known := t.operator(signature.Operator)
 	if !known {
@@ -116,7 +116,7 @@
 	return string(key), nil
 }
 
-// operator finds an operator by id.
+// operator returns the operator with this id.
 func (t Trust) operator(id string) (Operator, bool) {
 	for _, operator := range t.Operators {
 		if operator.ID == id {
@@ -126,7 +126,7 @@
 	return Operator{}, false
 }
 
-// ParsePublicKey reads an Ed25519 public key in standard base64.
+// ParsePublicKey decodes an Ed25519 public key in standard base64.
 func ParsePublicKey(text string) (ed25519.PublicKey, error) {
 	key, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
