--- a/bundle/newest/pieces_test.go
+++ b/bundle/newest/pieces_test.go
@@ -98,7 +98,7 @@
 
 // Guards against proposing all pieces again after an operator's call ended before all were
 // committed: the next call, at another core instance, has to propose only the rest.
-func TestPiecesStayForTheNextTry(t *testing.T) {
+func TestPiecesStayForTheNextAttempt(t *testing.T) {
 	m := newest.NewMachine(nil)
 	s := lines(t, longText(3, 800))
 	all := m.Missing(&s.Manifest)
@@ -159,7 +159,7 @@
 
 // Guards against losing the state of a release that kept documents whole: its entries and
 // snapshots are still on disk and must be decoded, and later offers apply to them.
-func TestStatesOfBeforePiecesAreRead(t *testing.T) {
+func TestStatesWithoutPiecesAreDecoded(t *testing.T) {
 	old, err := cbor.Marshal(map[int]any{1: 7, 2: 4, 3: []byte("a document"), 4: map[string]uint64{"z": 5}})
 	if err != nil {
 		t.Fatal(err)
@@ -223,7 +223,7 @@
 			t.Errorf("holders %q", got)
 		}
 		if !machine.IsHolder("b") || machine.IsHolder("a") {
-			t.Error("an instance that was added may not hold, or one that is gone may")
+			t.Error("an instance that was added may not hold, or one that was removed may")
 		}
 	}
 	if m.State().Index != 0 {
--- a/bundle/routes/types.go
+++ b/bundle/routes/types.go
@@ -101,9 +101,9 @@
 	Slots int
 	// MemoryTokens bounds the tokens of running requests and cached prompt parts.
 	MemoryTokens int
-	// FetchMillisPerThousand is the time to fetch 1,000 tokens of cached prompt parts from
+	// FetchPerKilo is the time to fetch 1,000 tokens of cached prompt parts from
 	// another engine, in milliseconds; 0 if unknown.
-	FetchMillisPerThousand float64
+	FetchPerKilo float64
 }
 
 // Limits bound what a caller may send and how long sending may take.
--- a/bundle/spread/spread_test.go
+++ b/bundle/spread/spread_test.go
@@ -132,7 +132,7 @@
 // Guards against a status that reports a change as in force while a partitioned
 // region lacks it, or that names no instance behind. It happens if an accepted
 // version counts as in force.
-func TestRegionsTellWhoIsBehind(t *testing.T) {
+func TestRegionsReportWhoIsBehind(t *testing.T) {
 	w := newWorld(3, 3, 3, 2)
 	w.accept(bundletest.Sample(), changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return false })
@@ -162,7 +162,7 @@
 // reported five seconds later. A relay reports its region twice within a second,
 // first with members behind, then without; if the encoding truncates times to
 // seconds, the second state is no newer and is dropped.
-func TestInForceIsToldWithinASecond(t *testing.T) {
+func TestInForceIsReportedWithinASecond(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(seed, 3, 3, 3)
 		w.accept(bundletest.Sample(), changeNote)
--- a/node/entry/learn.go
+++ b/node/entry/learn.go
@@ -219,7 +219,7 @@
 			ColdFor: service.ColdFor, ColdPerSecond: service.ColdPerSecond, GapAim: index.GapAim(service.Name),
 		}
 		if service.Engine != nil {
-			rules.Engine, rules.FetchPerKilo = true, service.Engine.FetchMillisPerThousand
+			rules.Engine, rules.FetchPerKilo = true, service.Engine.FetchPerKilo
 		}
 		s.Rules[service.Name] = rules
 	}
