--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -122,7 +122,7 @@
 	hub     *link.Hub
 	node    *replhost.Node
 	machine *newest.Machine
-	board   *feed.Board
+	board   *feed.Store
 	kept    *kept
 	// documents are given to entry instances.
 	documents documents
@@ -142,7 +142,7 @@
 	// standing is what the log said lately; confirming shares one confirmation among
 	// those that ask for it together.
 	standing   standing
-	confirming duty.Shared
+	confirming duty.Coalescer
 	// unled says that a line told of first states that nobody could confirm.
 	unled atomic.Bool
 	// gossipNow wakes the gossip before its time.
@@ -162,7 +162,7 @@
 // duties.
 func New(o Options) (*Instance, error) {
 	i := &Instance{
-		o: o, log: o.Log, board: feed.NewBoard(o.Self, rand.Uint64()), members: admit.New(o.Admission),
+		o: o, log: o.Log, board: feed.NewStore(o.Self, rand.Uint64()), members: admit.New(o.Admission),
 		gossipNow: make(chan struct{}, 1),
 	}
 	i.metrics = metrics.NewSiteCore(i.shown)
@@ -264,7 +264,7 @@
 }
 
 // Board is the soft state.
-func (i *Instance) Board() *feed.Board { return i.board }
+func (i *Instance) Board() *feed.Store { return i.board }
 
 // Start begins the duties.
 func (i *Instance) Start() {
@@ -298,7 +298,7 @@
 		if !p.Voter || !p.CaughtUp {
 			continue
 		}
-		if err := i.node.Transfer(ctx, p.Member.ID); err != nil {
+		if err := i.node.TransferLeader(ctx, p.Member.ID); err != nil {
 			i.log.Warn("leadership was not handed over", zap.String("to", p.Member.ID), zap.Error(err))
 			continue
 		}
@@ -336,7 +336,7 @@
 
 // Ended is closed when the log has failed; the process should end then, so that
 // it is started anew on its disk.
-func (i *Instance) Ended() <-chan struct{} { return i.node.Ended() }
+func (i *Instance) Ended() <-chan struct{} { return i.node.Done() }
 
 // watchNode logs changes of the leader and the failure of the log.
 func (i *Instance) watchNode(ctx context.Context) {
@@ -347,7 +347,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-i.node.Ended():
+		case <-i.node.Done():
 			i.log.Error("the log has ended", zap.Error(i.node.Status().Err))
 			return
 		case <-tick.C:
--- a/pipeline/suspectcheck.go
+++ b/pipeline/suspectcheck.go
@@ -6,13 +6,13 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// SuspectCheck refuses requests that are known to take targets down.
+// SuspectCheck refuses poison requests: those known to crash targets.
 type SuspectCheck struct {
 	suspects ports.Suspects
 	now      func() time.Time
 }
 
-// Serve asks by digest, so that a resend under another id is recognised.
+// Serve checks the digest, so that it also finds a resend under another id.
 func (f *SuspectCheck) Serve(x *Exchange, next Handler) error {
 	if f.suspects != nil && f.suspects.Check(f.now(), x.Digest) == ports.SuspectRefused {
 		return refuseSuspect()
@@ -21,5 +21,5 @@
 }
 
 func refuseSuspect() error {
-	return refuse(CodeSuspect, "this request was running at targets that broke down")
+	return refuse(CodeSuspected, "this request was running at targets that broke down")
 }
