--- a/bundle/newest/pieces_test.go
+++ b/bundle/newest/pieces_test.go
@@ -57,7 +57,7 @@
 // Guards against a configuration in force that isn't complete, and against members that differ
 // after a snapshot. Operators race with configurations of many pieces, some of which are lost,
 // repeated or late. The highest version that was complete at its offer must win.
-func TestOnlyWholeConfigurationsAreTaken(t *testing.T) {
+func TestOnlyWholeConfigurationsAreAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newest.NewMachine(nil)
 		want, version := []byte(nil), uint64(0)
--- a/bundle/routes/workspace.go
+++ b/bundle/routes/workspace.go
@@ -27,7 +27,7 @@
 type Unit uint8
 
 const (
-	// Requests count one each.
+	// Requests counts each request as one.
 	Requests Unit = iota
 	// Tokens counts the tokens of the prompt and the most that the answer may have.
 	Tokens
--- a/bundle/strict/problem.go
+++ b/bundle/strict/problem.go
@@ -16,7 +16,7 @@
 type Problem struct {
 	// Path of the field, such as `targets[3].service`; empty for the document.
 	Path string `json:"path"`
-	// Message says what is wrong, for people.
+	// Message describes the problem.
 	Message string `json:"message"`
 }
 
--- a/bundle/types.go
+++ b/bundle/types.go
@@ -156,7 +156,7 @@
 	RoleDecode TargetRole = "decode"
 )
 
-// Target is one runner of one service.
+// Target serves the requests of one service.
 type Target struct {
 	ID      string      `json:"id"`
 	Service string      `json:"service"`
