--- a/bundle/routes/routes_test.go
+++ b/bundle/routes/routes_test.go
@@ -26,6 +26,7 @@
 	}
 }
 
+// Guards against requests that reach the route of another host or of a shorter prefix.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	x := routes.NewIndex(table())
 	for _, c := range []struct{ host, path, want string }{
@@ -50,6 +51,7 @@
 	}
 }
 
+// Guards against invalid tables that are accepted, or refused without the broken rule.
 func TestInvalidTablesAreRefusedWithTheRule(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -108,7 +110,7 @@
 	})
 }
 
-func TestRepeatableAndHomes(t *testing.T) {
+func TestRepeatableAndRegions(t *testing.T) {
 	for _, c := range []struct {
 		r    routes.Route
 		want bool
@@ -123,18 +125,18 @@
 			t.Errorf("%+v: %v", c.r, got)
 		}
 	}
-	r := routes.Route{Homes: []string{"x", "y"}}
+	r := routes.Route{Regions: []string{"x", "y"}}
 	if !r.Allows("y") || r.Allows("z") || !(&routes.Route{}).Allows("z") {
-		t.Error("homes")
+		t.Error("allowed regions")
 	}
 	tab := table()
-	tab.Routes[0].Homes = []string{"x"}
-	tab.Routes[1].Homes = []string{"y"}
+	tab.Routes[0].Regions = []string{"x"}
+	tab.Routes[1].Regions = []string{"y"}
 	x := routes.NewIndex(tab)
 	uses := map[string]int{"short": 7, "long": 1, "other": 3}
 	weight := func(route string) int { return uses[route] }
 	for region, want := range map[string]int{"x": 7, "y": 1, "z": 0} {
-		if got := x.HomeWeight("H.example", region, weight); got != want {
+		if got := x.RegionWeight("H.example", region, weight); got != want {
 			t.Errorf("region %s weighs %d, want %d", region, got, want)
 		}
 	}
