--- a/daemon/site.go
+++ b/daemon/site.go
@@ -220,8 +220,8 @@
 		return err
 	}
 	if err := r.listen(map[string]http.Handler{
-		s.Listen.Metrics:         i.Metrics(),
-		s.Listen.BindInstances(): i.Links(),
+		s.Listen.Metrics:         i.MetricsHandler(),
+		s.Listen.BindInstances(): i.PeerHandler(),
 		s.Listen.Operators:       platform.OperatorCalls(i),
 	}); err != nil {
 		return err
--- a/node/claims.go
+++ b/node/claims.go
@@ -78,7 +78,7 @@
 // seen. A member that only seems dead is left alone: if it was cut off it still
 // runs what it claimed, and would be refused every claim afterwards.
 func (k *keeper) observe(m membership.Member) {
-	start := members.DecodeMeta(m).Start
+	start := members.DecodeMeta(m).StartMillis
 	if start == 0 {
 		return
 	}
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -104,7 +104,7 @@
 	Format routes.Format
 	// ReadList reads the platform's list of targets and tells how many calls it took. It
 	// waits for the turn of each call.
-	ReadList func(ctx context.Context, turn Turn) (targets []feed.Target, calls int, err error)
+	ReadList func(ctx context.Context, turn Throttle) (targets []feed.Target, calls int, err error)
 	// ListRate is how many such calls the platform takes a second from all instances; 0
 	// where it does not say.
 	ListRate float64
@@ -237,11 +237,11 @@
 	}
 }
 
-// Links answers the links of other instances; mount it at link.DefaultPath.
-func (i *Instance) Links() http.Handler { return i.hub.Handler() }
+// PeerHandler answers the links of other instances; mount it at link.DefaultPath.
+func (i *Instance) PeerHandler() http.Handler { return i.hub.Handler() }
 
-// Metrics serves the metrics as text.
-func (i *Instance) Metrics() http.Handler { return i.metrics }
+// MetricsHandler serves the metrics as text.
+func (i *Instance) MetricsHandler() http.Handler { return i.metrics }
 
 // shown is the state that the metrics show.
 func (i *Instance) shown() metrics.CoreState {
@@ -263,8 +263,8 @@
 	return c
 }
 
-// Board is the soft state.
-func (i *Instance) Board() *feed.Board { return i.board }
+// Store is the soft state.
+func (i *Instance) Store() *feed.Board { return i.board }
 
 // Start begins the duties.
 func (i *Instance) Start() {
--- a/node/control/reading.go
+++ b/node/control/reading.go
@@ -41,9 +41,9 @@
 	longestCalls = 100
 )
 
-// Turn waits until the next call of the platform's list may be made. refused says that
+// Throttle waits until the next call of the platform's list may be made. refused says that
 // the last one was, as one too many. An error ends the reading.
-type Turn func(ctx context.Context, refused bool) error
+type Throttle func(ctx context.Context, refused bool) error
 
 // errLeftToAnother: a long first reading is made by the core instance of the first rank.
 const errLeftToAnother = errors.ConstError("the first list is read by another core instance")
@@ -131,7 +131,7 @@
 
 // turns paces the calls of one reading, which may be made beside each other, and cancels
 // it where none comes to its end in time.
-func (i *Instance) turns(cancel context.CancelFunc, first bool) Turn {
+func (i *Instance) turns(cancel context.CancelFunc, first bool) Throttle {
 	var mu sync.Mutex
 	calls := 0
 	late := time.AfterFunc(listTime, cancel)
--- a/node/directory.go
+++ b/node/directory.go
@@ -66,8 +66,8 @@
 	var entries []ports.DirectoryEntry
 	for _, m := range d.view().Alive() {
 		meta := members.DecodeMeta(m.Member)
-		if meta.Callers != "" {
-			entries = append(entries, entryOf(m.ID, meta.Callers, m.Region, m.Zone))
+		if meta.CallerAddress != "" {
+			entries = append(entries, entryOf(m.ID, meta.CallerAddress, m.Region, m.Zone))
 		}
 	}
 	return append(entries, d.others()...)
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -9,7 +9,7 @@
 )
 
 func member(id, zone string, state membership.State) membership.View {
-	meta, err := members.Meta{Callers: id + ":80"}.Encode()
+	meta, err := members.Meta{CallerAddress: id + ":80"}.Encode()
 	if err != nil {
 		panic(err)
 	}
--- a/node/groups.go
+++ b/node/groups.go
@@ -20,7 +20,7 @@
 // openGroups opens the groups that this instance is a voter of and makes
 // clients of all.
 func (n *Node) openGroups() error {
-	machine := rollout.NewMachine(n.s.Bootstrap.Trust(), n.spreader.Head, n.spreader.Accepted)
+	machine := rollout.NewMachine(n.s.Bootstrap.Trust(), n.spreader.Head, n.spreader.HandleAccepted)
 	voters := idsOf(n.s.Voters)
 	local, err := n.openGroup(voters, group.Options{
 		Name: globalGroup, StateMachine: machine, Prepare: machine.Prepare,
--- a/node/members/members.go
+++ b/node/members/members.go
@@ -29,11 +29,11 @@
 // Meta is what an instance tells of itself besides its place. It must encode
 // to at most membership.MaxMeta bytes.
 type Meta struct {
-	// Callers is IP:port of its interface for callers.
-	Callers string `cbor:"1,keyasint"`
-	// Start is when its process started, in Unix milliseconds: it names the
+	// CallerAddress is IP:port of its interface for callers.
+	CallerAddress string `cbor:"1,keyasint"`
+	// StartMillis is when its process started, in Unix milliseconds: it names the
 	// life of the instance, which stays the same over refutations.
-	Start uint64 `cbor:"2,keyasint"`
+	StartMillis uint64 `cbor:"2,keyasint"`
 }
 
 // Encode returns the form that DecodeMeta reads.
--- a/node/node.go
+++ b/node/node.go
@@ -70,8 +70,8 @@
 	Log      *zap.Logger
 	// DrainTime bounds the wait for requests in progress at Stop; default 60 s.
 	DrainTime time.Duration
-	// Allow, if set, cuts the links to peers for which it is false.
-	Allow func(peer string) bool
+	// AllowPeer, if set, cuts the links to peers for which it is false.
+	AllowPeer func(peer string) bool
 }
 
 // Node is one instance.
@@ -126,7 +126,7 @@
 		Urgent:     []string{members.Channel, group.MessageChannel(globalGroup), group.MessageChannel(regionGroup(n.s.Region))},
 		MaxMessage: maxLinkMessage,
 		Rand:       newRand(),
-		Allow:      o.Allow,
+		Allow:      o.AllowPeer,
 	})
 	if err != nil {
 		return nil, err
@@ -215,7 +215,7 @@
 		return fmt.Sprint(id, "/", n.life())
 	}
 	m, _ := n.view().Find(id)
-	return fmt.Sprint(id, "/", members.DecodeMeta(m.Member).Start)
+	return fmt.Sprint(id, "/", members.DecodeMeta(m.Member).StartMillis)
 }
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/node/peers.go
+++ b/node/peers.go
@@ -14,7 +14,7 @@
 )
 
 func (n *Node) openMembers() error {
-	meta, err := members.Meta{Callers: n.s.Advertise.Callers, Start: n.life()}.Encode()
+	meta, err := members.Meta{CallerAddress: n.s.Advertise.Callers, StartMillis: n.life()}.Encode()
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 
 func contactOf(m membership.View) roster.Contact {
 	return roster.Contact{
-		ID: m.ID, Region: m.Region, Zone: m.Zone, Address: m.Address, Callers: members.DecodeMeta(m.Member).Callers,
+		ID: m.ID, Region: m.Region, Zone: m.Zone, Address: m.Address, Callers: members.DecodeMeta(m.Member).CallerAddress,
 	}
 }
 
--- a/node/registered/registered_test.go
+++ b/node/registered/registered_test.go
@@ -219,7 +219,7 @@
 		r.restart(false)
 		r.tick(lifetime - 1)
 		r.wantRefused("a tick too early", registered.CodeBlocked, time.Second)
-		if s := r.table.Status(); s.State != registered.Waiting || s.Losses != 1 || s.Lost == 0 || s.Lost == s.Group {
+		if s := r.table.Status(); s.State != registered.Waiting || s.Losses != 1 || s.LostGroup == 0 || s.LostGroup == s.Group {
 			t.Errorf("%+v", s)
 		}
 		r.tick(1)
--- a/node/registered/registrar.go
+++ b/node/registered/registrar.go
@@ -124,7 +124,7 @@
 	case Waiting:
 		r.once(toldWaiting, func() {
 			r.o.Log.Warn("claims of the region were lost; new ones are refused", zap.String("group", r.o.Name),
-				zap.Duration("for", s.Left), zap.Uint64("lost", s.Lost), zap.Uint32("losses", s.Losses))
+				zap.Duration("for", s.Remaining), zap.Uint64("lost", s.LostGroup), zap.Uint32("losses", s.Losses))
 		})
 	case Open:
 		r.once(toldOpen, func() { r.o.Log.Info("claims of the region are taken", zap.String("group", r.o.Name)) })
--- a/node/registered/status.go
+++ b/node/registered/status.go
@@ -22,15 +22,15 @@
 // Status is what this replica knows.
 type Status struct {
 	State State
-	// Left is how long claims are refused in state Waiting, if the region has
+	// Remaining is how long claims are refused in state Waiting, if the region has
 	// a leader all the time.
-	Left time.Duration
+	Remaining time.Duration
 	// Group is the registered number; 0 in state Unregistered.
 	Group uint64
-	// Losses counts how often the region's claims were lost; Lost is the
+	// Losses counts how often the region's claims were lost; LostGroup is the
 	// number of the last lost group.
-	Losses uint32
-	Lost   uint64
+	Losses    uint32
+	LostGroup uint64
 	// Records is the number of claims held.
 	Records int
 }
@@ -40,13 +40,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.gate.Admission
-	s := Status{State: Open, Group: a.Group, Losses: a.Losses, Lost: a.Lost, Records: t.records}
+	s := Status{State: Open, Group: a.Group, Losses: a.Losses, LostGroup: a.Lost, Records: t.records}
 	switch {
 	case a.Group == 0:
 		s.State = Unregistered
 	case !t.gate.open():
 		s.State = Waiting
-		s.Left = time.Duration(t.gate.LeftSeconds) * time.Second
+		s.Remaining = time.Duration(t.gate.LeftSeconds) * time.Second
 	}
 	return s
 }
@@ -57,7 +57,7 @@
 	case Unregistered:
 		return "claims are refused: the region's group is not registered at the global group yet"
 	case Waiting:
-		return fmt.Sprintf("claims are refused for %v: the claims of group %016x were lost", s.Left, s.Lost)
+		return fmt.Sprintf("claims are refused for %v: the claims of group %016x were lost", s.Remaining, s.LostGroup)
 	}
 	return "claims are taken"
 }
@@ -69,7 +69,7 @@
 	case Open:
 		return nil
 	case Waiting:
-		e.Code, e.RetryAfter = CodeBlocked, s.Left
+		e.Code, e.RetryAfter = CodeBlocked, s.Remaining
 	default:
 		e.RetryAfter = retryUnregistered
 	}
--- a/node/rollout/spreader.go
+++ b/node/rollout/spreader.go
@@ -69,9 +69,9 @@
 	return s
 }
 
-// Accepted takes a bundle from this instance's replicated log. It never blocks;
+// HandleAccepted takes a bundle from this instance's replicated log. It never blocks;
 // of several that wait only the last one counts.
-func (s *Spreader) Accepted(b *bundle.Signed) {
+func (s *Spreader) HandleAccepted(b *bundle.Signed) {
 	s.accepted.Store(b)
 	select {
 	case s.wake <- struct{}{}:
