--- /dev/null
+++ b/node/control/accepted_file.go
@@ -0,0 +1,117 @@
+package control
+
+import (
+	"context"
+	"encoding/binary"
+	"os"
+	"path/filepath"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	"github.com/juju/errors"
+	"go.uber.org/zap"
+
+	"github.com/gullhaven/gullhaven/bundle/newest"
+	"github.com/gullhaven/gullhaven/coord/wal"
+)
+
+// acceptedFile stores the newest accepted state in a file of its own.
+//
+// Without it, a member that starts does not know how much of its log is committed until a
+// leader tells it. After a power loss of all machines, every entry instance would refuse all
+// requests for the 2 s that an election takes. The state in the file was accepted, which the
+// tail of the log does not say.
+type acceptedFile struct {
+	fs  wal.FS
+	dir string
+	log *zap.Logger
+	// next holds the state to write; a newer one replaces it.
+	next chan *newest.State
+}
+
+const (
+	acceptedName     = "accepted"
+	acceptedTempName = "accepted.new"
+	// checksumBytes is the length of the checksum before the state.
+	checksumBytes = 8
+)
+
+func newAcceptedFile(fs wal.FS, dir string, log *zap.Logger) *acceptedFile {
+	return &acceptedFile{fs: fs, dir: dir, log: log, next: make(chan *newest.State, 1)}
+}
+
+// save queues a state for writing, replacing one that still waits. It never blocks.
+func (k *acceptedFile) save(s *newest.State) {
+	for {
+		select {
+		case k.next <- s:
+			return
+		default:
+		}
+		select {
+		case <-k.next:
+		default:
+		}
+	}
+}
+
+// run writes queued states until ctx ends.
+func (k *acceptedFile) run(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case s := <-k.next:
+			if err := k.write(s); err != nil {
+				// The log holds the state; only a start without a leader lacks it.
+				k.log.Warn("accepted state was not kept beside the log", zap.Error(err))
+			}
+		}
+	}
+}
+
+func (k *acceptedFile) write(s *newest.State) error {
+	data, err := cbor.Marshal(s)
+	if err != nil {
+		return err
+	}
+	data = append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(data)), data...)
+	if err := k.fs.MkdirAll(k.dir); err != nil {
+		return err
+	}
+	temp := filepath.Join(k.dir, acceptedTempName)
+	f, err := k.fs.Create(temp)
+	if err != nil {
+		return err
+	}
+	_, err = f.WriteAt(data, 0)
+	if err == nil {
+		err = f.Sync()
+	}
+	if closed := f.Close(); err == nil {
+		err = closed
+	}
+	if err != nil {
+		return err
+	}
+	if err := k.fs.Rename(temp, filepath.Join(k.dir, acceptedName)); err != nil {
+		return err
+	}
+	return k.fs.SyncDir(k.dir)
+}
+
+// read returns the state in the file, nil if there is no file, and an error if the file cannot
+// be read. The instance then starts from the log alone.
+func (k *acceptedFile) read() (*newest.State, error) {
+	data, err := k.fs.ReadFile(filepath.Join(k.dir, acceptedName))
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	if len(data) < checksumBytes || binary.BigEndian.Uint64(data) != xxhash.Sum64(data[checksumBytes:]) {
+		return nil, errors.NotValidf("checksum of the accepted state")
+	}
+	return newest.DecodeState(data[checksumBytes:])
+}
--- a/node/control/kept_test.go
+++ b/node/control/accepted_file_test.go
@@ -13,11 +13,11 @@
 	"github.com/gullhaven/gullhaven/coord/wal/faultfs"
 )
 
-func newKeptOn(fs *faultfs.FS) *kept {
+func newAcceptedFileOn(fs *faultfs.FS) *acceptedFile {
 	if err := fs.MkdirAll("/d"); err != nil {
 		panic(err)
 	}
-	return newKept(fs, "/d", zap.NewNop())
+	return newAcceptedFile(fs, "/d", zap.NewNop())
 }
 
 func stateOf(version uint64, text string) *newest.State {
@@ -29,22 +29,21 @@
 	return &newest.State{Index: version, Version: version, Document: d, Root: d.Manifest.Root()}
 }
 
-// Symptom: after a loss of power all requests are refused until a leader is elected,
-// or are served by a configuration that was never accepted.
-// Events: power is lost at any operation of the writing of a state.
-// Cause: the file was torn, or held what was not synced.
-func TestKeptStateSurvivesAnyLossOfPower(t *testing.T) {
-	Convey("power is lost at each operation of the second writing", t, func() {
+// Guards against a truncated or unsynced file: after a power loss during a write, requests
+// would be refused until a leader is elected, or served with a configuration that was never
+// accepted.
+func TestAcceptedFileSurvivesPowerLoss(t *testing.T) {
+	Convey("power is lost at each operation of the second write", t, func() {
 		rng := rand.New(rand.NewPCG(1, 2))
 		for budget := 0; ; budget++ {
 			fs := faultfs.New()
-			k := newKeptOn(fs)
+			k := newAcceptedFileOn(fs)
 			So(k.write(stateOf(1, "one")), ShouldBeNil)
 			fs.CrashAfter(budget)
 			err := k.write(stateOf(2, "two"))
 			fs.Mend()
 			fs.PowerLoss(rng.IntN)
-			s, readErr := newKeptOn(fs).read()
+			s, readErr := newAcceptedFileOn(fs).read()
 			So(readErr, ShouldBeNil)
 			text, joinErr := s.Document.Join()
 			So(joinErr, ShouldBeNil)
@@ -57,14 +56,14 @@
 	})
 }
 
-func TestKeptStateIsReadOnlyIfWhole(t *testing.T) {
+func TestDamagedAcceptedFileIsNotRead(t *testing.T) {
 	Convey("no file, and a damaged one", t, func() {
 		fs := faultfs.New()
-		k := newKeptOn(fs)
+		k := newAcceptedFileOn(fs)
 		s, err := k.read()
 		So(err, ShouldBeNil)
 		So(s, ShouldBeNil)
-		f, err := fs.Create("/d/" + keptName)
+		f, err := fs.Create("/d/" + acceptedName)
 		So(err, ShouldBeNil)
 		_, err = f.WriteAt([]byte("neither a checksum nor a state"), 0)
 		So(err, ShouldBeNil)
@@ -73,10 +72,10 @@
 	})
 }
 
-func TestKeptTakesTheNewest(t *testing.T) {
-	k := newKeptOn(faultfs.New())
+func TestAcceptedFileSavesTheNewest(t *testing.T) {
+	k := newAcceptedFileOn(faultfs.New())
 	for v := range uint64(5) {
-		k.put(&newest.State{Version: v})
+		k.save(&newest.State{Version: v})
 	}
 	if s := <-k.next; s.Version != 4 {
 		t.Fatalf("version %d", s.Version)
--- a/node/control/reader.go
+++ b/node/control/document_reader.go
@@ -11,19 +11,20 @@
 	"github.com/gullhaven/gullhaven/node/duty"
 )
 
-// documentReader gets whole documents for an instance that holds none. Calls follow each
-// other; the newest document is kept, so that the next one needs what has changed only.
+// documentReader fetches whole documents for an instance that holds none. Calls run one after
+// the other. The newest document is kept, so that the next read fetches only what has changed.
 type documentReader struct {
 	mu   sync.Mutex
 	held map[pieces.Digest][]byte
-	// transfer is under way, over calls that ended before it was done.
+	// transfer is the one in progress; it outlives calls that end before it is complete.
 	transfer *pieces.Transfer
 }
 
-// source names the one that is asked, as there is one for each call.
-const source = "member"
+// memberSource is the source's name in a transfer: each call asks a single member.
+const memberSource = "member"
 
-// read returns the document of a name. ask asks somebody who has it.
+// read returns the document whose root is given. ask sends a question to a member that holds
+// the document. If ctx ends first, the received pieces are kept for the next call.
 func (r *documentReader) read(ctx context.Context, root pieces.Digest, ask func(context.Context, *pieces.Ask) (*pieces.Answer, error)) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,7 +32,7 @@
 		r.transfer = pieces.NewTransfer(func(d pieces.Digest) bool { return r.held[d] != nil })
 	}
 	for ctx.Err() == nil {
-		r.transfer.Want(time.Now(), root, source)
+		r.transfer.Want(time.Now(), root, memberSource)
 		q, wait := r.transfer.Next(time.Now())
 		if q == nil {
 			_ = duty.Pause(ctx, max(wait, time.Millisecond))
@@ -58,11 +59,11 @@
 		r.transfer.Failed(time.Now(), q)
 		return
 	}
-	// An answer of no use counts as a failure there; the next question follows after a pause.
+	// Answered counts a useless answer as a failure; the next question follows after a backoff.
 	_ = r.transfer.Answered(time.Now(), q, a)
 }
 
-// take puts a document together that has come whole.
+// take assembles a complete transfer and keeps its pieces.
 func (r *documentReader) take() []byte {
 	m, got := r.transfer.Take(time.Now())
 	document, all := m.Join(got, r.held)
--- a/node/control/reader_test.go
+++ b/node/control/document_reader_test.go
@@ -10,7 +10,7 @@
 	"github.com/gullhaven/gullhaven/coord/pieces"
 )
 
-// longDocument is one of many pieces that compress badly.
+// longDocument returns a document of many pieces that compress badly.
 func longDocument(t *testing.T, n int) ([]byte, *pieces.Document) {
 	t.Helper()
 	var text bytes.Buffer
@@ -26,15 +26,15 @@
 	return text.Bytes(), s.Pack()
 }
 
-// An instance outside of the group had a member read the whole configuration for an operator
-// in one call of 0.9 s, and again from the beginning for the next call. What has come of it
-// stays, and a configuration that changed a little needs what has changed.
-func TestReadsGoOnWhereTheyStopped(t *testing.T) {
+// Guards against a standby that reads a whole configuration from a member within one call of
+// 0.9 s, and starts over in the next call. Received pieces are kept, and a small change fetches
+// only the changed pieces.
+func TestDocumentReadsResume(t *testing.T) {
 	text, d := longDocument(t, 9000)
 	var holder pieces.Holder
 	holder.Put(d.Manifest.Root(), d)
-	asked := map[pieces.Digest]int{}
-	// Each call bears a few answers.
+	received := map[pieces.Digest]int{}
+	// Each call gets two answers.
 	var r documentReader
 	call := func(root pieces.Digest) ([]byte, error) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -47,7 +47,7 @@
 			}
 			answer := holder.Answer(a)
 			for k := range answer.Packed {
-				asked[a.Pieces[k]]++
+				received[a.Pieces[k]]++
 			}
 			return answer, nil
 		})
@@ -69,23 +69,23 @@
 	if calls < 3 {
 		t.Fatalf("%d calls: the document is too short for this test", calls)
 	}
-	for digest, n := range asked {
+	for digest, n := range received {
 		if n > 1 {
-			t.Errorf("%s came %d times", digest, n)
+			t.Errorf("%s was received %d times", digest, n)
 		}
 	}
-	if len(asked) != len(d.Manifest.Digests) {
-		t.Errorf("%d pieces came of %d", len(asked), len(d.Manifest.Digests))
+	if len(received) != len(d.Manifest.Digests) {
+		t.Errorf("%d pieces received of %d", len(received), len(d.Manifest.Digests))
 	}
 
 	longer, next := longDocument(t, 9001)
 	holder.Put(next.Manifest.Root(), next)
-	clear(asked)
+	clear(received)
 	got, err := call(next.Manifest.Root())
 	if err != nil || !bytes.Equal(got, longer) {
 		t.Fatalf("%d bytes of %d, %v", len(got), len(longer), err)
 	}
-	if len(asked) > 2 {
-		t.Errorf("%d pieces came for one more element", len(asked))
+	if len(received) > 2 {
+		t.Errorf("%d pieces received for one more element", len(received))
 	}
 }
--- a/node/control/documents.go
+++ b/node/control/documents.go
@@ -10,7 +10,7 @@
 	"github.com/gullhaven/gullhaven/coord/pieces"
 )
 
-// documents are the newest configurations, which entry instances ask for in pieces.
+// documents holds the newest configurations, which entry instances fetch in pieces.
 type documents struct {
 	mu     sync.Mutex
 	holder pieces.Holder
@@ -31,7 +31,7 @@
 	return d.holder.Answer(a)
 }
 
-// serveDocument answers an entry instance that asks for a configuration.
+// serveDocument answers an entry instance's request for pieces of a configuration.
 func (i *Instance) serveDocument(_ context.Context, _ string, payload []byte) ([]byte, error) {
 	var a pieces.Ask
 	if err := cbor.Unmarshal(payload, &a); err != nil {
@@ -40,11 +40,11 @@
 	return cbor.Marshal(i.documents.answer(&a))
 }
 
-// passDocument is serveDocument, answered by a member while this instance is outside of the
-// group and does not hold the configuration itself.
-func (i *Instance) passDocument(ctx context.Context, from string, payload []byte) ([]byte, error) {
-	if !i.isOutside() {
+// serveOrForwardDocument is serveDocument; a standby, which holds no configuration, forwards
+// the request to a member.
+func (i *Instance) serveOrForwardDocument(ctx context.Context, from string, payload []byte) ([]byte, error) {
+	if !i.isStandby() {
 		return i.serveDocument(ctx, from, payload)
 	}
-	return i.callMember(ctx, i.outside.nearest(), channelMemberDocument, payload)
+	return i.callMember(ctx, i.standby.nearest(), channelMemberDocument, payload)
 }
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -1,9 +1,9 @@
-// Package control runs a core instance: a member of the group that accepts
-// configurations, with the board of who is there.
+// Package control runs a core instance: a member of the group that accepts configurations, with
+// a store of the known instances and targets.
 //
-// Duties, each a goroutine: the member itself (coord/replhost), joining and
-// changing the group, reading the platform's list of targets, and gossip with the
-// other core instances. Entry instances and operators are answered on top.
+// It runs one goroutine for each of these: the group member (coord/replhost), joining and
+// changing the group, reading the platform's list of targets, and gossip with the other core
+// instances. It also answers entry instances and operators.
 package control
 
 import (
@@ -32,40 +32,40 @@
 	"github.com/gullhaven/gullhaven/node/quota"
 )
 
-// Times of the group, whose members are regions apart: the round trip between two
-// of them is 160 ms, and an election must not begin by one late heartbeat. After a
-// loss of power of all members a leader is there within 2 s.
+// Times of the group. Its members are in different regions with a round trip of 160 ms, and one
+// late heartbeat must not start an election. After a power loss of all members there is a
+// leader within 2 s.
 const (
-	heartbeat = 150 * time.Millisecond
-	election  = 900 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
+	electionTimeout   = 900 * time.Millisecond
 )
 
 const (
-	// snapshotEntries is the number of entries between snapshots, keepEntries of those kept
-	// for members that lag: more than a large configuration has pieces, so that a member
-	// which is a moment behind does not need all of them anew. With entries of appendBytes
-	// they are 9 MB of log.
+	// snapshotEntries is the number of log entries between snapshots. keepEntries of them are
+	// kept for lagging members: more than a large configuration has pieces, so that a member
+	// that is slightly behind does not need all pieces anew. At maxAppendBytes an entry, that
+	// is 9 MB of log.
 	snapshotEntries = 512
 	keepEntries     = 256
-	// maxDocument bounds a configuration in bytes, as the limit on a body does.
-	maxDocument = 4 << 20
-	// maxMessage bounds a message between instances: a snapshot with one document, and with
-	// pieces of others that were not offered yet.
-	maxMessage = 3*maxDocument + 1<<20
-	// appendBytes bounds the entries of one message between members: one that goes as one
-	// chunk keeps its place among the heartbeats.
-	appendBytes = 12 << 10
-	// callTime bounds one operation on the group. Operators give a call a second.
-	callTime = 900 * time.Millisecond
-	// firstTime bounds the confirmation for an instance that has just started: a
-	// round trip to the leader and one of its own to a majority.
-	firstTime = 350 * time.Millisecond
-	// serveWorkers bounds the calls of one channel that are answered at once:
-	// each entry instance waits in one.
-	serveWorkers = 256
+	// maxDocumentBytes bounds a configuration, as the limit on a request body does.
+	maxDocumentBytes = 4 << 20
+	// maxMessageBytes bounds a message between instances: a snapshot with one document, and
+	// with pieces of others that were not offered yet.
+	maxMessageBytes = 3*maxDocumentBytes + 1<<20
+	// maxAppendBytes bounds the entries in one message between members. A message that fits one
+	// chunk of the link is not delayed behind the heartbeats.
+	maxAppendBytes = 12 << 10
+	// callTimeout bounds one operation on the group. Operators allow a call one second.
+	callTimeout = 900 * time.Millisecond
+	// firstConfirmTimeout bounds the confirmation for an instance that has just started: a
+	// round trip to the leader, and one from the leader to a majority.
+	firstConfirmTimeout = 350 * time.Millisecond
+	// maxConcurrentCalls bounds the calls that one channel serves at once: each entry instance
+	// waits in one.
+	maxConcurrentCalls = 256
 )
 
-// Channels of the link.
+// Link channels.
 const (
 	channelGroup   = "group"
 	channelPropose = "propose"
@@ -73,43 +73,44 @@
 	channelGossip  = "gossip"
 	channelList    = "list"
 	channelRead    = "read"
-	// channelMember is ChannelReport at a member, which does not pass it on again.
-	channelMember = "member-report"
-	// ChannelReport is where entry instances report.
+	// channelMemberReport is ChannelReport at a member, which does not forward it again.
+	channelMemberReport = "member-report"
+	// ChannelReport takes the reports of entry instances.
 	ChannelReport = "report"
-	// ChannelDocument is where they ask for a configuration, see package pieces.
+	// ChannelDocument serves configurations to entry instances, see package pieces.
 	ChannelDocument = "document"
-	// channelMemberDocument is ChannelDocument at a member, which does not pass it on again.
+	// channelMemberDocument is ChannelDocument at a member, which does not forward it again.
 	channelMemberDocument = "member-document"
-	// channelMemberLimits is quota.ChannelReport at the leader, which does not pass it on again.
+	// channelMemberLimits is quota.ChannelReport at the leader, which does not forward it
+	// again.
 	channelMemberLimits = "member-limits"
 )
 
-// logFolder holds the replicated log.
-const logFolder = "log"
+// logDir is the folder of the replicated log, inside Options.Dir.
+const logDir = "log"
 
 // Options of an Instance.
 type Options struct {
 	Self feed.Core
 	// Regions are all regions of the site.
 	Regions []string
-	// Seeds are core instances by id.
+	// Seeds are the ids of core instances to contact first.
 	Seeds []string
-	// FirstStart says that the whole system starts for the first time; the seeds
-	// then form the group.
+	// FirstStart says that the whole system starts for the first time; the seeds then form the
+	// group.
 	FirstStart bool
-	// Dir is the folder on the disk, used by this instance alone.
+	// Dir is a folder on disk that no other instance uses.
 	Dir string
 	// Format reads and checks configurations.
 	Format routes.Format
-	// ReadList reads the platform's list of targets and tells how many calls it took. It
-	// waits for the turn of each call.
-	ReadList func(ctx context.Context, turn Throttle) (targets []feed.Target, calls int, err error)
-	// ListRate is how many such calls the platform takes a second from all instances; 0
-	// where it does not say.
+	// ReadList reads the platform's list of targets and returns how many calls that took. It
+	// must call throttle before each call to the platform.
+	ReadList func(ctx context.Context, throttle Throttle) (targets []feed.Target, calls int, err error)
+	// ListRate is how many such calls per second the platform accepts from all instances
+	// together; 0 if it sets no limit.
 	ListRate float64
 	Log      *zap.Logger
-	// Lines tells of missing log lines; nil where none are counted.
+	// Lines counts missing log lines; nil where none are counted.
 	Lines lines.Counts
 	// Admission bounds the group; zero fields take the defaults.
 	Admission admit.Rules
@@ -117,35 +118,36 @@
 
 // Instance is a core instance.
 type Instance struct {
-	o       Options
-	log     *zap.Logger
-	hub     *link.Hub
-	node    *replhost.Node
-	machine *newest.Machine
-	board   *feed.Board
-	kept    *kept
-	// documents are given to entry instances.
+	o            Options
+	log          *zap.Logger
+	hub          *link.Hub
+	node         *replhost.Node
+	machine      *newest.Machine
+	store        *feed.Board
+	acceptedFile *acceptedFile
+	// documents are served to entry instances.
 	documents documents
-	lagging   lagging
-	// first is the state that was accepted before the start; nil if unknown.
-	first   *newest.State
-	members *admit.Group
-	// membersMu guards members, which the joining duty and calls of others use.
+	lagging   lagTable
+	// startState is the state that was accepted before the start; nil if unknown.
+	startState *newest.State
+	members    *admit.Group
+	// membersMu guards members, which the joining goroutine and served calls use.
 	membersMu sync.Mutex
 	metrics   *metrics.Set
-	outside   outside
-	// newcomer says that this instance stands for a voter that is gone.
+	standby   standby
+	// newcomer says that this instance replaces a voter that is gone.
 	newcomer bool
-	dividing dividing
-	// reading is the reading duty's own.
-	reading reading
-	// standing is what the log said lately; confirming shares one confirmation among
-	// those that ask for it together.
-	standing   standing
-	confirming duty.Shared
-	// unled says that a line told of first states that nobody could confirm.
-	unled atomic.Bool
-	// gossipNow wakes the gossip before its time.
+	division limitDivision
+	// listReader belongs to the goroutine that reads the list.
+	listReader listReader
+	// positionCache holds this instance's recent place in the group; confirmations shares one
+	// confirmation among callers that ask for it at the same time.
+	positionCache positionCache
+	confirmations duty.Shared
+	// noLeaderLogged says that the log already has a line about first states that nobody could
+	// confirm.
+	noLeaderLogged atomic.Bool
+	// gossipNow triggers gossip before its interval ends.
 	gossipNow chan struct{}
 
 	cancel context.CancelFunc
@@ -155,19 +157,18 @@
 // transport sends the group's messages over the link.
 type transport struct{ hub *link.Hub }
 
-// Send queues a message; a full queue loses it, which the log tolerates.
+// Send queues a message. A full queue drops it, which the log tolerates.
 func (t transport) Send(to string, payload []byte) { t.hub.Send(to, channelGroup, payload) }
 
-// New recovers the log and registers what the instance answers. Start begins its
-// duties.
+// New recovers the log and registers the link handlers. Start begins the work.
 func New(o Options) (*Instance, error) {
 	i := &Instance{
-		o: o, log: o.Log, board: feed.NewBoard(o.Self, rand.Uint64()), members: admit.New(o.Admission),
+		o: o, log: o.Log, store: feed.NewBoard(o.Self, rand.Uint64()), members: admit.New(o.Admission),
 		gossipNow: make(chan struct{}, 1),
 	}
-	i.metrics = metrics.NewSiteCore(i.shown)
-	i.kept = newKept(wal.OS{}, o.Dir, o.Log)
-	i.machine = newest.NewMachine(i.changed)
+	i.metrics = metrics.NewSiteCore(i.coreState)
+	i.acceptedFile = newAcceptedFile(wal.OS{}, o.Dir, o.Log)
+	i.machine = newest.NewMachine(i.onAccepted)
 	hub, err := link.New(LinkOptions(o.Self.ID))
 	if err != nil {
 		return nil, err
@@ -175,85 +176,86 @@
 	i.hub = hub
 	core := replog.Options{
 		Self:              replog.Member{ID: o.Self.ID},
-		HeartbeatInterval: heartbeat,
-		ElectionTimeout:   election,
-		MaxAppendBytes:    appendBytes,
+		HeartbeatInterval: heartbeatInterval,
+		ElectionTimeout:   electionTimeout,
+		MaxAppendBytes:    maxAppendBytes,
 	}
 	if o.FirstStart && slices.Contains(o.Seeds, o.Self.ID) {
 		core.Bootstrap = &replog.Bootstrap{Voters: o.Seeds}
 	}
 	i.node, err = replhost.Open(replhost.Options{
-		Core: core, Dir: filepath.Join(o.Dir, logFolder), Transport: transport{hub}, StateMachine: i.machine, Clock: replhost.BootClock{},
-		SnapshotEntries: snapshotEntries, KeepEntries: keepEntries, MaxProposalBytes: maxDocument + 1<<10,
+		Core: core, Dir: filepath.Join(o.Dir, logDir), Transport: transport{hub}, StateMachine: i.machine, Clock: replhost.BootClock{},
+		SnapshotEntries: snapshotEntries, KeepEntries: keepEntries, MaxProposalBytes: maxDocumentBytes + 1<<10,
 		Repair: true, Promote: func(replog.Member) bool { return true },
 	})
 	if err != nil {
 		hub.Close()
 		return nil, err
 	}
-	if i.first, err = i.kept.read(); err != nil {
-		// The log tells it as soon as there is a leader.
+	if i.startState, err = i.acceptedFile.read(); err != nil {
+		// The log provides the state once there is a leader.
 		i.log.Warn("accepted state beside the log cannot be read", zap.Error(err))
 	}
-	if i.first != nil {
-		i.documents.put(i.first)
-		o.Log.Info("accepted before the start", zap.Uint64("version", i.first.Version), zap.Uint64("index", i.first.Index))
+	if i.startState != nil {
+		i.documents.put(i.startState)
+		o.Log.Info("accepted before the start", zap.Uint64("version", i.startState.Version), zap.Uint64("index", i.startState.Index))
 	}
 	i.newcomer = i.node.Status().New && !o.FirstStart
 	hub.Handle(channelGroup, i.node.Receive)
-	hub.Handle(channelGossip, i.gossiped)
-	hub.Serve(channelPropose, serveWorkers, i.servePropose)
-	hub.Serve(channelJoin, serveWorkers, i.serveJoin)
-	hub.Serve(channelList, serveWorkers, i.serveList)
-	hub.Serve(channelRead, serveWorkers, i.serveRead)
-	hub.Serve(channelMember, serveWorkers, i.serveReport)
-	hub.Serve(ChannelReport, serveWorkers, i.passReport)
-	hub.Serve(channelMemberDocument, serveWorkers, i.serveDocument)
-	hub.Serve(ChannelDocument, serveWorkers, i.passDocument)
-	hub.Serve(quota.ChannelReport, serveWorkers, i.passLimits)
-	hub.Serve(channelMemberLimits, serveWorkers, i.serveLimits)
+	hub.Handle(channelGossip, i.handleGossip)
+	hub.Serve(channelPropose, maxConcurrentCalls, i.servePropose)
+	hub.Serve(channelJoin, maxConcurrentCalls, i.serveJoin)
+	hub.Serve(channelList, maxConcurrentCalls, i.serveList)
+	hub.Serve(channelRead, maxConcurrentCalls, i.serveRead)
+	hub.Serve(channelMemberReport, maxConcurrentCalls, i.serveReport)
+	hub.Serve(ChannelReport, maxConcurrentCalls, i.serveOrForwardReport)
+	hub.Serve(channelMemberDocument, maxConcurrentCalls, i.serveDocument)
+	hub.Serve(ChannelDocument, maxConcurrentCalls, i.serveOrForwardDocument)
+	hub.Serve(quota.ChannelReport, maxConcurrentCalls, i.serveOrForwardLimits)
+	hub.Serve(channelMemberLimits, maxConcurrentCalls, i.serveLimits)
 	return i, nil
 }
 
-// LinkOptions are those of the links between core and entry instances: ids are
-// addresses, and the network between the instances is private.
+// LinkOptions returns the options for links between core and entry instances. Ids are
+// addresses, and the network between the instances is private. urgent lists further urgent
+// channels.
 func LinkOptions(self string, urgent ...string) link.Options {
 	return link.Options{
 		Plain:       self,
 		Address:     func(id string) (string, bool) { return id, true },
 		Urgent:      append(urgent, channelGroup),
-		MaxMessage:  maxMessage,
+		MaxMessage:  maxMessageBytes,
 		DialTimeout: time.Second,
-		// Two round trips between regions and some; TCP would send a lost first packet again
-		// after a second, as where core instances come back a moment later than entry
-		// instances after a loss of power of all.
+		// A bit more than two round trips between regions. TCP would resend a lost first packet
+		// only after a second, for example when core instances come back a moment later than
+		// entry instances after a power loss of all.
 		ConnectTimeout: 400 * time.Millisecond,
 		PingAfter:      700 * time.Millisecond,
 		PingTimeout:    700 * time.Millisecond,
-		// All processes may start at the same moment after a loss of power: whoever
-		// finds the other end not listening yet asks again soon.
+		// After a power loss all processes may start at the same moment: a peer that does not
+		// listen yet is tried again soon.
 		BackoffCeil: 200 * time.Millisecond,
 		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
-// PeerHandler answers the links of other instances; mount it at link.DefaultPath.
+// PeerHandler serves the links of other instances; mount it at link.DefaultPath.
 func (i *Instance) PeerHandler() http.Handler { return i.hub.Handler() }
 
 // MetricsHandler serves the metrics as text.
 func (i *Instance) MetricsHandler() http.Handler { return i.metrics }
 
-// shown is the state that the metrics show.
-func (i *Instance) shown() metrics.CoreState {
+// coreState returns the state that the metrics show.
+func (i *Instance) coreState() metrics.CoreState {
 	now, s := time.Now(), i.node.Status()
 	c := metrics.CoreState{
 		Leads: s.Core.Role == replog.Leader, Term: int64(s.Core.Term), Applied: int64(s.Applied),
 		Behind: int64(s.Core.Commit) - int64(s.Applied), Voters: int64(len(s.Core.Config.Voters)),
-		Version: int64(i.accepted().Version), ListAge: -1, Entries: int64(len(i.board.Entries(now))),
-		Cores: int64(len(i.board.Cores(now))), Syncs: int64(s.Counters.Syncs), SyncedEntries: int64(s.Counters.SyncedEntries),
+		Version: int64(i.accepted().Version), ListAge: -1, Entries: int64(len(i.store.Entries(now))),
+		Cores: int64(len(i.store.Cores(now))), Syncs: int64(s.Counters.Syncs), SyncedEntries: int64(s.Counters.SyncedEntries),
 	}
 	c.Links, c.EntriesBehind = metrics.SumLinks(i.hub.Stats()), int64(i.lagging.count(now))
-	if l := i.board.List(); !l.ReadAt.IsZero() {
+	if l := i.store.List(); !l.ReadAt.IsZero() {
 		c.ListAge, c.Targets = now.Sub(l.ReadAt).Milliseconds(), int64(len(l.Targets))
 	}
 	if i.o.Lines != nil {
@@ -263,21 +265,21 @@
 	return c
 }
 
-// Store is the soft state.
-func (i *Instance) Store() *feed.Board { return i.board }
+// Store returns the store of known instances and targets, which is kept in memory only.
+func (i *Instance) Store() *feed.Board { return i.store }
 
-// Start begins the duties.
+// Start begins the background work.
 func (i *Instance) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	i.cancel = cancel
-	for _, duty := range []func(context.Context){i.runJoining, i.runList, i.runGossip, i.runWakes, i.watchNode, i.kept.run} {
+	for _, duty := range []func(context.Context){i.runJoining, i.runList, i.runGossip, i.runWakes, i.watchNode, i.acceptedFile.run} {
 		i.wg.Go(func() { duty(ctx) })
 	}
 }
 
-// Stop hands leadership on, ends the duties and closes the log.
+// Stop transfers leadership, ends the background work and closes the log.
 func (i *Instance) Stop() error {
-	i.handOver()
+	i.transferLeadership()
 	i.cancel()
 	err := i.node.Stop()
 	i.hub.Close()
@@ -285,14 +287,14 @@
 	return err
 }
 
-// handOver gives leadership to a voter that answers, so that no election timeout
-// passes without a leader.
-func (i *Instance) handOver() {
+// transferLeadership transfers leadership to a voter that answers, so that the group need not
+// wait for an election timeout without a leader.
+func (i *Instance) transferLeadership() {
 	s := i.node.Status().Core
 	if s.Role != replog.Leader {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	for _, p := range s.Peers {
 		if !p.Voter || !p.CaughtUp {
@@ -308,7 +310,7 @@
 }
 
 func (i *Instance) awaitSuccessor(ctx context.Context) {
-	tick := time.NewTicker(heartbeat / 4)
+	tick := time.NewTicker(heartbeatInterval / 4)
 	defer tick.Stop()
 	for i.node.Status().Core.Role == replog.Leader {
 		select {
@@ -319,7 +321,7 @@
 	}
 }
 
-// Members are the ids of the group's voters and of those that learn.
+// Members returns the ids of the group's voters and learners.
 func (i *Instance) Members() (voters, learners []string) {
 	c := i.node.Status().Core.Config
 	for _, m := range c.Voters {
@@ -331,16 +333,16 @@
 	return voters, learners
 }
 
-// Leader is the id of the leader that this instance hears from; empty if there is none.
-func (i *Instance) Leader() string { return i.stands().leader }
+// Leader returns the id of the leader that this instance hears from; empty if there is none.
+func (i *Instance) Leader() string { return i.position().leader }
 
-// Ended is closed when the log has failed; the process should end then, so that
-// it is started anew on its disk.
+// Ended returns a channel that is closed when the log has failed. The process should then end,
+// so that it is restarted on its disk.
 func (i *Instance) Ended() <-chan struct{} { return i.node.Ended() }
 
 // watchNode logs changes of the leader and the failure of the log.
 func (i *Instance) watchNode(ctx context.Context) {
-	tick := time.NewTicker(heartbeat)
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	var leader string
 	for {
@@ -357,29 +359,29 @@
 			continue
 		}
 		leader = s.Leader.ID
-		// Those that wait for a leader hear of it.
-		i.board.Wake()
-		i.unled.Store(false)
+		// Wakes the calls that wait for a leader.
+		i.store.Wake()
+		i.noLeaderLogged.Store(false)
 		i.log.Info("leader", zap.String("leader", leader), zap.Uint64("term", s.Term),
 			zap.Stringer("config", s.Config), zap.Uint64("applied", s.Applied))
 	}
 }
 
-// changed is called after each change of the accepted state.
-func (i *Instance) changed(s *newest.State) {
+// onAccepted is called after each change of the accepted state.
+func (i *Instance) onAccepted(s *newest.State) {
 	i.log.Info("accepted", zap.Uint64("version", s.Version), zap.Uint64("index", s.Index),
 		zap.Strings("evacuated", s.Zones()))
 	i.documents.put(s)
-	i.kept.put(s)
-	i.board.Wake()
+	i.acceptedFile.save(s)
+	i.store.Wake()
 }
 
-// accepted is the newest state that is known to be accepted. The log's own may be
-// behind the one kept beside it until a leader tells how far it is committed.
+// accepted returns the newest state that is known to be accepted. The log's own state may be
+// behind the one in the accepted file until a leader tells how far the log is committed.
 func (i *Instance) accepted() *newest.State {
 	s := i.machine.State()
-	if i.first != nil && i.first.Index > s.Index {
-		return i.first
+	if i.startState != nil && i.startState.Index > s.Index {
+		return i.startState
 	}
 	return s
 }
--- a/node/control/joining.go
+++ b/node/control/joining.go
@@ -16,116 +16,116 @@
 )
 
 const (
-	// joinInterval is the time between two applications of a member, and between
-	// two looks of the leader at its group.
+	// joinInterval is the time between two join requests of a member, and between two checks of
+	// the group by its leader.
 	joinInterval = 300 * time.Millisecond
-	// outsideInterval is the time between two applications of an instance for which
-	// the group has no place: under the age at which an application is void, and 100
-	// of them cost the leader 70 calls a second.
-	outsideInterval = 1500 * time.Millisecond
-	// joinTime bounds one application: two wide-area trips.
-	joinTime = 500 * time.Millisecond
-	// changeTime bounds one change of the group.
-	changeTime = 2 * time.Second
+	// standbyInterval is the time between two join requests of a standby. It is below the age
+	// at which a request expires; 100 standbys cost the leader 70 calls per second.
+	standbyInterval = 1500 * time.Millisecond
+	// joinTimeout bounds one join request: two wide-area trips.
+	joinTimeout = 500 * time.Millisecond
+	// changeTimeout bounds one change of the group.
+	changeTimeout = 2 * time.Second
 )
 
-// application asks the leader for membership.
-type application struct {
+// joinRequest asks the leader for membership.
+type joinRequest struct {
 	Member   replog.Member `cbor:"1,keyasint"`
 	Zone     string        `cbor:"2,keyasint"`
 	Newcomer bool          `cbor:"3,keyasint,omitempty"`
 	Region   string        `cbor:"4,keyasint,omitempty"`
 }
 
-// reception answers an application.
-type reception struct {
-	// Leader is who leads, as far as the answering instance knows.
+// joinReply answers a joinRequest.
+type joinReply struct {
+	// Leader is the leader's id, as far as the answering instance knows.
 	Leader string `cbor:"1,keyasint,omitempty"`
-	// Leads says that the answer comes from the leader itself.
-	Leads bool `cbor:"2,keyasint,omitempty"`
-	// Known says that the group held the id before the application; Settled that
-	// the applicant is no newcomer any more.
+	// FromLeader says that the answer comes from the leader itself.
+	FromLeader bool `cbor:"2,keyasint,omitempty"`
+	// Known says that the group held the id before the request; Settled says that the
+	// requesting instance is no newcomer any more.
 	Known   bool `cbor:"3,keyasint,omitempty"`
 	Settled bool `cbor:"4,keyasint,omitempty"`
-	// Full says that the group has no place for the applicant now; Members are then
-	// those that it passes on to what it is asked.
+	// Full says that the group has no place for the requesting instance now. Members are then
+	// the ones to which it forwards requests.
 	Full    bool        `cbor:"5,keyasint,omitempty"`
 	Members []feed.Core `cbor:"6,keyasint,omitempty"`
 }
 
-// runJoining applies for membership again and again, which also tells the leader
-// the zones of its members, and changes the group while this instance leads.
+// runJoining repeats this instance's join request, which also reports its zone to the leader.
+// While this instance leads, it changes the group instead.
 func (i *Instance) runJoining(ctx context.Context) {
-	asked, at := false, -1
+	requested, attempt := false, -1
 	var notBefore time.Time
 	duty.Every(ctx, joinInterval, func(time.Time) {
-		at++
+		attempt++
 		if time.Now().Before(notBefore) {
 			return
 		}
 		if i.node.Status().Core.Role == replog.Leader {
-			i.serveApplication(i.application())
+			i.answerJoin(i.joinRequest())
 			i.changeGroup(ctx)
 			return
 		}
-		r, ok := i.apply(ctx, at)
+		r, ok := i.requestJoin(ctx, attempt)
 		if !ok {
 			return
 		}
-		if i.outside.note(i.o.Self, &r) {
+		if i.standby.update(i.o.Self, &r) {
 			i.log.Info("place in the group", zap.Bool("outside", r.Full), zap.Int("members", len(r.Members)))
 		}
 		if r.Full {
-			notBefore = time.Now().Add(outsideInterval)
+			notBefore = time.Now().Add(standbyInterval)
 		}
-		if r.Settled || r.Known && !asked {
+		if r.Settled || r.Known && !requested {
 			i.newcomer = false
 		}
-		asked = true
+		requested = true
 	})
 }
 
-func (i *Instance) application() application {
-	return application{Member: i.node.Member(), Region: i.o.Self.Region, Zone: i.o.Self.Zone, Newcomer: i.newcomer}
+func (i *Instance) joinRequest() joinRequest {
+	return joinRequest{Member: i.node.Member(), Region: i.o.Self.Region, Zone: i.o.Self.Zone, Newcomer: i.newcomer}
 }
 
-// apply asks the leader, or another core instance for who leads.
-func (i *Instance) apply(ctx context.Context, at int) (reception, bool) {
-	to := cmp.Or(i.node.Status().Core.Leader.ID, i.outside.leaderID())
+// requestJoin sends a join request to the leader. If none is known it asks another core
+// instance, by attempt, for the leader. It returns false if the leader did not answer.
+func (i *Instance) requestJoin(ctx context.Context, attempt int) (joinReply, bool) {
+	to := cmp.Or(i.node.Status().Core.Leader.ID, i.standby.leaderID())
 	if to == "" {
 		others := i.others()
 		if len(others) == 0 {
-			return reception{}, false
+			return joinReply{}, false
 		}
-		to = others[at%len(others)]
+		to = others[attempt%len(others)]
 	}
-	r := i.ask(ctx, to)
+	r := i.sendJoin(ctx, to)
 	if r == nil {
-		i.outside.lost(to)
+		i.standby.demote(to)
 	}
-	if r != nil && !r.Leads && r.Leader != "" && r.Leader != to && r.Leader != i.o.Self.ID {
-		r = i.ask(ctx, r.Leader)
+	if r != nil && !r.FromLeader && r.Leader != "" && r.Leader != to && r.Leader != i.o.Self.ID {
+		r = i.sendJoin(ctx, r.Leader)
 	}
-	if r == nil || !r.Leads {
-		return reception{}, false
+	if r == nil || !r.FromLeader {
+		return joinReply{}, false
 	}
 	return *r, true
 }
 
-func (i *Instance) ask(ctx context.Context, to string) *reception {
-	payload, err := cbor.Marshal(i.application())
+func (i *Instance) sendJoin(ctx context.Context, to string) *joinReply {
+	payload, err := cbor.Marshal(i.joinRequest())
 	if err != nil {
 		i.log.Error("an application cannot be written", zap.Error(err))
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, joinTime)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	answer, err := i.hub.Call(ctx, to, channelJoin, payload)
 	if err != nil {
-		// Counted by the hub; the next turn asks again.
+		// The hub counts the failure; the next round asks again.
 		return nil
 	}
-	var r reception
+	var r joinReply
 	if err := cbor.Unmarshal(answer, &r); err != nil {
 		i.log.Warn("an answer to an application cannot be read", zap.String("from", to), zap.Error(err))
 		return nil
@@ -133,7 +133,7 @@
 	return &r
 }
 
-// others are the core instances known: members, those heard of, and seeds.
+// others returns the ids of the known core instances: members, those heard from, and seeds.
 func (i *Instance) others() []string {
 	seen := map[string]bool{i.o.Self.ID: true}
 	var out []string
@@ -146,7 +146,7 @@
 	for _, m := range i.node.Status().Core.Config.Members() {
 		add(m.ID)
 	}
-	for _, c := range i.board.Cores(time.Now()) {
+	for _, c := range i.store.Cores(time.Now()) {
 		add(c.ID)
 	}
 	for _, id := range i.o.Seeds {
@@ -156,44 +156,44 @@
 }
 
 func (i *Instance) serveJoin(_ context.Context, _ string, payload []byte) ([]byte, error) {
-	var a application
+	var a joinRequest
 	if err := cbor.Unmarshal(payload, &a); err != nil {
 		return nil, err
 	}
-	return cbor.Marshal(i.serveApplication(a))
+	return cbor.Marshal(i.answerJoin(a))
 }
 
-func (i *Instance) serveApplication(a application) reception {
+func (i *Instance) answerJoin(a joinRequest) joinReply {
 	s := i.node.Status().Core
 	if s.Role != replog.Leader {
-		return reception{Leader: s.Leader.ID}
+		return joinReply{Leader: s.Leader.ID}
 	}
 	i.membersMu.Lock()
 	defer i.membersMu.Unlock()
-	applicant := admit.JoinRequest{Member: a.Member, Region: a.Region, Zone: a.Zone, Newcomer: a.Newcomer, At: time.Now()}
-	i.members.RecordRequest(applicant)
+	request := admit.JoinRequest{Member: a.Member, Region: a.Region, Zone: a.Zone, Newcomer: a.Newcomer, At: time.Now()}
+	i.members.RecordRequest(request)
 	_, known := s.Config.Lookup(a.Member.ID)
-	r := reception{Leader: i.o.Self.ID, Leads: true, Known: known, Settled: i.members.Settled(s, a.Member)}
-	if i.members.Full(applicant.At, s, applicant) {
+	r := joinReply{Leader: i.o.Self.ID, FromLeader: true, Known: known, Settled: i.members.Settled(s, a.Member)}
+	if i.members.Full(request.At, s, request) {
 		r.Full, r.Members = true, i.liveMembers(s.Config)
 	}
 	return r
 }
 
-// liveMembers are the members that were heard lately.
+// liveMembers returns the members that were heard from lately.
 func (i *Instance) liveMembers(c replog.Config) []feed.Core {
-	return slices.DeleteFunc(i.board.Cores(time.Now()), func(core feed.Core) bool {
+	return slices.DeleteFunc(i.store.Cores(time.Now()), func(core feed.Core) bool {
 		_, in := c.Lookup(core.ID)
 		return !in
 	})
 }
 
-// changeGroup makes the change that the group needs, if it needs one.
+// changeGroup makes the next change that the group needs, if any.
 func (i *Instance) changeGroup(ctx context.Context) {
 	s := i.node.Status().Core
 	now := time.Now()
 	active := func(p replog.Peer) bool {
-		return !p.Active.IsZero() && i.clock().Sub(p.Active) < election
+		return !p.Active.IsZero() && i.clock().Sub(p.Active) < electionTimeout
 	}
 	i.membersMu.Lock()
 	change, ok := i.members.Next(now, s, active)
@@ -201,7 +201,7 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, changeTime)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	err := i.node.Change(ctx, change)
 	i.log.Info("group changed", zap.Stringer("kind", change.Kind), zap.Stringer("member", change.Member), zap.Error(err))
--- a/node/control/lagging.go
+++ b/node/control/lagging.go
@@ -9,78 +9,80 @@
 	"github.com/gullhaven/gullhaven/node/feed"
 )
 
-// lagAfter is how long an entry instance may lack what is accepted before it counts as
-// behind: within that time a change is to be in force everywhere.
-const lagAfter = 4 * time.Second
+// lagThreshold is how long an entry instance may lack the newest accepted state before it
+// counts as behind: a change must be in force everywhere within that time.
+const lagThreshold = 4 * time.Second
 
-// lagging knows which entry instances that report here lack the newest accepted state.
-type lagging struct {
-	mu sync.Mutex
-	by map[string]lag
+// lagTable records which of the entry instances that report here lack the newest accepted
+// state.
+type lagTable struct {
+	mu         sync.Mutex
+	byInstance map[string]lag
 }
 
 type lag struct {
-	// since is when a report first told of the lack, heard when the last one did.
-	since, heard time.Time
-	held         uint64
-	told         bool
+	// since is when a report first showed the lag, reportedAt when the last one did.
+	since, reportedAt time.Time
+	held              uint64
+	logged            bool
 }
 
-// note takes in a report of what an instance holds, and returns the lag once when it has
-// become too long, and once when that is over.
-func (l *lagging) note(now time.Time, id string, held, accepted uint64) (late, over *lag) {
+// record takes in which state an instance holds. It returns newLag once when the lag exceeds
+// lagThreshold, and ended once when such a lag is over.
+func (l *lagTable) record(now time.Time, id string, held, accepted uint64) (newLag, ended *lag) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.by == nil {
-		l.by = map[string]lag{}
+	if l.byInstance == nil {
+		l.byInstance = map[string]lag{}
 	}
-	known, was := l.by[id]
+	last, seen := l.byInstance[id]
 	if held >= accepted {
-		delete(l.by, id)
-		if known.told {
-			return nil, &known
+		delete(l.byInstance, id)
+		if last.logged {
+			return nil, &last
 		}
 		return nil, nil
 	}
-	if !was || now.Sub(known.heard) >= feed.EntryLife {
-		// It may have held all of it meanwhile, or have started anew.
-		known = lag{since: now}
+	if !seen || now.Sub(last.reportedAt) >= feed.EntryLife {
+		// It may have caught up meanwhile, or have restarted.
+		last = lag{since: now}
 	}
-	known.heard, known.held = now, held
-	if !known.told && now.Sub(known.since) >= lagAfter {
-		known.told = true
-		late = &known
+	last.reportedAt, last.held = now, held
+	if !last.logged && now.Sub(last.since) >= lagThreshold {
+		last.logged = true
+		newLag = &last
 	}
-	l.by[id] = known
-	return late, nil
+	l.byInstance[id] = last
+	return newLag, nil
 }
 
-// count is how many instances are behind for too long. Those that were not heard lately are
-// forgotten.
-func (l *lagging) count(now time.Time) (n int) {
+// count returns how many instances are behind for longer than lagThreshold. It removes those
+// that have not reported lately.
+func (l *lagTable) count(now time.Time) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, known := range l.by {
+	for id, known := range l.byInstance {
 		switch {
-		case now.Sub(known.heard) >= feed.EntryLife:
-			delete(l.by, id)
-		case known.told:
+		case now.Sub(known.reportedAt) >= feed.EntryLife:
+			delete(l.byInstance, id)
+		case known.logged:
 			n++
 		}
 	}
 	return n
 }
 
-// noteHeld tells of entry instances that are behind and of those that are not any more.
-func (i *Instance) noteHeld(now time.Time, r *feed.Report) {
+// recordLag records which state the reporting instance holds and logs when it falls behind or
+// has caught up.
+func (i *Instance) recordLag(now time.Time, r *feed.Report) {
 	accepted := i.accepted()
-	late, over := i.lagging.note(now, r.Self.ID, r.Held, accepted.Index)
-	if late != nil {
+	newLag, ended := i.lagging.record(now, r.Self.ID, r.Held, accepted.Index)
+	if newLag != nil {
 		i.log.Warn("an entry instance is behind", zap.String("entry", r.Self.ID), zap.String("zone", r.Self.Zone),
-			zap.Uint64("holds", late.held), zap.Uint64("heard", r.Index), zap.Uint64("accepted", accepted.Index),
-			zap.Uint64("version", accepted.Version), zap.Duration("since", now.Sub(late.since)))
+			zap.Uint64("holds", newLag.held), zap.Uint64("heard", r.Index), zap.Uint64("accepted", accepted.Index),
+			zap.Uint64("version", accepted.Version), zap.Duration("since", now.Sub(newLag.since)))
 	}
-	if over != nil {
-		i.log.Info("an entry instance has caught up", zap.String("entry", r.Self.ID), zap.Duration("after", now.Sub(over.since)))
+	if ended != nil {
+		i.log.Info("an entry instance has caught up", zap.String("entry", r.Self.ID), zap.Duration("after", now.Sub(ended.since)))
 	}
 }
--- a/node/control/limits.go
+++ b/node/control/limits.go
@@ -16,63 +16,64 @@
 	"github.com/gullhaven/gullhaven/node/quota"
 )
 
-// errNoLeader: no leader of the group is known, or this instance was asked and does not lead.
+// errNoLeader: no leader of the group is known, or this instance was asked but does not lead.
 var errNoLeader = errors.New("no leader divides limits")
 
-// dividing holds the division of workspaces' limits while this instance leads.
-type dividing struct {
+// limitDivision divides the workspaces' limits while this instance leads.
+type limitDivision struct {
 	mu      sync.Mutex
 	term    uint64
 	divider *quota.Divider
-	// newcomers are to be added to those that may hold shares; adding says that a proposal
-	// is under way.
-	newcomers map[string]bool
-	adding    bool
+	// pending are instances to add to the holders of shares; proposing says that a proposal is
+	// in flight.
+	pending   map[string]bool
+	proposing bool
 }
 
-// forwarded is a report of limits that another core instance passes on to the leader.
-type forwarded struct {
+// forwardedReport is a report of limits that another core instance forwards to the leader.
+type forwardedReport struct {
 	From   string          `cbor:"1,keyasint"`
 	Report cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// passLimits answers an entry instance's report of limits, or has the leader answer it.
-func (i *Instance) passLimits(ctx context.Context, from string, payload []byte) ([]byte, error) {
+// serveOrForwardLimits answers an entry instance's report of limits, or forwards it to the
+// leader.
+func (i *Instance) serveOrForwardLimits(ctx context.Context, from string, payload []byte) ([]byte, error) {
 	leader := i.Leader()
-	if i.isOutside() {
-		leader = i.outside.leaderID()
+	if i.isStandby() {
+		leader = i.standby.leaderID()
 	}
 	switch leader {
 	case "":
 		return nil, errNoLeader
 	case i.o.Self.ID:
-		return i.divide(from, payload)
+		return i.answerLimits(from, payload)
 	}
-	data, err := cbor.Marshal(forwarded{From: from, Report: payload})
+	data, err := cbor.Marshal(forwardedReport{From: from, Report: payload})
 	if err != nil {
 		return nil, err
 	}
 	return i.hub.Call(ctx, leader, channelMemberLimits, data)
 }
 
-// serveLimits answers a report that another core instance has passed on.
+// serveLimits answers a report that another core instance has forwarded.
 func (i *Instance) serveLimits(_ context.Context, _ string, payload []byte) ([]byte, error) {
-	var f forwarded
+	var f forwardedReport
 	if err := cbor.Unmarshal(payload, &f); err != nil {
 		return nil, err
 	}
-	return i.divide(f.From, f.Report)
+	return i.answerLimits(f.From, f.Report)
 }
 
-// divide answers a report as the leader. Shares are granted only under the leader's lease, so
-// that those of one term end before the next term's Divider grants anew, and only to
-// instances that the log names, so that the next leader knows them.
-func (i *Instance) divide(from string, payload []byte) ([]byte, error) {
+// answerLimits answers a report as the leader. Shares are granted only under the leader's
+// lease, so that the shares of one term end before the Divider of the next term grants new
+// ones, and only to instances that the log names, so that the next leader knows them.
+func (i *Instance) answerLimits(from string, payload []byte) ([]byte, error) {
 	var r quota.Report
 	if err := cbor.Unmarshal(payload, &r); err != nil {
 		return nil, err
 	}
-	d := &i.dividing
+	d := &i.division
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := i.node.Status()
@@ -93,36 +94,37 @@
 }
 
 // mayDivide reports whether this instance leads under a lease and has applied what earlier
-// leaders have committed.
+// leaders committed.
 func (i *Instance) mayDivide(s *replhost.Status) bool {
 	if s.Core.Role != replog.Leader || i.node.LeaseUntil().IsZero() {
 		return false
 	}
-	return i.dividing.term == s.Core.Term || s.Applied >= s.Core.Commit
+	return i.division.term == s.Core.Term || s.Applied >= s.Core.Commit
 }
 
-// addHolder has the log name an instance, with others that come meanwhile. d.mu is held.
+// addHolder has the log name an instance, together with others that arrive meanwhile. d.mu must
+// be held.
 func (i *Instance) addHolder(id string) {
-	d := &i.dividing
-	if d.newcomers == nil {
-		d.newcomers = map[string]bool{}
+	d := &i.division
+	if d.pending == nil {
+		d.pending = map[string]bool{}
 	}
-	d.newcomers[id] = true
-	if !d.adding {
-		d.adding = true
+	d.pending[id] = true
+	if !d.proposing {
+		d.proposing = true
 		i.wg.Go(i.addHolders)
 	}
 }
 
-// addHolders proposes until no newcomers are left, or one proposal fails: their next reports
-// bring them again.
+// addHolders proposes until no instances are pending or a proposal fails. After a failure, the
+// instances' next reports add them again.
 func (i *Instance) addHolders() {
-	d := &i.dividing
+	d := &i.division
 	for {
 		d.mu.Lock()
-		change := &newest.Holders{Add: slices.Sorted(maps.Keys(d.newcomers)), Gone: d.divider.Gone(i.clock(), i.machine.Holders())}
-		d.newcomers = nil
-		d.adding = len(change.Add) > 0
+		change := &newest.Holders{Add: slices.Sorted(maps.Keys(d.pending)), Gone: d.divider.Gone(i.clock(), i.machine.Holders())}
+		d.pending = nil
+		d.proposing = len(change.Add) > 0
 		d.mu.Unlock()
 		if len(change.Add) == 0 {
 			return
@@ -130,7 +132,7 @@
 		if _, err := i.propose(context.Background(), newest.Command{Holders: change}); err != nil {
 			i.log.Info("holders of limits were not named", zap.Int("holders", len(change.Add)), zap.Error(err))
 			d.mu.Lock()
-			d.adding = false
+			d.proposing = false
 			d.mu.Unlock()
 			return
 		}
--- a/node/control/reading_test.go
+++ b/node/control/list_test.go
@@ -7,14 +7,13 @@
 	"github.com/gullhaven/gullhaven/node/feed"
 )
 
-// Symptom: calls of the platform's list cost more than the instances that serve.
-// Events: the list has fifty pages, a reader and its deputies.
-// Cause: it was read as often as one of a page; and deputies, which had never read it, took
-// the reader for late.
-func TestLongListsAreReadSeldomer(t *testing.T) {
+// Guards against calls to the platform's list that cost more than the serving instances. A list
+// of fifty pages was read as often as one of a single page, and backups, which had never read
+// it, took the reader for late.
+func TestLongListsAreReadLessOften(t *testing.T) {
 	for _, c := range []struct {
-		calls       int
-		takes, want time.Duration
+		calls          int
+		duration, want time.Duration
 	}{
 		{1, 4 * time.Millisecond, 700 * time.Millisecond},
 		{20, 80 * time.Millisecond, 700 * time.Millisecond},
@@ -22,8 +21,8 @@
 		{100, 400 * time.Millisecond, 1500 * time.Millisecond},
 		{1000, 4 * time.Second, 4 * time.Second},
 	} {
-		if got := readingInterval(c.calls, c.takes); got != c.want {
-			t.Errorf("%d calls that take %v: %v between two readings, want %v", c.calls, c.takes, got, c.want)
+		if got := readIntervalFor(c.calls, c.duration); got != c.want {
+			t.Errorf("%d calls that take %v: %v between two reads, want %v", c.calls, c.duration, got, c.want)
 		}
 	}
 	at := time.Unix(1000, 0)
@@ -32,6 +31,6 @@
 	reader.ReadTook(50)
 	deputy.Gossiped(at, reader.Gossip(at, false, false))
 	if got := deputy.Calls(); got != 50 {
-		t.Errorf("a deputy knows of %d calls", got)
+		t.Errorf("a backup knows of %d calls", got)
 	}
 }
--- a/node/control/operators.go
+++ b/node/control/operators.go
@@ -15,18 +15,18 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// InvalidError says which rule a configuration breaks. It was not taken.
+// InvalidError says which rule a configuration breaks. The configuration was not accepted.
 type InvalidError struct{ Err error }
 
-// Error returns the reason.
+// Error returns the broken rule.
 func (e *InvalidError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *InvalidError) Unwrap() error { return e.Err }
 
-// Offer has a configuration accepted. nil acknowledges it: it, or one of a higher
-// version, will be in force. An *InvalidError says that it never will be; with any
-// other error it may or may not be, and the same may be offered again anywhere.
+// Offer has a configuration accepted. nil acknowledges it: it, or one of a higher version, will
+// be in force. An *InvalidError says that it never will be. After any other error it may or may
+// not be accepted, and the same document may be offered again at any core instance.
 func (i *Instance) Offer(ctx context.Context, document []byte) error {
 	table, err := i.o.Format.Parse(document)
 	if err != nil {
@@ -39,8 +39,8 @@
 	}
 	layout := i.o.Format.Layout(document)
 	if len(layout.Ends) != len(table.Routes) {
-		// Routes that are not read one by one as they are read together would differ from
-		// instance to instance.
+		// Routes that parse differently one by one than together would differ between
+		// instances.
 		layout = pieces.Layout{}
 	}
 	source, err := pieces.Cut(document, layout)
@@ -50,18 +50,18 @@
 	return i.offer(ctx, table.Version, source)
 }
 
-// Evacuate orders that the targets of a zone get nothing more, or takes that back.
-// nil acknowledges it.
+// Evacuate orders that the targets of a zone get no further work, or withdraws that order. nil
+// acknowledges it.
 func (i *Instance) Evacuate(ctx context.Context, zone string, on bool) error {
 	_, err := i.propose(ctx, newest.Command{Zone: &newest.Zone{Name: zone, Evacuate: on}})
 	return err
 }
 
-// Current returns the newest accepted configuration. The error says that this
-// instance cannot be sure which one that is.
+// Current returns the newest accepted configuration. An error says that this instance cannot be
+// sure which one that is.
 func (i *Instance) Current(ctx context.Context) ([]byte, error) {
-	if i.isOutside() {
-		return i.readOutside(ctx)
+	if i.isStandby() {
+		return i.readAsStandby(ctx)
 	}
 	return i.current(ctx)
 }
@@ -77,25 +77,25 @@
 	return s.Document.Join()
 }
 
-// offerRounds is how often an offer is made: pieces that others have proposed may have given
-// way to newer ones meanwhile.
-const offerRounds = 3
+// maxOfferRounds bounds the rounds of one offer: newer pieces may have replaced some that
+// others proposed.
+const maxOfferRounds = 3
 
-// offer proposes the pieces that the group lacks, and then the configuration that consists
-// of them. Pieces that were committed stay where the rest comes too late, and the next try,
-// at any core instance, goes on from there.
+// offer proposes the pieces that the group lacks, and then the configuration that consists of
+// them. If the rest comes too late, committed pieces stay, and the next offer, at any core
+// instance, continues from there.
 func (i *Instance) offer(ctx context.Context, version uint64, source *pieces.Source) error {
 	began := time.Now()
 	missing := i.machine.Missing(&source.Manifest)
-	lacked := len(missing)
+	missingPieces := len(missing)
 	err := i.offerMissing(ctx, version, source, missing)
-	i.log.Info("offered a configuration", zap.Uint64("version", version), zap.Int("bytes", source.Manifest.Bytes), zap.Int("pieces", lacked),
+	i.log.Info("offered a configuration", zap.Uint64("version", version), zap.Int("bytes", source.Manifest.Bytes), zap.Int("pieces", missingPieces),
 		zap.Int("of", len(source.Manifest.Digests)), zap.Duration("took", time.Since(began)), zap.Error(err))
 	return err
 }
 
 func (i *Instance) offerMissing(ctx context.Context, version uint64, source *pieces.Source, missing []pieces.Digest) error {
-	for range offerRounds {
+	for range maxOfferRounds {
 		if err := i.proposeParts(ctx, source.PackOf(missing)); err != nil {
 			return err
 		}
@@ -109,31 +109,32 @@
 }
 
 const (
-	// partsBytes bounds the pieces of one proposal: one entry goes as one chunk of a link.
-	partsBytes = appendBytes - 1<<10
-	// partsAtOnce bounds the proposals of pieces under way, below the ring of a link: a
-	// document that compresses badly has hundreds.
-	partsAtOnce = 64
+	// maxPartsBytes bounds the pieces of one proposal, so that an entry fits one chunk of a
+	// link.
+	maxPartsBytes = maxAppendBytes - 1<<10
+	// maxPartsInFlight bounds the proposals of pieces in flight, below the queue length of a
+	// link: a document that compresses badly has hundreds.
+	maxPartsInFlight = 64
 )
 
-// proposeParts proposes pieces, many at once.
+// proposeParts proposes pieces, up to maxPartsInFlight proposals at once.
 func (i *Instance) proposeParts(ctx context.Context, packed [][]byte) error {
 	var batches [][][]byte
-	size := partsBytes
+	size := maxPartsBytes
 	for _, p := range packed {
-		if size += len(p); size > partsBytes {
+		if size += len(p); size > maxPartsBytes {
 			batches, size = append(batches, nil), len(p)
 		}
 		last := &batches[len(batches)-1]
 		*last = append(*last, p)
 	}
 	errs := make([]error, len(batches))
-	turns := make(chan struct{}, partsAtOnce)
+	slots := make(chan struct{}, maxPartsInFlight)
 	var wg sync.WaitGroup
 	for k, batch := range batches {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-turns }()
+			defer func() { <-slots }()
 			_, errs[k] = i.propose(ctx, newest.Command{Parts: &newest.Parts{Packed: batch}})
 		})
 	}
@@ -141,13 +142,13 @@
 	return errors.Join(errs...)
 }
 
-// propose has a command committed, here or at the leader, and returns what it came to.
+// propose has a command committed, here or at the leader, and returns its result.
 func (i *Instance) propose(ctx context.Context, c newest.Command) (newest.Result, error) {
 	data, err := newest.Encode(c)
 	if err != nil {
 		return newest.Result{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := i.commit(ctx, data)
 	if err != nil {
@@ -157,19 +158,19 @@
 }
 
 func (i *Instance) commit(ctx context.Context, data []byte) ([]byte, error) {
-	if i.isOutside() {
-		return i.callMember(ctx, i.outside.leaderID(), channelPropose, data)
+	if i.isStandby() {
+		return i.callMember(ctx, i.standby.leaderID(), channelPropose, data)
 	}
 	result, err := i.node.Propose(ctx, data)
 	var other *replhost.NotLeaderError
 	if !errors.As(err, &other) || other.Leader == "" || other.Leader == i.o.Self.ID {
 		return result, err
 	}
-	// Commands may be committed twice: the second time changes nothing.
+	// A command may be committed twice: the second time changes nothing.
 	return i.hub.Call(ctx, other.Leader, channelPropose, data)
 }
 
-// servePropose takes a command of another member. It is not passed on again.
+// servePropose proposes a command of another member. It does not forward it again.
 func (i *Instance) servePropose(ctx context.Context, _ string, data []byte) ([]byte, error) {
 	var c newest.Command
 	if err := cbor.Unmarshal(data, &c); err != nil {
--- a/node/control/reports.go
+++ b/node/control/reports.go
@@ -11,23 +11,23 @@
 	"github.com/gullhaven/gullhaven/node/feed"
 )
 
-// serveReport answers an entry instance, at once if there is news and else after
-// the time that it allows.
+// serveReport answers an entry instance: at once if there is an update, else after the wait
+// that the report allows.
 func (i *Instance) serveReport(ctx context.Context, _ string, payload []byte) ([]byte, error) {
 	var r feed.Report
 	if err := cbor.Unmarshal(payload, &r); err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	i.noteReport(began, &r)
-	i.board.Suspected(time.Now(), r.Suspects, true)
+	i.recordReport(began, &r)
+	i.store.Suspected(time.Now(), r.Suspects, true)
 	if r.First {
 		i.confirmFirst(ctx)
 	}
 	wait := time.NewTimer(time.Duration(r.WaitMillis) * time.Millisecond)
 	defer wait.Stop()
-	changed := i.board.Changed()
-	if i.nothingFor(&r) {
+	changed := i.store.Changed()
+	if i.upToDate(&r) {
 		select {
 		case <-changed:
 		case <-wait.C:
@@ -36,50 +36,50 @@
 		}
 	}
 	r.ListAgeMillis += time.Since(began).Milliseconds()
-	return cbor.Marshal(i.update(r))
+	return cbor.Marshal(i.updateFor(r))
 }
 
-// noteReport takes in what a report tells of the asker.
-func (i *Instance) noteReport(now time.Time, r *feed.Report) {
+// recordReport records what a report says about the reporting instance.
+func (i *Instance) recordReport(now time.Time, r *feed.Report) {
 	switch {
 	case r.Probe:
 		return
 	case r.Brief:
-		i.board.Compared(now, r.Self)
+		i.store.Compared(now, r.Self)
 	default:
-		i.board.Reported(now, r.Self)
+		i.store.Reported(now, r.Self)
 	}
-	i.noteHeld(now, r)
+	i.recordLag(now, r)
 }
 
-// nothingFor reports whether there is nothing yet that the asker waits for. A probe ends with
-// a state, or with a leader that has none.
-func (i *Instance) nothingFor(r *feed.Report) bool {
+// upToDate reports whether there is no update for the reporting instance yet. A probe is
+// answered once there is a state, or a leader that has none.
+func (i *Instance) upToDate(r *feed.Report) bool {
 	if i.accepted().Index > r.Index {
 		return false
 	}
 	if r.Probe {
-		return !i.led()
+		return !i.hasLeader()
 	}
-	return !i.board.HasList(time.Now(), r)
+	return !i.store.HasList(time.Now(), r)
 }
 
-// confirmFirst tries to have the state confirmed for an instance that has just
-// started: this member may lag, and the instance would begin with a version older than
-// one acknowledged before its start. Where no majority answers in time it begins with
-// what this member holds, which was accepted once: a region that is cut off serves its
-// callers, and after a loss of power of all nobody waits for an election. A member that
-// hears from no leader answers at once: where there is one, the instance hears of newer
-// states from the other members, which it asks at the same time.
+// confirmFirst tries to confirm the accepted state for an instance that has just started. This
+// member may lag, and the instance would begin with a version older than one acknowledged
+// before its start. If no majority answers in time, the instance begins with what this member
+// holds, which was accepted: a region that is cut off serves its callers, and after a power
+// loss of all, nobody waits for an election. A member without a leader answers at once: if
+// there is a leader, the instance learns newer states from the other members, which it asks at
+// the same time.
 func (i *Instance) confirmFirst(ctx context.Context) {
-	if !i.led() {
-		if !i.unled.Swap(true) {
+	if !i.hasLeader() {
+		if !i.noLeaderLogged.Swap(true) {
 			i.log.Info("first state not confirmed for want of a leader", zap.Uint64("version", i.accepted().Version))
 		}
 		return
 	}
-	i.confirming.Do(ctx, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), firstTime)
+	i.confirmations.Do(ctx, func() {
+		ctx, cancel := context.WithTimeout(context.Background(), firstConfirmTimeout)
 		defer cancel()
 		if err := i.node.Read(ctx); err != nil {
 			i.log.Info("first state not confirmed", zap.Error(err), zap.Uint64("version", i.accepted().Version))
@@ -87,24 +87,23 @@
 	})
 }
 
-func (i *Instance) update(r feed.Report) feed.Update {
-	u := feed.Update{Led: i.led()}
+func (i *Instance) updateFor(r feed.Report) feed.Update {
+	u := feed.Update{Led: i.hasLeader()}
 	s := i.accepted()
 	if s.Index > r.Held {
 		u.Head = s.Head()
 	}
-	i.board.Fill(time.Now(), r, s.Evacuated, &u)
-	asked := time.Duration(r.WaitMillis) * time.Millisecond
-	if wait := i.board.ReportWait(asked); !r.Brief && wait > asked {
+	i.store.Fill(time.Now(), r, s.Evacuated, &u)
+	requested := time.Duration(r.WaitMillis) * time.Millisecond
+	if wait := i.store.ReportWait(requested); !r.Brief && wait > requested {
 		u.WaitMillis = wait.Milliseconds()
 	}
 	return u
 }
 
-// confirm returns nil once this member holds everything that was acknowledged
-// before the call.
+// confirm returns nil once this member holds everything that was acknowledged before the call.
 func (i *Instance) confirm(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return i.node.Read(ctx)
 }
--- a/node/control/outside.go
+++ b/node/control/standby.go
@@ -15,26 +15,26 @@
 	"github.com/gullhaven/gullhaven/node/feed"
 )
 
-// errNoMember: this instance is outside the group and knows no member of it.
+// errNoMember: this instance is a standby and knows no member of the group.
 var errNoMember = errors.New("outside the group, and no member of it is known")
 
-// outside is what an instance knows of the group while it is no member. The group is
-// bounded; an instance outside keeps nothing, and passes on what operators and entry
-// instances ask of it to a member, which answers.
-type outside struct {
+// standby is what an instance knows of the group while it is not a member. The group is
+// bounded; a standby stores nothing, and forwards the requests of operators and entry instances
+// to a member.
+type standby struct {
 	mu sync.Mutex
 	// full says that the leader had no place for this instance.
 	full   bool
 	leader string
-	// members are the live ones, the nearest first.
+	// members are the live ones, nearest first.
 	members []string
-	// reader gets documents for operators.
+	// reader fetches documents for operators.
 	reader documentReader
 }
 
-// note takes in the leader's answer to an application, and reports whether it changes
-// where this instance stands.
-func (o *outside) note(self feed.Core, r *reception) (changed bool) {
+// update takes in the leader's reply to a join request, and reports whether this instance
+// became or ceased to be a standby for want of a place.
+func (o *standby) update(self feed.Core, r *joinReply) (changed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	changed = o.full != r.Full
@@ -42,43 +42,43 @@
 	if !r.Full {
 		return changed
 	}
-	near := slices.Clone(r.Members)
-	slices.SortStableFunc(near, func(a, b feed.Core) int {
+	byDistance := slices.Clone(r.Members)
+	slices.SortStableFunc(byDistance, func(a, b feed.Core) int {
 		return cmp.Compare(a.Distance(self.Region, self.Zone), b.Distance(self.Region, self.Zone))
 	})
 	o.members = o.members[:0]
-	for _, c := range near {
+	for _, c := range byDistance {
 		o.members = append(o.members, c.ID)
 	}
 	return changed
 }
 
-// lost puts a member that did not answer behind the others.
-func (o *outside) lost(id string) {
+// demote moves a member that did not answer behind the others.
+func (o *standby) demote(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.leader == id {
 		o.leader = ""
 	}
-	if at := slices.Index(o.members, id); at >= 0 {
-		o.members = append(slices.Delete(o.members, at, at+1), id)
+	if index := slices.Index(o.members, id); index >= 0 {
+		o.members = append(slices.Delete(o.members, index, index+1), id)
 	}
 }
 
-func (o *outside) leaderID() string {
+func (o *standby) leaderID() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.leader
 }
 
-func (o *outside) isFull() bool {
+func (o *standby) isFull() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.full
 }
 
-// nearest is the member to ask; empty if none is known.
-func (o *outside) nearest() string {
+// nearest returns the id of the member to ask; empty if none is known.
+func (o *standby) nearest() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.members) > 0 {
@@ -87,39 +87,39 @@
 	return o.leader
 }
 
-// isOutside reports whether this instance is no member of the group: the leader has no
-// place for it, or its log, which may be new, does not name it. The seeds of a first
-// start are about to form the group.
-func (i *Instance) isOutside() bool {
-	if i.outside.isFull() {
+// isStandby reports whether this instance is not a member of the group: the leader has no place
+// for it, or its log, which may be new, does not name it. The seeds of a first start are no
+// standbys, as they are about to form the group.
+func (i *Instance) isStandby() bool {
+	if i.standby.isFull() {
 		return true
 	}
-	if i.stands().member {
+	if i.position().member {
 		return false
 	}
 	return !i.o.FirstStart || !slices.Contains(i.o.Seeds, i.o.Self.ID)
 }
 
-// callMember asks a member.
+// callMember calls a member, and demotes it after an error.
 func (i *Instance) callMember(ctx context.Context, to, channel string, payload []byte) ([]byte, error) {
 	if to == "" || to == i.o.Self.ID {
 		return nil, errNoMember
 	}
 	answer, err := i.hub.Call(ctx, to, channel, payload)
 	if err != nil {
-		i.outside.lost(to)
+		i.standby.demote(to)
 	}
 	return answer, err
 }
 
-// passReport answers an entry instance that reports here, and has a member answer while
-// this instance is outside. Where none does, the answer tells of no leader, so that the
-// entry instance turns to another core instance.
-func (i *Instance) passReport(ctx context.Context, from string, payload []byte) ([]byte, error) {
-	if !i.isOutside() {
+// serveOrForwardReport answers an entry instance's report; a standby forwards it to a member.
+// If no member answers, the reply says that there is no leader, so that the entry instance
+// turns to another core instance.
+func (i *Instance) serveOrForwardReport(ctx context.Context, from string, payload []byte) ([]byte, error) {
+	if !i.isStandby() {
 		return i.serveReport(ctx, from, payload)
 	}
-	answer, err := i.callMember(ctx, i.outside.nearest(), channelMember, payload)
+	answer, err := i.callMember(ctx, i.standby.nearest(), channelMemberReport, payload)
 	if err == nil {
 		return answer, nil
 	}
@@ -130,10 +130,10 @@
 	return i.serveReport(ctx, from, payload)
 }
 
-// readOutside has a member read what is accepted, and gets the document in pieces. What has
-// come is kept for the next call where this one ends too early.
-func (i *Instance) readOutside(ctx context.Context) ([]byte, error) {
-	from := i.outside.nearest()
+// readAsStandby has a member confirm what is accepted, and fetches the document in pieces.
+// Received pieces are kept for the next call if this one ends too early.
+func (i *Instance) readAsStandby(ctx context.Context) ([]byte, error) {
+	from := i.standby.nearest()
 	h, err := i.readHead(ctx, from)
 	if err != nil {
 		return nil, err
@@ -141,14 +141,14 @@
 	if h.Version == 0 {
 		return nil, errNoDocument
 	}
-	return i.outside.reader.read(ctx, h.Root, func(ctx context.Context, a *pieces.Ask) (*pieces.Answer, error) {
+	return i.standby.reader.read(ctx, h.Root, func(ctx context.Context, a *pieces.Ask) (*pieces.Answer, error) {
 		return i.askMember(ctx, from, a)
 	})
 }
 
-// readHead has a member confirm what is accepted.
+// readHead has a member confirm the accepted state, and returns its head.
 func (i *Instance) readHead(ctx context.Context, from string) (*newest.Head, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	data, err := i.callMember(ctx, from, channelRead, nil)
 	if err != nil {
@@ -171,7 +171,8 @@
 	return answer, cbor.Unmarshal(data, answer)
 }
 
-// serveRead tells an instance outside what is accepted; version 0 where nothing was yet.
+// serveRead returns the confirmed head to a standby; its version is 0 if nothing was accepted
+// yet.
 func (i *Instance) serveRead(ctx context.Context, _ string, _ []byte) ([]byte, error) {
 	if err := i.confirm(ctx); err != nil {
 		return nil, err
