--- a/node/control/lagging_test.go
+++ b/node/control/lagging_test.go
@@ -30,7 +30,7 @@
 	if n := l.count(at(2 * lagThreshold)); logged != 1 || n != 1 {
 		t.Errorf("logged %d times, %d behind", logged, n)
 	}
-	if _, over := l.record(at(3*lagThreshold), "slow", 5, 5); over == nil {
+	if _, ended := l.record(at(3*lagThreshold), "slow", 5, 5); ended == nil {
 		t.Error("the end of the lag is not logged")
 	}
 	if n := l.count(at(3 * lagThreshold)); n != 0 {
@@ -38,7 +38,7 @@
 	}
 	l.record(at(0), "gone", 1, 5)
 	l.record(at(lagThreshold-time.Second), "gone", 1, 5)
-	if late, _ := l.record(at(lagThreshold+feed.EntryLife), "gone", 1, 5); late != nil {
+	if newLag, _ := l.record(at(lagThreshold+feed.EntryLife), "gone", 1, 5); newLag != nil {
 		t.Error("the time without reports counts")
 	}
 	if l.count(at(time.Hour)); len(l.byInstance) != 0 {
--- a/node/control/list_test.go
+++ b/node/control/list_test.go
@@ -26,11 +26,11 @@
 		}
 	}
 	at := time.Unix(1000, 0)
-	reader, deputy := feed.NewBoard(feed.Core{ID: "1"}, 1), feed.NewBoard(feed.Core{ID: "2"}, 1)
+	reader, backup := feed.NewBoard(feed.Core{ID: "1"}, 1), feed.NewBoard(feed.Core{ID: "2"}, 1)
 	reader.Listed(feed.List{Digest: 7, ReadAt: at}, true)
 	reader.ReadTook(50)
-	deputy.Gossiped(at, reader.Gossip(at, false, false))
-	if got := deputy.Calls(); got != 50 {
+	backup.Gossiped(at, reader.Gossip(at, false, false))
+	if got := backup.Calls(); got != 50 {
 		t.Errorf("a backup knows of %d calls", got)
 	}
 }
