--- a/node/group/group.go
+++ b/node/group/group.go
@@ -1,11 +1,9 @@
-// Package group gives every instance access to a replicated group that runs on
-// a few of them.
+// Package group gives every instance access to a replicated group that runs on a few of them.
 //
-// A member hosts a replhost.Node; any instance proposes through a Client, which
-// finds the leader among the members. Proposals that may have been committed
-// are never sent to a second member: the error says so, and the caller's
-// command must be one that can be proposed again (see coord/claim and
-// bundle/acceptance, whose commands are).
+// A member hosts a replhost.Node. Any instance proposes through a Client, which finds the
+// leader among the members. A proposal that may have been committed is never sent to a second
+// member: the error says so, and the caller's command must be one that can safely be proposed
+// again (as those of coord/claim and bundle/acceptance are).
 package group
 
 import (
@@ -23,18 +21,18 @@
 	"github.com/gullhaven/gullhaven/coord/wal"
 )
 
-// CodeNoLeader: no member of the group was reached that leads it.
+// CodeNoLeader: no member that leads the group was reached.
 const CodeNoLeader verdict.Code = "no_leader"
 
 const (
-	// servers is how many proposals of others a member takes in at once.
-	servers = 64
-	// maxHops bounds how often a proposal follows hints to the leader.
+	// maxConcurrentProposals bounds the remote proposals that a member handles at once.
+	maxConcurrentProposals = 64
+	// maxHops bounds how often a proposal follows a hint to the leader.
 	maxHops = 4
 )
 
-// MessageChannel is the link channel of a group's messages between members. It
-// belongs among the Urgent ones of the link.
+// MessageChannel returns the link channel of a group's messages between members. It belongs
+// among the link's Urgent channels.
 func MessageChannel(name string) string { return "group/" + name }
 
 func proposeChannel(name string) string { return "propose/" + name }
@@ -45,14 +43,14 @@
 	Verdict verdict.Verdict `cbor:"2,keyasint,omitempty"`
 	Code    verdict.Code    `cbor:"3,keyasint,omitempty"`
 	Message string          `cbor:"4,keyasint,omitempty"`
-	// Leader is who leads, as far as the member knows.
+	// Leader is the leader's id, as far as the member knows.
 	Leader string `cbor:"5,keyasint,omitempty"`
-	// RetryAfterMillis says when to come back. Only a refusal by the leader's
-	// Prepare sets it; no other member is asked then.
+	// RetryAfterMillis is when to retry. Only a refusal by the leader's Prepare sets it; no
+	// other member is asked then.
 	RetryAfterMillis int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// err is the answer's failure.
+// err returns the failure that the answer reports.
 func (a *answer) err() *verdict.Error {
 	e := verdict.New(a.Verdict, a.Code, a.Message)
 	e.RetryAfter = time.Duration(a.RetryAfterMillis) * time.Millisecond
@@ -65,7 +63,7 @@
 	channel string
 }
 
-// Send queues a message; a full queue loses it, which the log tolerates.
+// Send queues a message. A full queue drops it, which the log tolerates.
 func (t transport) Send(to string, payload []byte) { t.hub.Send(to, t.channel, payload) }
 
 // Options of a member.
@@ -75,29 +73,29 @@
 	// Self is this instance's id; Members are the ids of the first voters.
 	Self    string
 	Members []string
-	// Dir is the folder of the log, used by this group alone.
+	// Dir is the folder of the log; nothing else may use it.
 	Dir string
 	// FS is the file system of Dir; wal.OS by default.
 	FS           wal.FS
 	Hub          *link.Hub
 	StateMachine replhost.StateMachine
-	// Prepare, if set, turns what a proposer sent into the log entry, at the
-	// leader. decided true means that data is the answer already.
+	// Prepare, if set, turns a proposal into a log entry, at the leader. With decided true,
+	// result is the final answer and nothing is proposed.
 	Prepare func(ctx context.Context, node *replhost.Node, data []byte) (result []byte, decided bool, err error)
-	// HeartbeatInterval of the log; the default of replog if zero. Groups over
-	// several regions need one well above their round trip.
+	// HeartbeatInterval and ElectionTimeout of the log; replog's defaults if zero. A group over
+	// several regions needs a heartbeat well above their round trip.
 	HeartbeatInterval, ElectionTimeout time.Duration
-	// MaxProposalBytes bounds one entry; the default of replhost if zero.
+	// MaxProposalBytes bounds one entry; replhost's default if zero.
 	MaxProposalBytes int
 }
 
-// Member is this instance's part in a group.
+// Member is this instance's member of a group.
 type Member struct {
 	o    Options
 	Node *replhost.Node
 }
 
-// Open starts the member: it recovers its log and takes messages from the link.
+// Open recovers the member's log and starts it on the link.
 func Open(o Options) (*Member, error) {
 	node, err := replhost.Open(replhost.Options{
 		Core: replog.Options{
@@ -118,11 +116,11 @@
 	}
 	m := &Member{o: o, Node: node}
 	o.Hub.Handle(MessageChannel(o.Name), node.Receive)
-	o.Hub.Serve(proposeChannel(o.Name), servers, m.serve)
+	o.Hub.Serve(proposeChannel(o.Name), maxConcurrentProposals, m.serve)
 	return m, nil
 }
 
-// Stop ends the member.
+// Stop stops the member.
 func (m *Member) Stop() error { return m.Node.Stop() }
 
 // serve answers a remote proposal.
@@ -130,13 +128,13 @@
 	data, err := m.propose(ctx, payload)
 	a := answer{Data: data}
 	if err != nil {
-		a = failure(err)
+		a = errorAnswer(err)
 	}
 	return cbor.Marshal(a)
 }
 
-// failure describes an error on the wire.
-func failure(err error) answer {
+// errorAnswer encodes an error as an answer.
+func errorAnswer(err error) answer {
 	a := answer{Verdict: verdict.MayHaveRun, Code: "internal", Message: err.Error()}
 	var e *verdict.Error
 	if errors.As(err, &e) {
@@ -150,7 +148,7 @@
 	return a
 }
 
-// propose takes a proposal at this member, which must lead.
+// propose handles a proposal at this member, which must lead.
 func (m *Member) propose(ctx context.Context, data []byte) ([]byte, error) {
 	if m.o.Prepare == nil {
 		return m.Node.Propose(ctx, data)
@@ -164,23 +162,23 @@
 
 // Client proposes to a group from any instance.
 type Client struct {
-	name    string
-	members []string
-	hub     *link.Hub
-	local   *Member
-	last    atomic.Pointer[string]
+	name       string
+	members    []string
+	hub        *link.Hub
+	local      *Member
+	lastLeader atomic.Pointer[string]
 
 	proposals, failures atomic.Uint64
 }
 
-// Counters of a client since its start.
+// Counters counts a client's proposals since its start.
 type Counters struct {
-	// Proposals is how many commands were proposed, Failures how many of them
-	// ended with an error.
+	// Proposals is how many commands were proposed, Failures how many of them ended with an
+	// error.
 	Proposals, Failures uint64
 }
 
-// NewClient makes a client. local is nil at an instance that is no member.
+// NewClient returns a Client. local is nil at an instance that is not a member.
 func NewClient(name string, members []string, hub *link.Hub, local *Member) *Client {
 	return &Client{name: name, members: members, hub: hub, local: local}
 }
@@ -188,13 +186,13 @@
 // Local returns this instance's member, or nil.
 func (c *Client) Local() *Member { return c.local }
 
-// Counters returns what was counted so far.
+// Counters returns the current counts.
 func (c *Client) Counters() Counters {
 	return Counters{Proposals: c.proposals.Load(), Failures: c.failures.Load()}
 }
 
-// Propose has data committed and returns the state machine's result. The error
-// is a *verdict.Error: NotRun if the proposal can't take effect.
+// Propose has data committed and returns the state machine's result. The error is a
+// *verdict.Error, with NotRun if the proposal can't take effect.
 func (c *Client) Propose(ctx context.Context, data []byte) ([]byte, error) {
 	c.proposals.Add(1)
 	result, err := c.propose(ctx, data)
@@ -204,22 +202,22 @@
 	return result, err
 }
 
-// propose asks members until one answers for the leader.
+// propose tries members until one answers for the leader.
 func (c *Client) propose(ctx context.Context, data []byte) ([]byte, error) {
-	asked := map[string]bool{}
-	next := c.first()
+	tried := map[string]bool{}
+	next := c.firstMember()
 	err := verdict.New(verdict.NotRun, CodeNoLeader, "no member of group "+c.name+" is known")
 	for range maxHops + len(c.members) {
 		if next == "" {
-			next = c.unasked(asked)
+			next = c.nextUntried(tried)
 		}
 		if next == "" || ctx.Err() != nil {
 			break
 		}
-		asked[next] = true
-		a := c.ask(ctx, next, data)
+		tried[next] = true
+		a := c.proposeAt(ctx, next, data)
 		if a.Code == "" {
-			c.last.Store(&next)
+			c.lastLeader.Store(&next)
 			return a.Data, nil
 		}
 		err = a.err()
@@ -227,17 +225,17 @@
 			return nil, err
 		}
 		next = ""
-		if a.Leader != "" && !asked[a.Leader] {
+		if a.Leader != "" && !tried[a.Leader] {
 			next = a.Leader
 		}
 	}
-	c.last.Store(nil)
+	c.lastLeader.Store(nil)
 	return nil, err
 }
 
-// first is the member that led last, else this instance.
-func (c *Client) first() string {
-	if last := c.last.Load(); last != nil {
+// firstMember returns the member that led last, else this instance if it is a member, else "".
+func (c *Client) firstMember() string {
+	if last := c.lastLeader.Load(); last != nil {
 		return *last
 	}
 	if c.local != nil {
@@ -246,28 +244,28 @@
 	return ""
 }
 
-// unasked is the next member to try.
-func (c *Client) unasked(asked map[string]bool) string {
+// nextUntried returns the next member to try; empty if all were tried.
+func (c *Client) nextUntried(tried map[string]bool) string {
 	for _, id := range c.members {
-		if !asked[id] {
+		if !tried[id] {
 			return id
 		}
 	}
 	return ""
 }
 
-// ask proposes at one member.
-func (c *Client) ask(ctx context.Context, id string, data []byte) answer {
+// proposeAt proposes at one member.
+func (c *Client) proposeAt(ctx context.Context, id string, data []byte) answer {
 	if c.local != nil && id == c.local.o.Self {
 		result, err := c.local.propose(ctx, data)
 		if err != nil {
-			return failure(err)
+			return errorAnswer(err)
 		}
 		return answer{Data: result}
 	}
 	reply, err := c.hub.Call(ctx, id, proposeChannel(c.name), data)
 	if err != nil {
-		return failure(err)
+		return errorAnswer(err)
 	}
 	var a answer
 	if err := cbor.Unmarshal(reply, &a); err != nil {
--- a/node/group/group_test.go
+++ b/node/group/group_test.go
@@ -8,8 +8,8 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Symptom: no bundle is accepted and no claim is taken, yet the metrics show no
-// failed proposal. Cause: a proposal that finds no member is not counted.
+// Guards against proposals that find no member and are not counted: no bundle is accepted and
+// no claim is taken, yet the metrics show no failure.
 func TestProposalWithoutMemberCounts(t *testing.T) {
 	c := NewClient("g", nil, nil, nil)
 	_, err := c.Propose(context.Background(), []byte("x"))
