--- a/node/members/members.go
+++ b/node/members/members.go
@@ -1,5 +1,5 @@
-// Package members runs the failure detection of a region's instances over the
-// link and publishes the view that others act on.
+// Package members runs failure detection among a region's instances over the link, and
+// publishes the resulting view.
 package members
 
 import (
@@ -16,42 +16,42 @@
 	"github.com/gullhaven/gullhaven/coord/ring"
 )
 
-// Channel is the link channel; it belongs among the Urgent ones.
+// Channel is the link channel; it belongs among the link's Urgent channels.
 const Channel = "members"
 
-// ringSize bounds the messages that wait for the loop. Probes are repeated, so
-// a lost one costs time, not truth.
-const ringSize = 1024
+// inboxSize bounds the messages that wait for the loop. Probes are repeated, so that a lost one
+// only costs time.
+const inboxSize = 1024
 
-// viewInterval is the longest time between two views.
-const viewInterval = time.Second
+// maxViewInterval is the longest time between two views.
+const maxViewInterval = time.Second
 
-// Meta is what an instance tells of itself besides its place. It must encode
-// to at most membership.MaxMeta bytes.
+// Meta is what an instance announces besides its region and zone. It must encode to at most
+// membership.MaxMeta bytes.
 type Meta struct {
-	// CallerAddress is IP:port of its interface for callers.
+	// CallerAddress is the IP:port of its interface for callers.
 	CallerAddress string `cbor:"1,keyasint"`
-	// StartMillis is when its process started, in Unix milliseconds: it names the
-	// life of the instance, which stays the same over refutations.
+	// StartMillis is when its process started, in Unix milliseconds. It identifies the process
+	// and, unlike the member's incarnation, does not change with refutations.
 	StartMillis uint64 `cbor:"2,keyasint"`
 }
 
-// Encode returns the form that DecodeMeta reads.
+// Encode returns the encoding that DecodeMeta reads.
 func (m Meta) Encode() ([]byte, error) { return cbor.Marshal(m) }
 
-// DecodeMeta reads a member's Meta; a malformed one is the zero Meta.
+// DecodeMeta returns a member's Meta, the zero Meta if it is malformed.
 func DecodeMeta(m membership.Member) Meta {
 	var meta Meta
 	_ = cbor.Unmarshal(m.Meta, &meta)
 	return meta
 }
 
-// View is what this instance believes of its region.
+// View is this instance's view of its region.
 type View struct {
-	// Fresh is false after a freeze until others were heard again.
+	// Fresh is false after a freeze until other members are heard from again.
 	Fresh   bool
 	Members []membership.View
-	// Relays speak for the region; ids may be empty.
+	// Relays are the ids of the instances that speak for the region; each may be empty.
 	Relays [2]string
 }
 
@@ -60,7 +60,7 @@
 	return id != "" && (v.Relays[0] == id || v.Relays[1] == id)
 }
 
-// Find returns a member by id.
+// Find returns the member with an id; false if there is none.
 func (v *View) Find(id string) (membership.View, bool) {
 	for _, m := range v.Members {
 		if m.ID == id {
@@ -70,7 +70,7 @@
 	return membership.View{}, false
 }
 
-// Alive returns the members that are alive or suspect, leaving ones left out.
+// Alive returns the members that are alive or suspect, without leaving ones.
 func (v *View) Alive() []membership.View {
 	var alive []membership.View
 	for _, m := range v.Members {
@@ -89,9 +89,9 @@
 	Hub   *link.Hub
 	Rand  *rand.Rand
 	Log   *zap.Logger
-	// OnEvent, if set, is told of each change, from the loop's goroutine.
+	// OnEvent, if set, is called for each change, on the loop's goroutine.
 	OnEvent func(membership.Event)
-	// OnView, if set, is told of each new view, from the loop's goroutine.
+	// OnView, if set, is called for each new view, on the loop's goroutine.
 	OnView func(*View)
 }
 
@@ -100,7 +100,7 @@
 	data []byte
 }
 
-// Service is the running failure detection.
+// Service runs the failure detection.
 type Service struct {
 	o     Options
 	group *membership.Group
@@ -108,11 +108,11 @@
 	leave chan chan struct{}
 	hints *ring.Ring[[]membership.Hint]
 	view  atomic.Pointer[View]
-	// published is when the view was made.
-	published time.Time
+	// publishedAt is when the current view was made.
+	publishedAt time.Time
 }
 
-// New makes a Service and registers it at the link.
+// New returns a Service and registers it at the link. Run must be called for it to work.
 func New(o Options) (*Service, error) {
 	group, err := membership.New(membership.DefaultConfig(), o.Self, o.Rand)
 	if err != nil {
@@ -121,7 +121,7 @@
 	s := &Service{
 		o:     o,
 		group: group,
-		inbox: ring.New[received](ringSize),
+		inbox: ring.New[received](inboxSize),
 		hints: ring.New[[]membership.Hint](1),
 		leave: make(chan chan struct{}),
 	}
@@ -130,16 +130,17 @@
 	return s, nil
 }
 
-// View returns the newest view; it must not be changed.
+// View returns the newest view, which callers must not change.
 func (s *Service) View() *View { return s.view.Load() }
 
-// Refused is how many messages found the inbox full.
+// Refused returns how many messages found the inbox full.
 func (s *Service) Refused() uint64 { return s.inbox.Stats().Refused }
 
-// Hint passes on the platform's list of instances.
+// Hint passes on the platform's list of instances. It is dropped while another list waits.
 func (s *Service) Hint(list []membership.Hint) { s.hints.TryPush(list) }
 
-// Leave tells the others that this instance leaves, while Run runs.
+// Leave announces to the other members that this instance leaves. Run must be running;
+// otherwise Leave waits until ctx ends.
 func (s *Service) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -149,7 +150,7 @@
 	}
 }
 
-// Run steps the group until ctx ends.
+// Run runs the failure detection until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	tick := time.NewTicker(membership.DefaultConfig().TickInterval)
 	defer tick.Stop()
@@ -172,7 +173,8 @@
 	}
 }
 
-// seedHints takes the seeds in as candidates, now and with each later list.
+// seedHints makes the seeds candidates, and returns them so that each later list can include
+// them.
 func (s *Service) seedHints() []membership.Hint {
 	var hints []membership.Hint
 	for _, id := range s.o.Seeds {
@@ -200,16 +202,16 @@
 	}
 }
 
-// publish makes a new view where something changed, and now and then in any
-// case, as hints change members without an event.
+// publish makes a new view if something has changed, and after maxViewInterval in any case, as
+// hints change members without an event.
 func (s *Service) publish() {
 	events := s.group.Events()
 	old := s.view.Load()
-	stale := time.Since(s.published) > viewInterval
+	stale := time.Since(s.publishedAt) > maxViewInterval
 	if old != nil && len(events) == 0 && old.Fresh == s.group.Fresh() && !stale {
 		return
 	}
-	s.published = time.Now()
+	s.publishedAt = time.Now()
 	members := s.group.Members()
 	v := &View{
 		Fresh:   s.group.Fresh(),
