--- a/node/registered/registered_test.go
+++ b/node/registered/registered_test.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	// lifetime of claims in the bundle, in seconds and so in ticks.
+	// lifetime of claims in the bundle, in seconds, which are also ticks.
 	lifetime = 30
 	region   = "region-jatim"
 )
 
-// rig is a region group on one disk and a global group on another one.
+// rig is a region group on one disk and a global group on another.
 type rig struct {
-	t       *testing.T
-	global  *group.Client
-	cut     bool
-	disk    *faultfs.FS
-	hub     *link.Hub
-	member  *group.Member
-	table   *registered.Table
-	clients *group.Client
-	duties  *registered.Registrar
+	t           *testing.T
+	global      *group.Client
+	partitioned bool
+	disk        *faultfs.FS
+	hub         *link.Hub
+	member      *group.Member
+	table       *registered.Table
+	client      *group.Client
+	registrar   *registered.Registrar
 }
 
 func newHub(t *testing.T, id string) *link.Hub {
@@ -60,7 +60,7 @@
 	return hub
 }
 
-// newRig forms the global group and rolls a bundle.
+// newRig forms the global group and rolls out a bundle.
 func newRig(t *testing.T) (r *rig, stop func()) {
 	r = &rig{t: t, disk: faultfs.New()}
 	b := bundletest.Sample()
@@ -93,7 +93,7 @@
 	}
 }
 
-// start opens the region's member on what its disk holds.
+// start opens the region's member on its disk.
 func (r *rig) start() {
 	r.hub, r.table = newHub(r.t, "a"), registered.NewTable()
 	var err error
@@ -104,10 +104,10 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.clients = group.NewClient(region, []string{"a"}, r.hub, r.member)
-	r.duties = registered.NewRegistrar(registered.Options{
+	r.client = group.NewClient(region, []string{"a"}, r.hub, r.member)
+	r.registrar = registered.NewRegistrar(registered.Options{
 		Name: region, Node: r.member.Node, Table: r.table, Global: r,
-		// An instance that is behind knows a shorter one than was promised.
+		// A lagging instance may know a shorter lifetime than was promised.
 		Lifetime: func() time.Duration { return time.Second }, Log: zap.NewNop(),
 	})
 	time.Sleep(time.Second)
@@ -118,7 +118,7 @@
 	r.hub.Close()
 }
 
-// restart ends the process; wipe empties its disk.
+// restart kills the process and starts it again; wipe empties its disk in between.
 func (r *rig) restart(wipe bool) {
 	r.stop()
 	r.disk.Kill()
@@ -128,18 +128,18 @@
 	r.start()
 }
 
-// Propose is the way to the global group.
+// Propose proposes at the global group, unless the region is partitioned from it.
 func (r *rig) Propose(ctx context.Context, entry []byte) ([]byte, error) {
-	if r.cut {
+	if r.partitioned {
 		return nil, verdict.New(verdict.NotRun, group.CodeNoLeader, "cut off")
 	}
 	return r.global.Propose(ctx, entry)
 }
 
-// tick does the leader's duties n times.
+// tick performs the leader's periodic work n times.
 func (r *rig) tick(n int) {
 	for range n {
-		r.duties.Step(r.t.Context())
+		r.registrar.Step(r.t.Context())
 		r.command(claim.Command{Now: time.Now().UnixMilli(), Expire: &claim.Expire{}})
 	}
 }
@@ -149,7 +149,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	answer, err := r.clients.Propose(r.t.Context(), data)
+	answer, err := r.client.Propose(r.t.Context(), data)
 	if err != nil {
 		return claim.Result{}, err
 	}
@@ -162,7 +162,7 @@
 
 var key = claim.KeyOf("booking-desk", "flight 7")
 
-// claim asks for the key; each sending is another attempt.
+// claim requests the key for an attempt.
 func (r *rig) claim(attempt byte) (claim.Result, error) {
 	return r.command(claim.Command{Now: time.Now().UnixMilli(), Claim: &claim.Claim{
 		Key: key, Body: claim.DigestOf([]byte("body")), Attempt: claim.AttemptID{attempt},
@@ -186,12 +186,10 @@
 	}
 }
 
-// Symptom: a booking runs twice.
-// Events: it is claimed in a region with one disk, and runs; the disk is wiped
-// and the instance starts again, with the global group out of reach at first;
-// the caller sends the booking again.
-// Cause: the blank instance forms a new group by itself, and the empty table
-// grants the key a second time.
+// Guards against a booking that runs twice. It is claimed and runs in a region with one disk;
+// the disk is wiped, and the instance restarts without reaching the global group at first. The
+// blank instance forms a new group by itself, and its empty table would grant the key to the
+// caller's retry.
 func TestWipedDiskGrantsNothingTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, stop := newRig(t)
@@ -201,10 +199,10 @@
 		r.wantGranted("after it", 1)
 
 		r.restart(true)
-		r.cut = true
+		r.partitioned = true
 		r.tick(lifetime)
 		r.wantRefused("wiped and cut off", registered.CodeUnregistered, 0)
-		r.cut = false
+		r.partitioned = false
 		r.tick(1)
 		r.wantRefused("registered after a loss", registered.CodeBlocked, (lifetime-1)*time.Second)
 
@@ -215,7 +213,7 @@
 		}
 		r.wantRefused("an attempt of the lost table has ended", registered.CodeBlocked, lifetime*time.Second)
 
-		r.cut = true
+		r.partitioned = true
 		r.restart(false)
 		r.tick(lifetime - 1)
 		r.wantRefused("a tick too early", registered.CodeBlocked, time.Second)
@@ -227,15 +225,14 @@
 	})
 }
 
-// Symptom: a region that is cut off refuses its own bookings after a restart.
-// Events: it was registered; its instance restarts while the global group is
-// out of reach. Cause: the registration is kept in memory only.
-func TestRestartWhileCutOffGoesOn(t *testing.T) {
+// Guards against a registration that is kept in memory only: after a restart without access to
+// the global group, a registered region would refuse its own bookings.
+func TestRestartWhilePartitionedKeepsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, stop := newRig(t)
 		defer stop()
 		r.tick(1)
-		r.cut = true
+		r.partitioned = true
 		r.restart(false)
 		r.wantGranted("after a restart", 1)
 		r.restart(false)
@@ -245,14 +242,15 @@
 	})
 }
 
-// Symptom: a wait ends early, or claims pass at a node that does not lead.
+// Guards against a wait that ends early after a restore, and against claims that pass at a node
+// that does not lead.
 func TestGateKeepsItsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, stop := newRig(t)
 		defer stop()
 		r.tick(1)
 		var e *verdict.Error
-		if _, err := r.clients.Propose(t.Context(), []byte{0x00, 0xa0}); !errors.As(err, &e) || e.Code != registered.CodeMalformed {
+		if _, err := r.client.Propose(t.Context(), []byte{0x00, 0xa0}); !errors.As(err, &e) || e.Code != registered.CodeMalformed {
 			t.Errorf("an admission from outside: %v", err)
 		}
 		r.restart(true)
@@ -281,7 +279,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = blank.Stop() }()
-		r.clients = group.NewClient("blank", []string{"a"}, r.hub, blank)
+		r.client = group.NewClient("blank", []string{"a"}, r.hub, blank)
 		if _, err := r.claim(3); !errors.As(err, &e) || e.Code != replhost.CodeNotLeader {
 			t.Errorf("at a node that does not lead: %v", err)
 		}
--- a/node/registered/registrar.go
+++ b/node/registered/registrar.go
@@ -12,8 +12,8 @@
 	"github.com/gullhaven/gullhaven/coord/replhost"
 )
 
-// registerTimeout bounds the question to the global group, which takes a few
-// round trips between regions.
+// registerTimeout bounds a registration at the global group, which takes a few round trips
+// between regions.
 const registerTimeout = 3 * time.Second
 
 // Proposer has a registration committed by the global group.
@@ -25,70 +25,70 @@
 type Options struct {
 	// Name of the region's group.
 	Name string
-	// Node is this instance's member of it.
+	// Node is this instance's member of that group.
 	Node   *replhost.Node
 	Table  *Table
 	Global Proposer
-	// Lifetime of claims in the bundle in force at this instance; 0 if there is
-	// none. Without one nothing can be claimed, and nothing is registered.
+	// Lifetime returns the claim lifetime of the bundle in force at this instance; 0 if there
+	// is no bundle. Then nothing can be claimed, and nothing is registered.
 	Lifetime func() time.Duration
 	Log      *zap.Logger
 }
 
-// Registrar registers the region's group while this instance leads it. It has a
-// single owner.
+// Registrar registers the region's group while this instance leads it. It must be used by one
+// goroutine only.
 type Registrar struct {
 	o Options
-	// told is what the log was last told.
-	told told
+	// logged is the state that was logged last.
+	logged loggedState
 }
 
-// told is a state that is worth a line when it changes.
-type told uint8
+// loggedState is a state whose start is logged.
+type loggedState uint8
 
 const (
-	toldNothing told = iota
-	toldUnreached
-	toldReplaced
-	toldWaiting
-	toldOpen
+	loggedNothing loggedState = iota
+	loggedUnreachable
+	loggedReplaced
+	loggedWaiting
+	loggedOpen
 )
 
-// NewRegistrar makes a Registrar.
+// NewRegistrar returns a Registrar.
 func NewRegistrar(o Options) *Registrar { return &Registrar{o: o} }
 
-// Step does what is due; the leader calls it each claim.ExpireInterval. Once the group is
-// admitted it asks for nothing more.
+// Step registers the group if it is not admitted yet, and logs changes of state. The leader
+// calls it each claim.ExpireInterval. Once the group is admitted it sends no more requests.
 func (r *Registrar) Step(ctx context.Context) {
 	if r.o.Table.Status().State == Unregistered && r.o.Lifetime() > 0 {
 		r.register(ctx)
 	}
-	r.report()
+	r.logState()
 }
 
-// register asks the global group and writes the admission to the own log. If
-// the answer is lost, or this instance stops before the admission is committed,
-// the next leader asks again and gets the same answer.
+// register asks the global group and writes the admission to the region's own log. If the
+// answer is lost, or this instance stops before the admission is committed, the next leader
+// asks again and gets the same answer.
 func (r *Registrar) register(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	res, err := r.ask(ctx)
+	res, err := r.requestRegistration(ctx)
 	switch {
 	case err != nil:
-		r.once(toldUnreached, func() {
+		r.logOnce(loggedUnreachable, func() {
 			r.o.Log.Warn("region group is not registered; claims are refused", zap.String("group", r.o.Name), zap.Error(err))
 		})
 	case res.Reply == registry.Granted:
 		r.admit(ctx, res)
 	default:
-		r.once(toldReplaced, func() {
+		r.logOnce(loggedReplaced, func() {
 			r.o.Log.Error("region group can't be registered; claims are refused", zap.String("group", r.o.Name),
 				zap.Stringer("reply", res.Reply), zap.Uint64("holder", res.Group), zap.String("message", res.Message))
 		})
 	}
 }
 
-func (r *Registrar) ask(ctx context.Context) (registry.Result, error) {
+func (r *Registrar) requestRegistration(ctx context.Context) (registry.Result, error) {
 	group := r.o.Node.Status().Core.Group
 	seconds := (r.o.Lifetime() + time.Second - 1) / time.Second
 	entry, err := registry.Encode(registry.Register{
@@ -108,8 +108,7 @@
 	return res, err
 }
 
-// admit writes the answer to the region's own log. A failure is tried again
-// with the next Step.
+// admit writes the admission to the region's own log. After a failure, the next Step retries.
 func (r *Registrar) admit(ctx context.Context, res registry.Result) {
 	body := must(cbor.Marshal(admission{
 		Group: res.Group, WaitSeconds: res.WaitSeconds, Losses: res.Losses, Lost: res.Lost,
@@ -117,24 +116,24 @@
 	_, _ = r.o.Node.Propose(ctx, append([]byte{tag}, body...))
 }
 
-// report writes a line when claims begin to be refused or taken.
-func (r *Registrar) report() {
+// logState logs when claims begin to be refused or taken.
+func (r *Registrar) logState() {
 	s := r.o.Table.Status()
 	switch s.State {
 	case Waiting:
-		r.once(toldWaiting, func() {
+		r.logOnce(loggedWaiting, func() {
 			r.o.Log.Warn("claims of the region were lost; new ones are refused", zap.String("group", r.o.Name),
 				zap.Duration("for", s.Remaining), zap.Uint64("lost", s.LostGroup), zap.Uint32("losses", s.Losses))
 		})
 	case Open:
-		r.once(toldOpen, func() { r.o.Log.Info("claims of the region are taken", zap.String("group", r.o.Name)) })
+		r.logOnce(loggedOpen, func() { r.o.Log.Info("claims of the region are taken", zap.String("group", r.o.Name)) })
 	}
 }
 
-// once calls tell if it is not what was told last.
-func (r *Registrar) once(what told, tell func()) {
-	if r.told != what {
-		r.told = what
-		tell()
+// logOnce calls log unless state was the last one logged.
+func (r *Registrar) logOnce(state loggedState, log func()) {
+	if r.logged != state {
+		r.logged = state
+		log()
 	}
 }
--- a/node/registered/status.go
+++ b/node/registered/status.go
@@ -11,31 +11,31 @@
 type State uint8
 
 const (
-	// Unregistered: it has no answer of the global group yet.
+	// Unregistered: the global group has not answered yet.
 	Unregistered State = iota
-	// Waiting: an earlier group was lost; claims are refused for Left.
+	// Waiting: an earlier group was lost; claims are refused for Status.Remaining.
 	Waiting
 	// Open: claims are taken.
 	Open
 )
 
-// Status is what this replica knows.
+// Status is the state of the claims at this replica.
 type Status struct {
 	State State
-	// Remaining is how long claims are refused in state Waiting, if the region has
-	// a leader all the time.
+	// Remaining is how long claims are still refused in state Waiting, provided that the region
+	// has a leader all the time.
 	Remaining time.Duration
 	// Group is the registered number; 0 in state Unregistered.
 	Group uint64
-	// Losses counts how often the region's claims were lost; LostGroup is the
-	// number of the last lost group.
+	// Losses counts how often the region's claims were lost; LostGroup is the number of the
+	// group lost last.
 	Losses    uint32
 	LostGroup uint64
 	// Records is the number of claims held.
 	Records int
 }
 
-// Status returns the state for reports.
+// Status returns the current state.
 func (t *Table) Status() Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,12 +46,12 @@
 		s.State = Unregistered
 	case !t.gate.open():
 		s.State = Waiting
-		s.Remaining = time.Duration(t.gate.LeftSeconds) * time.Second
+		s.Remaining = time.Duration(t.gate.RemainingSeconds) * time.Second
 	}
 	return s
 }
 
-// String is one line for operators.
+// String returns one line for operators.
 func (s Status) String() string {
 	switch s.State {
 	case Unregistered:
@@ -62,7 +62,7 @@
 	return "claims are taken"
 }
 
-// refusal is the answer to a claim; nil if it is taken.
+// refusal returns the error for a claim; nil if claims are taken.
 func (s Status) refusal() error {
 	e := verdict.New(verdict.NotRun, CodeUnregistered, s.String())
 	switch s.State {
--- a/node/registered/table.go
+++ b/node/registered/table.go
@@ -16,78 +16,79 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Codes of refusals by Prepare; each is NotRun.
+// Codes of refusals by Prepare; the verdict of each is NotRun.
 const (
 	// CodeUnregistered: the group is not admitted yet, or never will be.
 	CodeUnregistered verdict.Code = "claims_unregistered"
 	// CodeBlocked: the group waits after a loss; RetryAfter says how long.
 	CodeBlocked verdict.Code = "claims_blocked"
-	// CodeMalformed: no command of claims.
+	// CodeMalformed: not a claim command.
 	CodeMalformed verdict.Code = "malformed_claim"
 )
 
-// tag is the first byte of an admission and of a snapshot of this package.
-// Entries and snapshots of coord/claim are CBOR maps, which begin otherwise, so
-// that logs from before admissions are read as they are.
+// tag is the first byte of an admission and of a snapshot of this package. Entries and
+// snapshots of coord/claim are CBOR maps, which begin with another byte, so that logs written
+// before there were admissions are still read.
 const tag byte = 0x00
 
-// admission is the entry that lets the group take claims.
+// admission is the log entry that lets the group take claims.
 type admission struct {
-	// Group is the number that was registered.
+	// Group is the registered number.
 	Group uint64 `cbor:"1,keyasint"`
-	// WaitSeconds is the wait from this entry on.
+	// WaitSeconds is the wait, counted from this entry.
 	WaitSeconds uint32 `cbor:"2,keyasint,omitempty"`
-	// Losses and Lost are as in registry.Result, for reports.
+	// Losses and Lost are as in registry.Result; they are only reported.
 	Losses uint32 `cbor:"3,keyasint,omitempty"`
 	Lost   uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // gate is the replicated state beside the claims.
 type gate struct {
-	// Admission is zero before one was applied.
+	// Admission is zero until one is applied.
 	Admission admission `cbor:"1,keyasint"`
-	// LeftSeconds is what is left of the wait.
-	LeftSeconds uint32 `cbor:"2,keyasint,omitempty"`
+	// RemainingSeconds is the rest of the wait.
+	RemainingSeconds uint32 `cbor:"2,keyasint,omitempty"`
 }
 
-func (g *gate) open() bool { return g.Admission.Group != 0 && g.LeftSeconds == 0 }
+func (g *gate) open() bool { return g.Admission.Group != 0 && g.RemainingSeconds == 0 }
 
-// Table is the state machine of a region group: claims behind a gate. Apply,
-// Snapshot and Restore are for the host's apply goroutine, the rest for all.
+// Table is the state machine of a region group: a claim table behind a gate. Only the host's
+// apply goroutine may call Apply, Snapshot and Restore; the other methods are safe for
+// concurrent use.
 type Table struct {
 	claims *claim.Table
 
 	mu   sync.Mutex
 	gate gate
-	// records is the number of claims held, for reports.
+	// records is the number of claims held; it is only reported.
 	records int
 }
 
 var _ replhost.StateMachine = (*Table)(nil)
 
-// NewTable makes an empty table behind a closed gate.
+// NewTable returns an empty table with the gate closed.
 func NewTable() *Table { return &Table{claims: claim.NewTable()} }
 
-// Apply carries out an entry of the log.
+// Apply applies a log entry and returns the encoded claim.Result.
 func (t *Table) Apply(index uint64, entry []byte) []byte {
 	if bytes.HasPrefix(entry, []byte{tag}) {
 		return t.admit(entry[1:])
 	}
 	result := t.claims.Apply(index, entry)
-	t.passTime(entry, result)
+	t.countWait(entry, result)
 	t.count()
 	return result
 }
 
-// count publishes the number of claims; the table itself belongs to the apply
-// goroutine.
+// count publishes the number of claims, as only the apply goroutine may use the claim table
+// itself.
 func (t *Table) count() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.records = t.claims.Len()
 }
 
-// admit opens the gate, or starts the wait. The first admission stands.
+// admit opens the gate, or starts the wait. Only the first admission counts.
 func (t *Table) admit(data []byte) []byte {
 	res := claim.Result{Reply: claim.Accepted}
 	var a admission
@@ -98,16 +99,17 @@
 	case err != nil:
 		res = claim.Result{Reply: claim.Invalid, Message: err.Error()}
 	case t.gate.Admission.Group == 0:
-		t.gate = gate{Admission: a, LeftSeconds: a.WaitSeconds}
+		t.gate = gate{Admission: a, RemainingSeconds: a.WaitSeconds}
 	}
 	return must(cbor.Marshal(res))
 }
 
-// passTime counts the wait by what an entry says.
-func (t *Table) passTime(entry, result []byte) {
+// countWait counts the wait down by an Expire command, and restarts it when an attempt of the
+// lost table ends.
+func (t *Table) countWait(entry, result []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.gate.LeftSeconds == 0 {
+	if t.gate.RemainingSeconds == 0 {
 		return
 	}
 	var c claim.Command
@@ -116,10 +118,10 @@
 	}
 	switch {
 	case c.Expire != nil:
-		t.gate.LeftSeconds -= min(t.gate.LeftSeconds, uint32(claim.ExpireInterval/time.Second))
+		t.gate.RemainingSeconds -= min(t.gate.RemainingSeconds, uint32(claim.ExpireInterval/time.Second))
 	case c.Finish != nil && reply(result) == claim.Forgotten:
-		// An attempt of the lost table has ended just now.
-		t.gate.LeftSeconds = t.gate.Admission.WaitSeconds
+		// An attempt that the lost table had granted has ended just now.
+		t.gate.RemainingSeconds = t.gate.Admission.WaitSeconds
 	}
 }
 
@@ -131,9 +133,8 @@
 	return res.Reply
 }
 
-// Prepare refuses claims at the leader while the gate is closed. The gate opens
-// once and stays open, so a replica that is behind, or a leader that was
-// deposed, refuses too much and never too little.
+// Prepare refuses claims at the leader while the gate is closed. The gate opens once and stays
+// open, so that a lagging replica or a deposed leader may refuse too much but never too little.
 func (t *Table) Prepare(_ context.Context, node *replhost.Node, data []byte) ([]byte, bool, error) {
 	if bytes.HasPrefix(data, []byte{tag}) {
 		return nil, false, verdict.New(verdict.NotRun, CodeMalformed, "an admission is the leader's own")
@@ -157,13 +158,13 @@
 	return nil, false, refusal
 }
 
-// sealed is a snapshot, after the tag.
-type sealed struct {
+// snapshotBody is a snapshot without its leading tag.
+type snapshotBody struct {
 	Gate   gate   `cbor:"1,keyasint"`
 	Claims []byte `cbor:"2,keyasint"`
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (t *Table) Snapshot() ([]byte, error) {
 	claims, err := t.claims.Snapshot()
 	if err != nil {
@@ -171,15 +172,15 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	body, err := cbor.Marshal(sealed{Gate: t.gate, Claims: claims})
+	body, err := cbor.Marshal(snapshotBody{Gate: t.gate, Claims: claims})
 	return append([]byte{tag}, body...), err
 }
 
-// Restore replaces the state by that of a snapshot, also of one of coord/claim.
+// Restore replaces the state by a snapshot of this package or of coord/claim.
 func (t *Table) Restore(snapshot []byte) error {
-	s := sealed{Claims: snapshot}
+	s := snapshotBody{Claims: snapshot}
 	if body, tagged := bytes.CutPrefix(snapshot, []byte{tag}); tagged {
-		s = sealed{}
+		s = snapshotBody{}
 		if err := cbor.Unmarshal(body, &s); err != nil {
 			return errors.Annotate(err, "snapshot of a region group")
 		}
@@ -200,11 +201,11 @@
 	return v
 }
 
-// retryUnregistered is when to come back while the group is not admitted.
+// retryUnregistered is when to retry while the group is not admitted.
 const retryUnregistered = 5 * time.Second
 
-// Blocked returns when to come back if err is the refusal of a group that
-// waits after a loss.
+// Blocked reports whether err is the refusal of a group that waits after a loss, and when to
+// retry.
 func Blocked(err error) (retryAfter time.Duration, blocked bool) {
 	var e *verdict.Error
 	if stderrors.As(err, &e) && e.Code == CodeBlocked {
