--- a/node/rollout/machine.go
+++ b/node/rollout/machine.go
@@ -1,5 +1,5 @@
-// Package rollout runs the way of a bundle from an operator to every instance:
-// acceptance by the global group and spreading to the others.
+// Package rollout brings a bundle from an operator to every instance: the global group accepts
+// it, and a Spreader distributes it.
 package rollout
 
 import (
@@ -21,29 +21,26 @@
 const readTimeout = 2 * time.Second
 
 const (
-	// CodeMalformed: what was rolled is not a signed bundle, or what was
-	// registered is no registration.
+	// CodeMalformed: the proposal is neither a signed bundle nor a valid registration.
 	CodeMalformed verdict.Code = "malformed_bundle"
-	// CodeLogLost: this instance holds a newer bundle than the log, so the log
-	// was lost and formed anew.
+	// CodeLogLost: this instance holds a newer bundle than the log, or a region has a bundle
+	// and the log has none. So the log was lost and formed anew.
 	CodeLogLost verdict.Code = "global_log_lost"
 )
 
-// Machine is the state machine of the global group. It accepts bundles, with
-// results that are JSON forms of bundle.Result, and registers region groups
-// (coord/registry).
+// Machine is the state machine of the global group. It accepts bundles, with a bundle.Result in
+// JSON as the result, and registers region groups (coord/registry).
 //
-// If the disks of all voters are wiped they form a new group by themselves. The
-// new log would accept version 1 again, and register each region's group as a
-// first one. Instances that went on running hold the bundle still, and hand it
-// to the blank voters. So a leader that holds a newer bundle than its own log
-// refuses both until an operator has decided: the restart of all instances at
-// once is that decision, as nobody then remembers anything.
+// If the disks of all voters are wiped, the voters form a new group by themselves. The new log
+// would accept version 1 again, and register each region's group as a first one. Instances that
+// went on running still hold the bundle and send it to the blank voters. So a leader that holds
+// a newer bundle than its own log refuses both until an operator has decided. Restarting all
+// instances at once is that decision, as then none holds a bundle any more.
 type Machine struct {
 	bootstrap bundle.Trust
-	// head is the version in force at this instance, from wherever it came.
+	// head returns the version in force at this instance, from whatever source.
 	head func() bundle.Identity
-	// onAccepted is told of each bundle that comes in force, in order.
+	// onAccepted is called for each bundle that comes into force, in order.
 	onAccepted func(*bundle.Signed)
 
 	mu      sync.Mutex
@@ -51,9 +48,8 @@
 	groups  *registry.Table
 }
 
-// NewMachine makes the state machine of a voter. bootstrap is who may sign the
-// first bundle; head is the version in force at this instance. onAccepted must
-// not block.
+// NewMachine returns the state machine of a voter. bootstrap says who may sign the first
+// bundle; head returns the version in force at this instance. onAccepted must not block.
 func NewMachine(bootstrap bundle.Trust, head func() bundle.Identity, onAccepted func(*bundle.Signed)) *Machine {
 	return &Machine{
 		bootstrap: bootstrap, head: head, onAccepted: onAccepted,
@@ -68,7 +64,7 @@
 	return m.groups.Entries()
 }
 
-// Apply carries out an entry of the log.
+// Apply applies a log entry and returns its encoded result.
 func (m *Machine) Apply(index uint64, data []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,9 +86,9 @@
 	return encodeResult(result)
 }
 
-// Prepare judges a rolled bundle at the leader, after a linearizable read, and
-// makes the log entry of one that may be accepted. Refusals need no entry. A
-// registration is an entry already.
+// Prepare checks a signed bundle at the leader, after a linearizable read, and returns the log
+// entry of one that may be accepted. A refusal needs no entry. A registration already is an
+// entry.
 func (m *Machine) Prepare(ctx context.Context, node *replhost.Node, data []byte) ([]byte, bool, error) {
 	if registry.IsCommand(data) {
 		return m.prepareRegistration(ctx, node, data)
@@ -101,7 +97,7 @@
 	if err != nil {
 		return nil, false, verdict.New(verdict.NotRun, CodeMalformed, err.Error())
 	}
-	if err := m.readWhole(ctx, node); err != nil {
+	if err := m.readIntact(ctx, node); err != nil {
 		return nil, false, err
 	}
 	m.mu.Lock()
@@ -120,9 +116,9 @@
 	return entry, false, nil
 }
 
-// prepareRegistration judges a registration at the leader. Who registers has a
-// bundle in force, and says so by its claims' lifetime. If the log has accepted
-// none, the log was lost, also where this instance has not heard of it yet.
+// prepareRegistration checks a registration at the leader. A registering region has a bundle in
+// force, and shows that by its claim lifetime. If the log has accepted no bundle, the log was
+// lost, even if this instance does not know of it yet.
 func (m *Machine) prepareRegistration(ctx context.Context, node *replhost.Node, entry []byte) ([]byte, bool, error) {
 	r, err := registry.Decode(entry)
 	if err == nil && r.LifetimeSeconds == 0 {
@@ -131,7 +127,7 @@
 	if err != nil {
 		return nil, false, verdict.New(verdict.NotRun, CodeMalformed, err.Error())
 	}
-	if err := m.readWhole(ctx, node); err != nil {
+	if err := m.readIntact(ctx, node); err != nil {
 		return nil, false, err
 	}
 	m.mu.Lock()
@@ -143,12 +139,12 @@
 	return entry, false, nil
 }
 
-// readWhole waits for a linearizable read and refuses to go on from a log that
-// was lost. The version held is looked at before the read: a log that is whole
-// has by its end everything that was in force anywhere before.
-func (m *Machine) readWhole(ctx context.Context, node *replhost.Node) error {
+// readIntact waits for a linearizable read, and returns an error if the log was lost. The
+// version held must be read before the linearizable read: at the end of that read, an intact
+// log has everything that was in force anywhere before.
+func (m *Machine) readIntact(ctx context.Context, node *replhost.Node) error {
 	held := m.head()
-	if err := readBounded(ctx, node); err != nil {
+	if err := readWithTimeout(ctx, node); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -160,10 +156,10 @@
 	return nil
 }
 
-// readBounded waits for a linearizable read. A leader that was deposed while
-// its process was stopped may never get its read confirmed, nor be told so;
-// without a bound the operator would wait with it. Nothing was proposed yet.
-func readBounded(ctx context.Context, node *replhost.Node) error {
+// readWithTimeout waits for a linearizable read. A leader that was deposed while its process
+// was stopped may neither get its read confirmed nor learn that it was deposed; without a
+// timeout the operator would wait with it. Its errors are NotRun, as nothing was proposed yet.
+func readWithTimeout(ctx context.Context, node *replhost.Node) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	err := node.Read(ctx)
--- a/node/rollout/machine_test.go
+++ b/node/rollout/machine_test.go
@@ -18,11 +18,11 @@
 	"github.com/gullhaven/gullhaven/node/rollout"
 )
 
-type nowhere struct{}
+type discard struct{}
 
-func (nowhere) Send(string, []byte) {}
+func (discard) Send(string, []byte) {}
 
-// voter is a global group of one.
+// voter is a global group with one member.
 type voter struct {
 	t       *testing.T
 	head    bundle.Identity
@@ -38,7 +38,7 @@
 		Core: replog.Options{
 			Self: replog.Member{ID: "a"}, Bootstrap: &replog.Bootstrap{Voters: []string{"a"}},
 		},
-		Dir: "/global", FS: faultfs.New(), Transport: nowhere{}, StateMachine: v.machine,
+		Dir: "/global", FS: faultfs.New(), Transport: discard{}, StateMachine: v.machine,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	return v
 }
 
-// propose goes through Prepare as node/group does.
+// propose calls Prepare first, as node/group does.
 func (v *voter) propose(data []byte) ([]byte, error) {
 	entry, decided, err := v.machine.Prepare(context.Background(), v.node, data)
 	if err != nil || decided {
@@ -77,10 +77,9 @@
 	}
 }
 
-// Symptom: version 1 is accepted a second time while version 7 is in force, or
-// a wiped region takes claims at once.
-// Events: the disks of all voters are wiped; instances without a disk go on.
-// Cause: blank voters form a new global group by themselves.
+// Guards against blank voters that form a new global group by themselves after the disks of all
+// voters were wiped, while instances without a disk keep running. Version 1 would be accepted
+// again while version 7 is in force, or a wiped region would take claims at once.
 func TestLostLogAcceptsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := open(t)
@@ -106,10 +105,9 @@
 	})
 }
 
-// Symptom: after a restart a wiped region counts as a first one.
-// Events: a region registers; a voter restarts from its snapshot, or from one
-// that was written before regions registered; the region comes back wiped.
-// Cause: a snapshot without the registrations or the longest lifetime.
+// Guards against a snapshot without the registrations or the longest claim lifetime, also one
+// that was written before regions registered. After a voter's restart, a wiped region would
+// count as a first one.
 func TestSnapshotHoldsBundlesAndGroups(t *testing.T) {
 	lifetime := uint32(bundletest.Sample().Rules.ClaimLifetimeSeconds)
 	machine := rollout.NewMachine(bundle.Trust{}, nil, func(*bundle.Signed) {})
--- a/node/rollout/snapshot.go
+++ b/node/rollout/snapshot.go
@@ -12,17 +12,17 @@
 	"github.com/gullhaven/gullhaven/coord/registry"
 )
 
-// magic begins a snapshot that holds registrations too. One from before them is
-// that of bundle/acceptance alone, which begins with a SHA-256 sum.
+// magic begins a snapshot that includes registrations. An older snapshot is that of
+// bundle/acceptance alone, which begins with a SHA-256 sum.
 const magic = "gullhaven/global-group/2"
 
-// image is a snapshot, after magic.
-type image struct {
+// snapshotBody is a snapshot without its leading magic.
+type snapshotBody struct {
 	Bundles []byte `cbor:"1,keyasint"`
 	Groups  []byte `cbor:"2,keyasint"`
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := cbor.Marshal(image{Bundles: bundles, Groups: groups})
+	body, err := cbor.Marshal(snapshotBody{Bundles: bundles, Groups: groups})
 	return append([]byte(magic), body...), errors.Annotate(err, "snapshot of the global group")
 }
 
@@ -56,9 +56,9 @@
 func restore(data []byte) (*acceptance.Machine, *registry.Table, error) {
 	body, both := bytes.CutPrefix(data, []byte(magic))
 	if !both {
-		return restoreOld(data)
+		return restoreWithoutGroups(data)
 	}
-	var im image
+	var im snapshotBody
 	if err := cbor.Unmarshal(body, &im); err != nil {
 		return nil, nil, errors.Annotate(err, "snapshot of the global group")
 	}
@@ -70,9 +70,9 @@
 	return machine, groups, err
 }
 
-// restoreOld reads a snapshot without registrations. Of the lifetimes in force
-// before it, only that of its bundle is known.
-func restoreOld(data []byte) (*acceptance.Machine, *registry.Table, error) {
+// restoreWithoutGroups restores a snapshot without registrations. Of the claim lifetimes in
+// force before it, only that of its bundle is known.
+func restoreWithoutGroups(data []byte) (*acceptance.Machine, *registry.Table, error) {
 	machine, err := acceptance.Restore(data)
 	if err != nil {
 		return nil, nil, err
--- a/node/rollout/spreader.go
+++ b/node/rollout/spreader.go
@@ -14,12 +14,12 @@
 	"github.com/gullhaven/gullhaven/coord/ring"
 )
 
-// Channel is the link channel of spreading.
+// Channel is the link channel on which bundles are spread.
 const Channel = "spread"
 
-// ringSize bounds the messages that wait for the loop. Lost ones are repaired
-// by comparison.
-const ringSize = 1024
+// inboxSize bounds the messages that wait for the loop. Lost ones are made up for when
+// instances compare versions.
+const inboxSize = 1024
 
 // Options of a Spreader.
 type Options struct {
@@ -27,8 +27,8 @@
 	Hub  *link.Hub
 	Rand *rand.Rand
 	Log  *zap.Logger
-	// OnInstalled is told of each bundle that comes in force at this instance,
-	// in order, from the loop's goroutine.
+	// OnInstalled is called for each bundle that comes into force at this instance, in order,
+	// on the loop's goroutine.
 	OnInstalled func(*bundle.Signed, bundle.Identity)
 }
 
@@ -55,12 +55,13 @@
 	state    atomic.Pointer[state]
 }
 
-// NewSpreader makes a Spreader and registers it at the link.
+// NewSpreader returns a Spreader and registers it at the link. Run must be called for it to
+// work.
 func NewSpreader(o Options) *Spreader {
 	s := &Spreader{
 		o:     o,
 		core:  spread.New(o.Self, o.Rand),
-		inbox: ring.New[received](ringSize),
+		inbox: ring.New[received](inboxSize),
 		peers: ring.New[[]spread.Peer](1),
 		wake:  make(chan struct{}, 1),
 	}
@@ -69,8 +70,8 @@
 	return s
 }
 
-// HandleAccepted takes a bundle from this instance's replicated log. It never blocks;
-// of several that wait only the last one counts.
+// HandleAccepted takes a bundle from this instance's replicated log. It never blocks; if
+// several wait, only the last one counts.
 func (s *Spreader) HandleAccepted(b *bundle.Signed) {
 	s.accepted.Store(b)
 	select {
@@ -79,24 +80,23 @@
 	}
 }
 
-// SetPeers replaces the view of other instances. A view that finds another one
-// waiting is dropped; the host gives a new one every second.
+// SetPeers replaces the view of other instances. It is dropped while another view waits; the
+// host must call it every second.
 func (s *Spreader) SetPeers(peers []spread.Peer) { s.peers.TryPush(peers) }
 
-// Head is the version in force at this instance; zero before the first.
+// Head returns the version in force at this instance; zero before the first.
 func (s *Spreader) Head() bundle.Identity { return s.state.Load().head }
 
 // Stats returns the counters.
 func (s *Spreader) Stats() spread.Stats { return s.state.Load().stats }
 
-// Regions returns what is known of the versions in force in all regions, at
-// relays and voters.
+// Regions returns the known versions in force in all regions; only relays and voters know them.
 func (s *Spreader) Regions() []spread.RegionState { return s.state.Load().regions }
 
-// Refused is how many messages found the inbox full.
+// Refused returns how many messages found the inbox full.
 func (s *Spreader) Refused() uint64 { return s.inbox.Stats().Refused }
 
-// Run steps the core until ctx ends.
+// Run runs the core until ctx ends.
 func (s *Spreader) Run(ctx context.Context) {
 	tick := time.NewTicker(spread.TickInterval)
 	defer tick.Stop()
@@ -113,7 +113,7 @@
 		case r := <-s.inbox.C():
 			s.receive(r)
 		}
-		s.settle()
+		s.publish()
 	}
 }
 
@@ -144,8 +144,8 @@
 	}
 }
 
-// settle puts what was installed in force and publishes the state.
-func (s *Spreader) settle() {
+// publish puts an installed bundle in force and publishes the state.
+func (s *Spreader) publish() {
 	if b := s.core.Installed(); b != nil {
 		head := s.core.Head()
 		s.o.Log.Info("bundle in force", zap.Uint64("version", head.Version), zap.String("digest", string(head.Digest)))
