--- a/node/claims.go
+++ b/node/claims.go
@@ -19,7 +19,7 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// proposeTimeout bounds a proposal that the region's leader makes by itself.
+// proposeTimeout bounds a proposal that the region's leader makes on its own.
 const proposeTimeout = time.Second
 
 // claims proposes to the region groups that keep claims.
@@ -39,7 +39,7 @@
 	}
 	result, err := client.Propose(ctx, data)
 	if after, blocked := registered.Blocked(err); blocked {
-		// An answer and no failure: asking again within the request is no use.
+		// This is an answer, not a failure: a retry within the request would not help.
 		return claim.Result{Reply: claim.Blocked, RetryAfterMillis: after.Milliseconds()}, nil
 	}
 	var e *verdict.Error
@@ -52,32 +52,31 @@
 	return claim.DecodeResult(result)
 }
 
-// keeper runs the duties of the region group's leader for its claim table: it
-// registers the group, moves the table's clock, and tells it which lives of
-// instances have ended.
-type keeper struct {
+// claimKeeper does the periodic work of the region group's leader on its claim table: it
+// registers the group, advances the table's clock, and reports ended incarnations of instances.
+type claimKeeper struct {
 	local     *group.Member
 	registrar *registered.Registrar
 	log       *zap.Logger
 
 	mu sync.Mutex
-	// starts are the newest lives seen, by instance; lost are the lives before
-	// them, not told yet.
+	// starts holds the newest known incarnation of each instance; lost holds the incarnations
+	// before them that were not reported yet.
 	starts map[string]uint64
 	lost   map[string]uint64
 }
 
-func newKeeper(local *group.Member, registrar *registered.Registrar, log *zap.Logger) *keeper {
-	return &keeper{
+func newClaimKeeper(local *group.Member, registrar *registered.Registrar, log *zap.Logger) *claimKeeper {
+	return &claimKeeper{
 		local: local, registrar: registrar, log: log,
 		starts: map[string]uint64{}, lost: map[string]uint64{},
 	}
 }
 
-// observe notes a member's life. An earlier one has ended once a later one is
-// seen. A member that only seems dead is left alone: if it was cut off it still
-// runs what it claimed, and would be refused every claim afterwards.
-func (k *keeper) observe(m membership.Member) {
+// observe records a member's incarnation. An earlier one has ended once a later one is seen. A
+// member that only seems dead is not reported: if it was cut off it still runs what it claimed,
+// and would be refused every claim afterwards.
+func (k *claimKeeper) observe(m membership.Member) {
 	start := members.DecodeMeta(m).StartMillis
 	if start == 0 {
 		return
@@ -91,26 +90,26 @@
 	k.lost[m.ID] = start - 1
 }
 
-// run does the duties while this instance leads, until ctx ends.
-func (k *keeper) run(ctx context.Context) {
+// run works while this instance leads, until ctx ends.
+func (k *claimKeeper) run(ctx context.Context) {
 	duty.Every(ctx, claim.ExpireInterval, func(time.Time) {
 		if k.local.Node.LeaseUntil().IsZero() {
 			return
 		}
 		k.registrar.Step(ctx)
 		k.propose(ctx, claim.Command{Expire: &claim.Expire{}})
-		k.tellLost(ctx)
+		k.proposeLost(ctx)
 	})
 }
 
-// tellLost proposes the ended lives; one that fails is told again next time.
-func (k *keeper) tellLost(ctx context.Context) {
+// proposeLost proposes the ended incarnations; a failed proposal is retried in the next round.
+func (k *claimKeeper) proposeLost(ctx context.Context) {
 	k.mu.Lock()
 	lost := maps.Clone(k.lost)
 	k.mu.Unlock()
 	for id, incarnation := range lost {
-		life := claim.Instance{ID: id, Incarnation: incarnation}
-		if !k.propose(ctx, claim.Command{InstanceLost: &claim.InstanceLost{Instance: life}}) {
+		instance := claim.Instance{ID: id, Incarnation: incarnation}
+		if !k.propose(ctx, claim.Command{InstanceLost: &claim.InstanceLost{Instance: instance}}) {
 			return
 		}
 		k.mu.Lock()
@@ -122,7 +121,7 @@
 }
 
 // propose commits a command of the leader's own and reports success.
-func (k *keeper) propose(ctx context.Context, c claim.Command) bool {
+func (k *claimKeeper) propose(ctx context.Context, c claim.Command) bool {
 	c.Now = time.Now().UnixMilli()
 	data, err := claim.Encode(c)
 	if err != nil {
--- a/node/control.go
+++ b/node/control.go
@@ -8,7 +8,7 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// control reads the counters of everything beside the request path.
+// control returns the counters of everything besides the request path.
 func (n *Node) control() metrics.Control {
 	var c metrics.Control
 	n.linkControl(&c)
@@ -58,7 +58,7 @@
 	}
 }
 
-// logControl reads the clients of all groups, and the members that run here.
+// logControl adds the counters of all groups' clients, and of the members that run here.
 func (n *Node) logControl(c *metrics.Control) {
 	if m := n.global.Local(); m != nil {
 		c.LogApplied = int64(m.Node.Status().Applied)
@@ -69,7 +69,7 @@
 	}
 }
 
-// groupControl adds what one group counts.
+// groupControl adds the counters of one group.
 func groupControl(c *metrics.Control, client *group.Client) {
 	counters := client.Counters()
 	c.LogProposals += int64(counters.Proposals)
@@ -79,8 +79,8 @@
 	}
 }
 
-// ringControl adds what full rings turned away. Each of these items is sent
-// again in a later round, so that nobody else would notice their loss.
+// ringControl adds the items that full rings rejected. Each is sent again in a later round, so
+// that nothing else would show the loss.
 func (n *Node) ringControl(c *metrics.Control) {
 	for _, refused := range []uint64{
 		n.members.Refused(), n.spreader.Refused(), n.regions.Refused(), n.loads.Refused(), n.history.refused(),
--- a/node/directory.go
+++ b/node/directory.go
@@ -14,21 +14,20 @@
 )
 
 const (
-	// directoryTTL is how long callers may keep an answer. It bounds how long
-	// an instance that left is still asked.
+	// directoryTTL is how long callers may keep an answer. It bounds how long an instance that
+	// has left is still asked.
 	directoryTTL = 5 * time.Second
 	// Weights of instances by distance from the caller.
 	weightSameZone   = 1.0
 	weightSameRegion = 0.5
-	// Instances of other regions are for callers that reach none of their own
-	// region: work that is sent there goes to cold caches, and what is bound to
-	// its region is only refused.
+	// Instances of other regions are for callers that reach none of their own region: requests
+	// sent there meet cold caches, and requests bound to their region are refused.
 	weightOtherRegion = 0
 )
 
-// directory tells callers which instances to use, from what this instance
-// knows. There is no balancer before the instances, so each caller gets its own
-// order of those of equal standing; else all would land on the first.
+// directory tells callers which instances to use, from what this instance knows. There is no
+// load balancer in front of the instances, so each caller gets its own order of instances of
+// equal weight; otherwise all callers would use the first.
 type directory struct {
 	region string
 	view   func() *members.View
@@ -43,7 +42,7 @@
 	}
 	known := func(e ports.DirectoryEntry) bool { return e.Region == q.Region }
 	if !slices.ContainsFunc(entries, known) {
-		// Not known here: the caller reached this region.
+		// An unknown region counts as this one, which the caller has reached.
 		q.Region, q.Zone = d.region, ""
 	}
 	if q.Caller == "" {
@@ -61,7 +60,7 @@
 	return ports.DirectoryAnswer{Entries: entries, TTL: directoryTTL}
 }
 
-// entries are the live instances of this region and those known of others.
+// entries returns the live instances of this region and the known ones of other regions.
 func (d *directory) entries() []ports.DirectoryEntry {
 	var entries []ports.DirectoryEntry
 	for _, m := range d.view().Alive() {
@@ -88,8 +87,8 @@
 	}
 }
 
-// nearest are the n ids with the lowest ranks for a key.
-func nearest(key string, ids []string, n int) []string {
+// lowestRanked returns the n ids with the lowest ranks for a key.
+func lowestRanked(key string, ids []string, n int) []string {
 	sorted := slices.Clone(ids)
 	slices.SortFunc(sorted, func(x, y string) int { return cmp.Compare(rank(key, x), rank(key, y)) })
 	return sorted[:min(n, len(sorted))]
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -16,9 +16,9 @@
 	return membership.View{Member: membership.Member{ID: id, Region: "jatim", Zone: zone, Meta: meta}, State: state}
 }
 
-// Symptom: callers land on one instance, on one that has gone, or in a region
-// far away. Events: callers ask with and without a place, or name one that is
-// not known. Cause: one order for all, members that have left, weights alike.
+// Guards against callers that land on a single instance, on one that has left, or in a distant
+// region: by one order for all callers, dead members in the answer, or equal weights. Callers
+// ask with and without a place, or name an unknown one.
 func TestDirectoryOrders(t *testing.T) {
 	view := &members.View{Members: []membership.View{
 		member("a", "malang-hall", membership.Alive), member("b", "malang-hall", membership.Alive),
--- a/node/forwarder.go
+++ b/node/forwarder.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	forwardDialTimeout = time.Second
-	forwardIdle        = 32
-	// forwardTries bounds the instances tried while none was reached.
-	forwardTries = 2
+	forwardDialTimeout  = time.Second
+	maxIdleForwardConns = 32
+	// maxForwardAttempts bounds the instances tried while none was reached.
+	maxForwardAttempts = 2
 )
 
-// forwarder passes requests on to instances of other regions, over mutual TLS.
+// forwarder forwards requests to other instances over mutual TLS.
 type forwarder struct {
 	key     *keys.Key
 	entries func(region string) []roster.Contact
@@ -39,9 +39,9 @@
 	return &forwarder{key: key, entries: entries, transports: map[string]*http.Transport{}}
 }
 
-// Forward sends the request to the instance named, or to any live one of the
-// region. A second instance
-// is tried only where the first saw nothing of it and the body is unread.
+// Forward sends the request to the named instance, or to any live one of the region. A second
+// instance is tried only if the first saw nothing of the request and the body is unread. The
+// error is NotRun if no instance was reached.
 func (f *forwarder) Forward(ctx context.Context, r ports.ForwardRequest) (*ports.PlainAnswer, error) {
 	contacts := f.entries(r.Region)
 	if r.Instance != "" {
@@ -50,7 +50,7 @@
 	}
 	rand.Shuffle(len(contacts), func(i, j int) { contacts[i], contacts[j] = contacts[j], contacts[i] })
 	err := verdict.New(verdict.NotRun, pipeline.CodeRegionUnreached, "no instance of region "+r.Region+" is known")
-	for _, c := range contacts[:min(forwardTries, len(contacts))] {
+	for _, c := range contacts[:min(maxForwardAttempts, len(contacts))] {
 		var answer *ports.PlainAnswer
 		answer, err = f.send(ctx, c, r)
 		if err == nil {
@@ -85,8 +85,8 @@
 	return nil, e
 }
 
-// transport keeps the connections to one instance, whose identity is checked in
-// each handshake.
+// transport returns the transport that keeps connections to one instance, whose identity each
+// handshake checks.
 func (f *forwarder) transport(id string) *http.Transport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,7 +94,7 @@
 	if t == nil {
 		t = &http.Transport{
 			DialTLSContext:      dialer(f.key.ClientConfig(id)),
-			MaxIdleConnsPerHost: forwardIdle,
+			MaxIdleConnsPerHost: maxIdleForwardConns,
 			IdleConnTimeout:     time.Minute,
 			DisableCompression:  true,
 		}
@@ -108,7 +108,7 @@
 	return d.DialContext
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (f *forwarder) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/groups.go
+++ b/node/groups.go
@@ -17,8 +17,8 @@
 
 func regionGroup(region string) string { return "region-" + region }
 
-// openGroups opens the groups that this instance is a voter of and makes
-// clients of all.
+// openGroups opens the groups in which this instance is a voter, and makes clients of all
+// groups.
 func (n *Node) openGroups() error {
 	machine := rollout.NewMachine(n.s.Bootstrap.Trust(), n.spreader.Head, n.spreader.HandleAccepted)
 	voters := idsOf(n.s.Voters)
@@ -53,28 +53,28 @@
 		registrar := registered.NewRegistrar(registered.Options{
 			Name: name, Node: local.Node, Table: table, Global: n.global, Lifetime: n.claimLifetime, Log: n.log,
 		})
-		n.keeper = newKeeper(local, registrar, n.log)
+		n.claimKeeper = newClaimKeeper(local, registrar, n.log)
 		n.claimTable = table
 	}
 	return nil
 }
 
-// openPlacing makes the giver of orders at a voter of the region's group; it
-// acts while that one leads.
+// openPlacing creates the placing service at a voter of the region's group. It acts while that
+// voter leads.
 func (n *Node) openPlacing() {
-	if n.keeper == nil {
+	if n.claimKeeper == nil {
 		return
 	}
 	n.placing = placing.New(placing.Options{
 		Region:     n.s.Region,
 		Engines:    n.engines,
-		Leadership: placing.GroupLeadership{Node: n.keeper.local.Node},
+		Leadership: placing.GroupLeadership{Node: n.claimKeeper.local.Node},
 		Log:        n.log,
 	})
 }
 
-// watchGroup tells when a replicated log of this instance fails: the instance
-// serves on without it, and only its log says so.
+// watchGroup logs when a replicated log of this instance fails. The instance keeps serving
+// without it, and nothing else shows the failure.
 func (n *Node) watchGroup(m *group.Member, name string) {
 	<-m.Node.Ended()
 	if s := m.Node.Status(); s.State == replhost.Failed {
@@ -82,7 +82,7 @@
 	}
 }
 
-// claimLifetime is that of the bundle in force; 0 before the first.
+// claimLifetime returns the claim lifetime of the bundle in force; 0 before the first.
 func (n *Node) claimLifetime() time.Duration {
 	v := n.bundleView()
 	if v == nil {
@@ -91,7 +91,7 @@
 	return time.Duration(v.Bundle.Rules.ClaimLifetimeSeconds) * time.Second
 }
 
-// openGroup opens this instance's member of a group; nil if it is none.
+// openGroup opens this instance's member of a group; nil if it is not a voter.
 func (n *Node) openGroup(voters []string, o group.Options) (*group.Member, error) {
 	if !slices.Contains(voters, n.s.Instance) {
 		return nil, nil
@@ -105,7 +105,7 @@
 	return m, err
 }
 
-// idsOf lists the ids of peers.
+// idsOf returns the ids of peers.
 func idsOf(peers []settings.Peer) []string {
 	var ids []string
 	for _, p := range peers {
--- a/node/history.go
+++ b/node/history.go
@@ -25,44 +25,45 @@
 const (
 	// historyFile is where an instance with a disk keeps its own history.
 	historyFile = "burn.cbor"
-	// historyServers is how many instances may recall theirs at once.
-	historyServers = 2
-	// historyRing bounds handed-over histories that wait for the loop.
-	historyRing = 64
+	// maxRecalls bounds the instances that recall their histories at once.
+	maxRecalls = 2
+	// historyInboxSize bounds the handed-over histories that wait for the loop.
+	historyInboxSize = 64
 	// recallTimeout bounds the wait for a neighbour's copy.
 	recallTimeout = 2 * time.Second
 )
 
-// history keeps what burns the objectives of services over a restart of this
-// instance: on its disk if it has one, and with two neighbours.
+// history keeps the burn history of the services' objectives over restarts of this instance: on
+// its disk if it has one, and with two neighbours.
 type history struct {
-	node  *Node
-	own   *burn.History
-	shelf *burn.Shelf
-	inbox *ring.Ring[burn.Snapshot]
+	node       *Node
+	own        *burn.History
+	handedOver *burn.Shelf
+	inbox      *ring.Ring[burn.Snapshot]
 }
 
 func newHistory(n *Node) *history {
 	h := &history{
-		node:  n,
-		own:   burn.NewHistory(n.s.Instance, n.s.Region, n.life()),
-		shelf: &burn.Shelf{},
-		inbox: ring.New[burn.Snapshot](historyRing),
+		node:       n,
+		own:        burn.NewHistory(n.s.Instance, n.s.Region, n.incarnation()),
+		handedOver: &burn.Shelf{},
+		inbox:      ring.New[burn.Snapshot](historyInboxSize),
 	}
 	n.hub.Handle(channelHistory, h.receive)
-	n.hub.Serve(channelRecall, historyServers, h.serveRecall)
+	n.hub.Serve(channelRecall, maxRecalls, h.serveRecall)
 	return h
 }
 
-// refused is how many snapshots found the inbox full.
+// refused returns how many snapshots found the inbox full.
 func (h *history) refused() uint64 { return h.inbox.Stats().Refused }
 
-// observer feeds figures and history from the request path.
+// observer returns the Observer that feeds the figures and the history from the request path.
 func (h *history) observer(t *served.Table) pipeline.Observer {
 	return &served.Observer{Table: t, Burn: h.own, Price: h.node.price, Now: time.Now}
 }
 
-// price is what a second of one request at a target weighs.
+// price returns what one request costs at a target: its share of the target's slots, and the
+// target's cost per second.
 func (n *Node) price(id route.TargetID) served.Price {
 	v := n.bundleView()
 	if v == nil {
@@ -75,9 +76,9 @@
 	return served.Price{Share: 1 / float64(max(1, t.Slots)), PerSecond: t.CostPerSecond}
 }
 
-// snapshot is what this instance has seen and what neighbours have handed it.
+// snapshot returns this instance's history merged with those that neighbours have handed over.
 func (h *history) snapshot(now time.Time) burn.Snapshot {
-	return burn.Merge(h.own.Snapshot(now), h.shelf.All())
+	return burn.Merge(h.own.Snapshot(now), h.handedOver.All())
 }
 
 func (h *history) receive(from string, data []byte) {
@@ -90,10 +91,10 @@
 }
 
 func (h *history) serveRecall(_ context.Context, from string, _ []byte) ([]byte, error) {
-	return h.shelf.Of(from).Encode(burn.HandoverBytes)
+	return h.handedOver.Of(from).Encode(burn.HandoverBytes)
 }
 
-// run takes the earlier history back, then keeps and hands over until ctx ends.
+// run restores the earlier history, then saves and hands it over until ctx ends.
 func (h *history) run(ctx context.Context) {
 	h.restore()
 	tick := time.NewTicker(burn.HandoverInterval)
@@ -106,7 +107,7 @@
 			h.save()
 			return
 		case s := <-h.inbox.C():
-			h.shelf.Keep(time.Now(), s)
+			h.handedOver.Keep(time.Now(), s)
 		case <-recall.C:
 			h.recall(ctx)
 		case <-tick.C:
@@ -118,8 +119,8 @@
 
 func (h *history) path() string { return filepath.Join(h.node.s.DataDir, historyFile) }
 
-// restore reads the disk's copy. History is a report, not a promise: a missing
-// or damaged file costs the past, nothing else.
+// restore reads the copy on disk. The history is only reported: if the file is missing or
+// damaged, nothing but past figures is lost.
 func (h *history) restore() {
 	if h.node.s.DataDir == "" {
 		return
@@ -136,8 +137,7 @@
 	h.own.Restore(s)
 }
 
-// save replaces the disk's copy by way of another name, so that a crash leaves
-// a whole file.
+// save replaces the copy on disk by a rename, so that a crash leaves a whole file.
 func (h *history) save() {
 	if h.node.s.DataDir == "" {
 		return
@@ -146,13 +146,13 @@
 	if err != nil {
 		return
 	}
-	fresh := h.path() + ".new"
-	if os.WriteFile(fresh, data, 0o600) == nil {
-		_ = os.Rename(fresh, h.path())
+	temp := h.path() + ".new"
+	if os.WriteFile(temp, data, 0o600) == nil {
+		_ = os.Rename(temp, h.path())
 	}
 }
 
-// handOver gives this instance's own history to some others of the region.
+// handOver sends this instance's history to its holders.
 func (h *history) handOver() {
 	data, err := h.own.Snapshot(time.Now()).Encode(burn.HandoverBytes)
 	if err != nil {
@@ -163,14 +163,14 @@
 	}
 }
 
-// holders are the neighbours that keep this instance's history, the same over
-// its restarts.
+// holders returns the neighbours that keep this instance's history; they stay the same over its
+// restarts.
 func (h *history) holders() []string {
 	others := regionView{h.node}.Others()
-	return nearest(h.node.s.Instance, others, burn.HandoverPeers)
+	return lowestRanked(h.node.s.Instance, others, burn.HandoverPeers)
 }
 
-// recall asks the neighbours for what an earlier life handed them.
+// recall fetches what an earlier incarnation of this instance handed to its neighbours.
 func (h *history) recall(ctx context.Context) {
 	for _, id := range h.holders() {
 		ctx, cancel := context.WithTimeout(ctx, recallTimeout)
--- a/node/install.go
+++ b/node/install.go
@@ -6,7 +6,7 @@
 	"github.com/gullhaven/gullhaven/pipeline"
 )
 
-// bundleView is the bundle in force; nil before the first.
+// bundleView returns the bundle in force; nil before the first.
 func (n *Node) bundleView() *pipeline.View { return n.pipeline.View() }
 
 // install puts a bundle in force at this instance.
@@ -20,7 +20,7 @@
 	n.setLinks()
 }
 
-// enginesOf are the targets of the region that report load.
+// enginesOf returns the targets of the region that report load.
 func enginesOf(v *pipeline.View) []loads.Target {
 	var engines []loads.Target
 	for _, t := range v.Bundle.Targets {
--- a/node/listen.go
+++ b/node/listen.go
@@ -14,18 +14,18 @@
 	"github.com/gullhaven/gullhaven/coord/link"
 )
 
-// headerTimeout bounds how long a connection may take to send its headers, so
-// that slow connections hold nothing.
+// headerTimeout bounds how long a connection may take to send its headers, so that slow
+// connections don't hold resources.
 const headerTimeout = 10 * time.Second
 
 // server is one listening interface.
 type server struct{ http *http.Server }
 
-// shutdown takes no new connections and waits for those in use.
+// shutdown accepts no new connections and waits for those in use, until ctx ends.
 func (s *server) shutdown(ctx context.Context) { _ = s.http.Shutdown(ctx) }
 
-// listen opens the three interfaces: for callers, for operators and, with
-// mutual TLS, for instances.
+// listen opens the three interfaces: for callers, for operators and, with mutual TLS, for
+// instances.
 func (n *Node) listen() error {
 	deps := api.Deps{Pipeline: n.pipeline, Directory: n.directory, Ready: n.Ready, Metrics: n.metrics}
 	operators := deps
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// peerID names the instance at the other end of a connection.
+// peerID returns the id of the instance at the other end of a connection; empty if it has none.
 func peerID(r *http.Request) string {
 	id, err := keys.PeerIdentity(r.TLS)
 	if err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -1,9 +1,9 @@
-// Package node assembles one instance of gullhaven: the request path, the links
-// to other instances, the replicated groups that it is a member of, and the
-// duties that keep its view of the system up to date.
+// Package node assembles one instance of gullhaven: the request path, the links to other
+// instances, the replicated groups of which it is a member, and the background work that keeps
+// its view of the system up to date.
 //
-// Each duty is a goroutine with a bounded ring before it; what they share is
-// published through the request path's View and Routing.
+// Each piece of background work runs on its own goroutine, fed by a bounded ring. What they
+// share is published through the request path's View and Routing.
 package node
 
 import (
@@ -45,22 +45,22 @@
 const (
 	// globalGroup is the name of the group that accepts bundles.
 	globalGroup = "global"
-	// Times of the global group, whose members are regions apart: the round
-	// trip between two of them is about 160 ms.
+	// Times of the global group. Its members are in different regions, with a round trip of
+	// about 160 ms between two of them.
 	globalHeartbeat = 200 * time.Millisecond
 	globalElection  = 1500 * time.Millisecond
-	// maxBundleEntry bounds a bundle in the log: the first one is whole, 2.3 MB
-	// with 10,000 workspaces.
+	// maxBundleEntry bounds a bundle in the log, in bytes: the first one is whole, 2.3 MB with
+	// 10,000 workspaces.
 	maxBundleEntry = 8 << 20
-	// maxLinkMessage bounds a message. The longest are a rolled bundle in JSON
-	// on its way to the leader, and the snapshot of a full table of claims, 26 MB.
+	// maxLinkMessage bounds a message, in bytes. The longest are a signed bundle in JSON on its
+	// way to the leader, and the snapshot of a full claim table, 26 MB.
 	maxLinkMessage = 64 << 20
-	// peersInterval is how often the view of peers is handed to the spreader.
+	// peersInterval is how often the view of peers is passed to the spreader.
 	peersInterval = time.Second
-	// drainInterval is the time between two looks at the work in progress.
+	// drainInterval is the time between two checks of the requests in progress.
 	drainInterval = 20 * time.Millisecond
-	// leaveTime bounds the farewell to the other members.
-	leaveTime = 200 * time.Millisecond
+	// leaveTimeout bounds the announcement to the other members that this instance leaves.
+	leaveTimeout = 200 * time.Millisecond
 )
 
 // Options of a Node.
@@ -70,7 +70,7 @@
 	Log      *zap.Logger
 	// DrainTime bounds the wait for requests in progress at Stop; default 60 s.
 	DrainTime time.Duration
-	// AllowPeer, if set, cuts the links to peers for which it is false.
+	// AllowPeer, if set, cuts the links to peers for which it returns false.
 	AllowPeer func(peer string) bool
 }
 
@@ -84,20 +84,20 @@
 	served  *served.Table
 	history *history
 
-	hub      *link.Hub
-	members  *members.Service
-	spreader *rollout.Spreader
-	regions  *regions.Service
-	loads    *loads.Service
-	limits   *limits.Service
-	suspects *suspects.Service
-	engines  ports.Engines
-	pipeline *pipeline.Pipeline
-	forward  *forwarder
-	keeper   *keeper
-	placing  *placing.Service
-	// claimTable is the region group's state machine; nil at instances that are
-	// none of its voters.
+	hub         *link.Hub
+	members     *members.Service
+	spreader    *rollout.Spreader
+	regions     *regions.Service
+	loads       *loads.Service
+	limits      *limits.Service
+	suspects    *suspects.Service
+	engines     ports.Engines
+	pipeline    *pipeline.Pipeline
+	forward     *forwarder
+	claimKeeper *claimKeeper
+	placing     *placing.Service
+	// claimTable is the state machine of the region group; nil at instances that aren't voters
+	// of it.
 	claimTable *registered.Table
 	global     *group.Client
 	claims     *claims
@@ -110,8 +110,8 @@
 	cancel   context.CancelFunc
 }
 
-// New assembles an instance without starting it, but for its replicated groups,
-// which recover their logs. The error is of settings, disks or addresses.
+// New assembles an instance without starting it, except that its replicated groups recover
+// their logs and start. The error is about settings, disks or addresses.
 func New(o Options) (*Node, error) {
 	if o.DrainTime <= 0 {
 		o.DrainTime = time.Minute
@@ -139,7 +139,7 @@
 	return n, nil
 }
 
-// assemble makes the parts in the order of their needs.
+// assemble creates the parts in the order of their dependencies.
 func (n *Node) assemble() error {
 	n.spreader = rollout.NewSpreader(rollout.Options{
 		Self:        spread.Peer{ID: n.s.Instance, Region: n.s.Region, Voter: n.isVoter(n.s.Instance)},
@@ -159,10 +159,10 @@
 	n.forward = newForwarder(n.o.Key, n.entriesOf)
 	n.directory = &directory{region: n.s.Region, view: n.view, others: n.otherEntries}
 	n.limits = limits.New(limits.Options{
-		Self: n.s.Instance, Life: n.lifeOf, Hub: n.hub, View: n.bundleView, Log: n.log,
+		Self: n.s.Instance, Life: n.incarnationOf, Hub: n.hub, View: n.bundleView, Log: n.log,
 	})
 	n.history = newHistory(n)
-	holder := &lateHolder{}
+	holder := &deferredHolder{}
 	n.suspects = suspects.New(suspects.Options{
 		Self: n.s.Instance, Hub: n.hub, Region: regionView{n}, Holder: holder, Log: n.log,
 	})
@@ -179,8 +179,8 @@
 		Self: self, Seeds: n.contacts(), Hub: n.hub, Routing: n.pipeline.Routing(), Log: n.log, OnChange: n.setLinks,
 	})
 	n.openPlacing()
-	n.hub.Serve(channelRegions, regionServers, n.serveRegions)
-	n.hub.Serve(channelVoters, regionServers, n.serveVoters)
+	n.hub.Serve(channelRegions, maxStatusCalls, n.serveRegions)
+	n.hub.Serve(channelVoters, maxStatusCalls, n.serveVoters)
 	n.metrics.RegisterControl(n.control)
 	return n.openMembers()
 }
@@ -188,7 +188,7 @@
 func (n *Node) pathDeps(plains ports.Plains) pipeline.Deps {
 	cfg := route.Config{Region: n.s.Region, Zone: n.s.Zone}
 	return pipeline.Deps{
-		Instance:  claim.Instance{ID: n.s.Instance, Incarnation: n.life()},
+		Instance:  claim.Instance{ID: n.s.Instance, Incarnation: n.incarnation()},
 		Region:    n.s.Region,
 		Zone:      n.s.Zone,
 		Decider:   route.New(cfg, newRand()),
@@ -206,13 +206,13 @@
 	}
 }
 
-// life names this start of the instance.
-func (n *Node) life() uint64 { return uint64(n.started.UnixMilli()) }
+// incarnation identifies this start of the instance.
+func (n *Node) incarnation() uint64 { return uint64(n.started.UnixMilli()) }
 
-// lifeOf names the start of any instance of the region.
-func (n *Node) lifeOf(id string) string {
+// incarnationOf identifies the current start of any instance of the region.
+func (n *Node) incarnationOf(id string) string {
 	if id == n.s.Instance {
-		return fmt.Sprint(id, "/", n.life())
+		return fmt.Sprint(id, "/", n.incarnation())
 	}
 	m, _ := n.view().Find(id)
 	return fmt.Sprint(id, "/", members.DecodeMeta(m.Member).StartMillis)
@@ -220,13 +220,13 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// Roll hands a signed bundle to the leader of the global group and returns its
-// answer, a bundle.Result in JSON. The same bytes may always be sent again.
+// Roll sends a signed bundle to the leader of the global group and returns the leader's answer,
+// a bundle.Result in JSON. The same bytes may always be sent again.
 func (n *Node) Roll(ctx context.Context, signed []byte) ([]byte, error) {
 	return n.global.Propose(ctx, signed)
 }
 
-// Ready says why the instance takes no requests; nil means that it does.
+// Ready returns why the instance takes no requests; nil if it takes them.
 func (n *Node) Ready() error {
 	select {
 	case <-n.draining:
@@ -239,7 +239,7 @@
 	return nil
 }
 
-// Start listens and starts the duties. The error is of an address.
+// Start opens the interfaces and starts the background work. The error is about an address.
 func (n *Node) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -248,10 +248,10 @@
 		return err
 	}
 	duties := []func(context.Context){
-		n.members.Run, n.spreader.Run, n.regions.Run, n.loads.Run, n.limits.Run, n.suspects.Run, n.history.run, n.pipeline.Run, n.tellPeers,
+		n.members.Run, n.spreader.Run, n.regions.Run, n.loads.Run, n.limits.Run, n.suspects.Run, n.history.run, n.pipeline.Run, n.publishPeers,
 	}
-	if n.keeper != nil {
-		duties = append(duties, n.keeper.run)
+	if n.claimKeeper != nil {
+		duties = append(duties, n.claimKeeper.run)
 	}
 	if n.placing != nil {
 		duties = append(duties, n.placing.Run)
@@ -265,14 +265,13 @@
 	return nil
 }
 
-// Stop leaves gracefully: the others stop naming this instance to callers, new
-// requests are refused, and those in progress end, within DrainTime. It returns
-// how many were cut off.
+// Stop leaves gracefully: the others stop naming this instance to callers, new requests are
+// refused, and those in progress get DrainTime to end. It returns how many were cut off.
 func (n *Node) Stop() int64 {
 	close(n.draining)
-	leaving, done := context.WithTimeout(context.Background(), leaveTime)
-	n.members.Leave(leaving)
-	done()
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	n.members.Leave(ctx)
+	cancel()
 	n.drain()
 	cut := n.pipeline.InFlight()
 	n.cancel()
@@ -281,7 +280,7 @@
 	return cut
 }
 
-// drain waits for the requests in progress.
+// drain waits for the requests in progress, up to DrainTime.
 func (n *Node) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), n.o.DrainTime)
 	defer cancel()
@@ -291,9 +290,8 @@
 	n.drainDetached(ctx)
 }
 
-// drainDetached waits for work that goes on without its caller: what runs at
-// most once is not cancelled when the caller leaves, and its end must be
-// recorded.
+// drainDetached waits for requests that outlive their callers: one that runs at most once is
+// not cancelled when its caller leaves, and its end must be recorded.
 func (n *Node) drainDetached(ctx context.Context) {
 	tick := time.NewTicker(drainInterval)
 	defer tick.Stop()
@@ -306,7 +304,7 @@
 	}
 }
 
-// close ends what New opened.
+// close closes what New opened.
 func (n *Node) close() {
 	for _, s := range n.servers {
 		_ = s.http.Close()
--- a/node/operator.go
+++ b/node/operator.go
@@ -14,16 +14,16 @@
 	"github.com/gullhaven/gullhaven/pipeline"
 )
 
-// rollAgain is when to send a bundle again after no majority was reached.
-const rollAgain = time.Second
+// rollRetryAfter is when to send a bundle again if no majority was reached.
+const rollRetryAfter = time.Second
 
-// rollTimeout bounds the wait for the answer to a rolled bundle.
+// rollTimeout bounds the wait for the answer to a bundle.
 const rollTimeout = 10 * time.Second
 
-// operator answers what operators ask of this instance.
+// operator serves the operators' interface of this instance.
 type operator struct{ node *Node }
 
-// Roll hands a signed bundle to the leader of the global group.
+// Roll sends a signed bundle to the leader of the global group.
 func (o *operator) Roll(ctx context.Context, signed []byte) (*operators.RollResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, rollTimeout)
 	defer cancel()
@@ -43,7 +43,7 @@
 	return &operators.RollResult{Version: r.Version, Digest: string(r.Digest), Accepted: true, Again: again}, nil
 }
 
-// refusalCode is the code of an outcome that is no acceptance.
+// refusalCode returns the code of an outcome other than acceptance.
 func refusalCode(o bundle.Outcome) verdict.Code {
 	switch o {
 	case bundle.OutcomeInvalid:
@@ -55,8 +55,8 @@
 	}
 }
 
-// rollError says what became of a proposal without an answer. The same bytes
-// may always be sent again.
+// rollError returns the error for a proposal without an answer. The same bytes may always be
+// sent again.
 func rollError(err error) error {
 	var e *verdict.Error
 	if !errors.As(err, &e) {
@@ -67,12 +67,12 @@
 		c.Code = api.CodeBundleMalformed
 		return &c
 	}
-	c.Code, c.RetryAfter = api.CodeNoQuorum, rollAgain
+	c.Code, c.RetryAfter = api.CodeNoQuorum, rollRetryAfter
 	return &c
 }
 
-// Burn reports service-level burn as this instance has seen it, and what its
-// neighbours have handed it.
+// Burn reports the burn of the services' objectives that this instance has seen, and what its
+// neighbours have handed over.
 func (o *operator) Burn(context.Context) (*operators.BurnReport, error) {
 	v := o.node.bundleView()
 	if v == nil {
--- a/node/peers.go
+++ b/node/peers.go
@@ -14,19 +14,19 @@
 )
 
 func (n *Node) openMembers() error {
-	meta, err := members.Meta{CallerAddress: n.s.Advertise.Callers, StartMillis: n.life()}.Encode()
+	meta, err := members.Meta{CallerAddress: n.s.Advertise.Callers, StartMillis: n.incarnation()}.Encode()
 	if err != nil {
 		return err
 	}
 	self := membership.Member{
 		ID: n.s.Instance, Region: n.s.Region, Zone: n.s.Zone, Address: n.s.Advertise.Instances,
-		Incarnation: n.life(), Meta: meta,
+		Incarnation: n.incarnation(), Meta: meta,
 	}
-	if n.keeper != nil {
-		// No event tells of this instance itself. Without it, what its earlier
-		// life claimed would count as running here for the claims' lifetime, at
-		// least in a region with one voter, and each resend be told to come back.
-		n.keeper.observe(self)
+	if n.claimKeeper != nil {
+		// No event reports this instance itself. Without this, the claims of its earlier
+		// incarnation would count as running here for the claims' lifetime, at least in a
+		// region with one voter, and each retry would be told to come back later.
+		n.claimKeeper.observe(self)
 	}
 	n.members, err = members.New(members.Options{
 		Self:    self,
@@ -40,7 +40,7 @@
 	return err
 }
 
-// regionSeeds are the other instances of the own region named in the settings.
+// regionSeeds returns the ids of the other instances of this region that the settings name.
 func (n *Node) regionSeeds() []string {
 	var ids []string
 	for _, p := range n.peers() {
@@ -51,7 +51,7 @@
 	return ids
 }
 
-// peers are the other instances named in the settings, each once.
+// peers returns the other instances that the settings name, each once.
 func (n *Node) peers() []settings.Peer {
 	var peers []settings.Peer
 	for _, p := range slices.Concat(n.s.Seeds, n.s.Voters, n.s.RegionVoters) {
@@ -71,8 +71,8 @@
 	return contacts
 }
 
-// address finds where an instance listens for links: as a member of the region
-// says, as another region's roster says, or as the settings say.
+// address returns where an instance listens for links: from the region's members, else from
+// other regions' rosters, else from the settings. It returns false if none has it.
 func (n *Node) address(id string) (string, bool) {
 	if n.members != nil {
 		if m, ok := n.members.View().Find(id); ok && m.Address != "" {
@@ -95,15 +95,15 @@
 func (n *Node) view() *members.View { return n.members.View() }
 
 func (n *Node) onMember(e membership.Event) {
-	if n.keeper != nil && e.State == membership.Alive {
-		n.keeper.observe(e.Member)
+	if n.claimKeeper != nil && e.State == membership.Alive {
+		n.claimKeeper.observe(e.Member)
 	}
 	if e.State == membership.Alive {
 		n.suspects.Joined(e.Member.ID)
 	}
 }
 
-// onView hands a new view of the region to those who act on it.
+// onView passes a new view of the region to the parts that use it.
 func (n *Node) onView(v *members.View) {
 	if n.regions == nil || n.loads == nil {
 		return
@@ -132,8 +132,8 @@
 	}
 }
 
-// tellPeers hands the view of all regions to the spreader until ctx ends.
-func (n *Node) tellPeers(ctx context.Context) {
+// publishPeers passes the peers of all regions to the spreader until ctx ends.
+func (n *Node) publishPeers(ctx context.Context) {
 	tick := time.NewTicker(peersInterval)
 	defer tick.Stop()
 	for {
@@ -146,7 +146,7 @@
 	}
 }
 
-// spreadPeers are the members of the region, and the relays and voters of others.
+// spreadPeers returns the members of the region, and the relays and voters of others.
 func (n *Node) spreadPeers() []spread.Peer {
 	v := n.view()
 	var peers []spread.Peer
@@ -167,7 +167,7 @@
 	return peers
 }
 
-// entriesOf are the other instances of a region that requests can be passed on to.
+// entriesOf returns the other instances of a region to which requests can be forwarded.
 func (n *Node) entriesOf(region string) []roster.Contact {
 	if region == n.s.Region {
 		var contacts []roster.Contact
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// otherEntries are the instances of other regions, for the directory.
+// otherEntries returns the instances of other regions, for the directory.
 func (n *Node) otherEntries() []ports.DirectoryEntry {
 	var entries []ports.DirectoryEntry
 	for _, r := range n.regions.Rosters() {
--- a/node/platform.go
+++ b/node/platform.go
@@ -17,13 +17,13 @@
 	platformTimeout = 800 * time.Millisecond
 )
 
-// platform reads the platform's list of live and leaving instances. It lags, so
-// it is a hint only: it names candidates to probe and says who is leaving, and
-// never declares anybody dead.
+// platform reads the platform's list of live and leaving instances. The list lags, so it is
+// only a hint: it names candidates to probe and instances that are leaving, and never declares
+// an instance dead.
 type platform struct {
 	node *Node
 	list ports.InstanceList
-	// failing says that the last read failed, to log only changes.
+	// failing says that the last read failed, so that only changes are logged.
 	failing bool
 }
 
@@ -50,21 +50,21 @@
 		p.node.log.Info("list of instances changed state", zap.Bool("failing", failing), zap.Error(err))
 	}
 	if err == nil {
-		p.tell(snapshot.Instances)
+		p.publish(snapshot.Instances)
 	}
 }
 
-// tell hands on what the list says of members of the region and of targets,
-// which are known by their addresses.
-func (p *platform) tell(list []ports.Instance) {
+// publish passes on what the list says of members of the region and of targets, which are known
+// by their addresses.
+func (p *platform) publish(list []ports.Instance) {
 	var hints []membership.Hint
 	leaving := map[string]bool{}
 	for _, i := range list {
-		gone := i.State == ports.InstanceLeaving
+		isLeaving := i.State == ports.InstanceLeaving
 		if i.Region == p.node.s.Region {
-			hints = append(hints, membership.Hint{ID: i.ID, Leaving: gone})
+			hints = append(hints, membership.Hint{ID: i.ID, Leaving: isLeaving})
 		}
-		if gone {
+		if isLeaving {
 			leaving[i.Address] = true
 		}
 	}
@@ -72,7 +72,7 @@
 	p.node.loads.SetLeaving(p.targetsAt(leaving))
 }
 
-// targetsAt are the targets of the bundle in force at some addresses.
+// targetsAt returns the ids of the targets of the bundle in force at some addresses.
 func (p *platform) targetsAt(addresses map[string]bool) []string {
 	v := p.node.bundleView()
 	if v == nil {
--- a/node/region.go
+++ b/node/region.go
@@ -10,16 +10,16 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// lateHolder passes on to the routing that is made after it.
-type lateHolder struct{ routing *pipeline.Routing }
+// deferredHolder forwards calls to the Routing, which is created after it.
+type deferredHolder struct{ routing *pipeline.Routing }
 
 // SetReserved replaces the targets kept free for lone runs.
-func (h *lateHolder) SetReserved(targets []route.TargetID) { h.routing.SetReserved(targets) }
+func (h *deferredHolder) SetReserved(targets []route.TargetID) { h.routing.SetReserved(targets) }
 
 // regionView is the region as lone runs see it.
 type regionView struct{ n *Node }
 
-// Others are the live instances of the region but this one.
+// Others returns the live instances of the region except this one.
 func (r regionView) Others() []string {
 	var ids []string
 	for _, m := range r.n.view().Alive() {
@@ -30,16 +30,16 @@
 	return ids
 }
 
-// Owner owns the lone runs of the region.
+// Owner returns the instance that owns the lone runs of the region; empty if there is none.
 func (r regionView) Owner() string { return r.n.view().Relays[0] }
 
-// Life numbers the lives of a target.
+// Life returns the incarnation of a target.
 func (r regionView) Life(target string) uint64 {
 	seen, _ := r.n.loads.Seen(target)
 	return seen.Life
 }
 
-// Candidates are the warm targets of a service, least loaded first.
+// Candidates returns the warm targets of a service, least loaded first.
 func (r regionView) Candidates(service string) []string {
 	var ids []string
 	load := map[string]int{}
@@ -55,8 +55,8 @@
 	return ids
 }
 
-// Idle asks an engine whether it runs nothing. A plain service can't tell; it
-// counts as idle, so that a suspect runs there with what came before it.
+// Idle asks an engine whether it runs nothing. A plain service can't tell and counts as idle,
+// so that a suspect runs there beside earlier requests.
 func (r regionView) Idle(ctx context.Context, target string) bool {
 	v := r.n.bundleView()
 	t := v.Target(route.TargetID(target))
--- a/node/status.go
+++ b/node/status.go
@@ -18,18 +18,17 @@
 )
 
 const (
-	// channelRegions is the link channel on which relays tell what they know of
-	// all regions.
+	// channelRegions is the link channel on which relays report what they know of all regions.
 	channelRegions = "status-regions"
-	// channelVoters is that of the voters of the global group.
+	// channelVoters is the link channel on which instances report the voters of the global
+	// group.
 	channelVoters = "status-voters"
-	// regionServers is how many of them are answered at once.
-	regionServers = 2
-	// relayTimeout bounds the wait for a relay.
+	// maxStatusCalls bounds the calls of each channel that are served at once.
+	maxStatusCalls = 2
+	// relayTimeout bounds the wait for another instance's report.
 	relayTimeout = 500 * time.Millisecond
-	// voterSilence is how long a voter may be silent before it counts as
-	// unreachable.
-	voterSilence = 3 * time.Second
+	// voterTimeout is how long a voter may be silent before it counts as unreachable.
+	voterTimeout = 3 * time.Second
 )
 
 // Status reports what this instance knows.
@@ -55,7 +54,7 @@
 	}, nil
 }
 
-// roles are what the instance does besides taking requests.
+// roles returns the roles of this instance; every instance is an entry instance.
 func (n *Node) roles() []string {
 	roles := []string{"entry"}
 	if local := n.global.Local(); local != nil {
@@ -64,18 +63,18 @@
 	if n.view().IsRelay(n.s.Instance) {
 		roles = append(roles, "relay")
 	}
-	if n.keeper == nil {
+	if n.claimKeeper == nil {
 		return roles
 	}
-	roles = append(roles, "region_"+voterRole(n.keeper.local))
-	if !n.keeper.local.Node.LeaseUntil().IsZero() {
+	roles = append(roles, "region_"+voterRole(n.claimKeeper.local))
+	if !n.claimKeeper.local.Node.LeaseUntil().IsZero() {
 		roles = append(roles, "region_leader")
 	}
 	return roles
 }
 
-// voterRole tells whether a member of a group counts in it: one that
-// lost its disk does not until the log has readmitted it.
+// voterRole returns whether a member is a voter of its group: one that lost its disk is none
+// until the log has readmitted it.
 func voterRole(m *group.Member) string {
 	if m.Node.Status().Core.Config.IsVoter(m.Node.Member()) {
 		return "voter"
@@ -88,7 +87,7 @@
 	return s.State == replhost.Running && s.Core.Role == replog.Leader
 }
 
-// leaseOf is the lease of a group whose leader this instance is; nil otherwise.
+// leaseOf returns the lease of a group that this instance leads; nil otherwise.
 func (n *Node) leaseOf(m *group.Member) *operators.LeaseStatus {
 	if m == nil || !leads(m.Node.Status()) {
 		return nil
@@ -104,30 +103,30 @@
 func (n *Node) globalLease() *operators.LeaseStatus { return n.leaseOf(n.global.Local()) }
 
 func (n *Node) regionLease() *operators.LeaseStatus {
-	if n.keeper == nil {
+	if n.claimKeeper == nil {
 		return nil
 	}
-	return n.leaseOf(n.keeper.local)
+	return n.leaseOf(n.claimKeeper.local)
 }
 
-// voterStatus lists the voters of the global group as the leader knows them, or
-// as this one does if it is not reached.
+// voterStatus lists the voters of the global group as the leader knows them, or as this
+// instance does if the leader is not reached.
 func (n *Node) voterStatus() []*operators.VoterStatus {
 	local := n.global.Local()
 	if local == nil {
-		return n.leadersVoters(n.view().Relays[0])
+		return n.fetchVoters(n.view().Relays[0])
 	}
 	s := local.Node.Status()
 	if !leads(s) && s.Core.Leader.ID != n.s.Instance {
-		if list := n.leadersVoters(s.Core.Leader.ID); len(list) > 0 {
+		if list := n.fetchVoters(s.Core.Leader.ID); len(list) > 0 {
 			return list
 		}
 	}
-	return n.ownVoters(s)
+	return n.localVoters(s)
 }
 
-// leadersVoters asks another instance for its list; empty if it does not answer.
-func (n *Node) leadersVoters(id string) []*operators.VoterStatus {
+// fetchVoters asks another instance for its list; empty if it does not answer.
+func (n *Node) fetchVoters(id string) []*operators.VoterStatus {
 	list := []*operators.VoterStatus{}
 	if id == "" || id == n.s.Instance {
 		return list
@@ -141,17 +140,17 @@
 	return list
 }
 
-// serveVoters answers with what this instance knows itself, so that two that
-// take each other for the leader do not ask in turns.
+// serveVoters answers with what this instance itself knows, so that two instances that take
+// each other for the leader do not ask each other in turn.
 func (n *Node) serveVoters(context.Context, string, []byte) ([]byte, error) {
 	if local := n.global.Local(); local != nil {
-		return cbor.Marshal(n.ownVoters(local.Node.Status()))
+		return cbor.Marshal(n.localVoters(local.Node.Status()))
 	}
 	return cbor.Marshal([]*operators.VoterStatus{})
 }
 
-// ownVoters is what this voter knows of all.
-func (n *Node) ownVoters(s replhost.Status) []*operators.VoterStatus {
+// localVoters lists the voters as this voter knows them.
+func (n *Node) localVoters(s replhost.Status) []*operators.VoterStatus {
 	list := []*operators.VoterStatus{}
 	for _, peer := range n.s.Voters {
 		v := &operators.VoterStatus{Instance: peer.ID, Region: peer.Region, State: "follower", Disk: "unknown"}
@@ -161,7 +160,7 @@
 	return list
 }
 
-// describeVoter fills in what the log tells: all of itself, and at the leader
+// describeVoter fills in what the log says: for this instance everything, and at the leader
 // what the others have synced.
 func (n *Node) describeVoter(v *operators.VoterStatus, s replhost.Status) {
 	if v.Instance == s.Core.Leader.ID {
@@ -179,7 +178,7 @@
 		if !p.Voter {
 			v.State, v.Disk = "learner", "readmitting"
 		}
-		if time.Since(p.Active) > voterSilence {
+		if time.Since(p.Active) > voterTimeout {
 			v.State, v.Disk = "unreachable", "unknown"
 		}
 	}
@@ -210,12 +209,12 @@
 	return ""
 }
 
-// regionStatus lists the regions of the bundle with what is in force there.
-// Instances that are no relays know only their own.
+// regionStatus lists the regions of the bundle with the version in force there. Instances
+// other than relays and voters know only their own region, and ask a relay for the others.
 func (n *Node) regionStatus(head bundle.Identity) []*operators.RegionStatus {
 	known := map[string]*operators.RegionStatus{}
 	for _, s := range n.knownRegions() {
-		known[s.Region] = n.regionOf(s, head)
+		known[s.Region] = n.regionStatusOf(s, head)
 	}
 	list := []*operators.RegionStatus{}
 	for _, id := range n.regionIDs() {
@@ -231,8 +230,8 @@
 	return list
 }
 
-// regionOf compares what a region's relay told with the version in force here.
-func (n *Node) regionOf(s spread.RegionState, head bundle.Identity) *operators.RegionStatus {
+// regionStatusOf compares what a region's relay reported with the version in force here.
+func (n *Node) regionStatusOf(s spread.RegionState, head bundle.Identity) *operators.RegionStatus {
 	status := &operators.RegionStatus{
 		Region:    s.Region,
 		Version:   s.Newest.Version,
@@ -249,9 +248,8 @@
 	return status
 }
 
-// knownRegions are the states of all regions. Relays and voters know them;
-// another instance asks a relay of its region, and knows none if that does not
-// answer.
+// knownRegions returns the states of all regions. Relays and voters know them; another instance
+// asks a relay of its region, and returns none if that does not answer.
 func (n *Node) knownRegions() []spread.RegionState {
 	if own := n.spreader.Regions(); len(own) > 0 {
 		return own
