--- a/node/control/accepted_file.go
+++ b/node/control/accepted_file.go
@@ -64,7 +64,7 @@
 		case s := <-k.next:
 			if err := k.write(s); err != nil {
 				// The log holds the state; only a start without a leader lacks it.
-				k.log.Warn("accepted state was not kept beside the log", zap.Error(err))
+				k.log.Warn("writing the accepted state beside the log failed", zap.Error(err))
 			}
 		}
 	}
--- a/node/control/gossip.go
+++ b/node/control/gossip.go
@@ -71,7 +71,7 @@
 		if payloads[sameRegion] == nil {
 			payload, err := cbor.Marshal(i.store.Gossip(now, sameRegion, listChanged))
 			if err != nil {
-				i.log.Error("gossip cannot be written", zap.Error(err))
+				i.log.Error("gossip cannot be encoded", zap.Error(err))
 				return
 			}
 			payloads[sameRegion] = payload
@@ -123,7 +123,7 @@
 	defer cancel()
 	request, err := cbor.Marshal(i.store.List().Digest)
 	if err != nil {
-		i.log.Error("a question for the list cannot be written", zap.Error(err))
+		i.log.Error("a request for the list cannot be encoded", zap.Error(err))
 		return
 	}
 	answer, err := i.hub.Call(ctx, from, channelList, request)
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -198,7 +198,7 @@
 	}
 	if i.startState != nil {
 		i.documents.put(i.startState)
-		o.Log.Info("accepted before the start", zap.Uint64("version", i.startState.Version), zap.Uint64("index", i.startState.Index))
+		o.Log.Info("read the accepted state beside the log", zap.Uint64("version", i.startState.Version), zap.Uint64("index", i.startState.Index))
 	}
 	i.newcomer = i.node.Status().New && !o.FirstStart
 	hub.Handle(channelGroup, i.node.Receive)
@@ -301,7 +301,7 @@
 			continue
 		}
 		if err := i.node.Transfer(ctx, p.Member.ID); err != nil {
-			i.log.Warn("leadership was not handed over", zap.String("to", p.Member.ID), zap.Error(err))
+			i.log.Warn("leadership transfer failed", zap.String("to", p.Member.ID), zap.Error(err))
 			continue
 		}
 		i.awaitSuccessor(ctx)
@@ -350,7 +350,7 @@
 		case <-ctx.Done():
 			return
 		case <-i.node.Ended():
-			i.log.Error("the log has ended", zap.Error(i.node.Status().Err))
+			i.log.Error("replicated log ended", zap.Error(i.node.Status().Err))
 			return
 		case <-tick.C:
 		}
--- a/node/control/joining.go
+++ b/node/control/joining.go
@@ -72,7 +72,7 @@
 			return
 		}
 		if i.standby.update(i.o.Self, &r) {
-			i.log.Info("place in the group", zap.Bool("outside", r.Full), zap.Int("members", len(r.Members)))
+			i.log.Info("membership in the group changed", zap.Bool("outside", r.Full), zap.Int("members", len(r.Members)))
 		}
 		if r.Full {
 			notBefore = time.Now().Add(standbyInterval)
@@ -115,7 +115,7 @@
 func (i *Instance) sendJoin(ctx context.Context, to string) *joinReply {
 	payload, err := cbor.Marshal(i.joinRequest())
 	if err != nil {
-		i.log.Error("an application cannot be written", zap.Error(err))
+		i.log.Error("a join request cannot be encoded", zap.Error(err))
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
--- a/node/control/limits.go
+++ b/node/control/limits.go
@@ -83,7 +83,7 @@
 	now := i.clock()
 	if d.divider == nil || d.term != s.Core.Term {
 		known := i.machine.Holders()
-		i.log.Info("divides limits", zap.Uint64("term", s.Core.Term), zap.Int("holders", len(known)))
+		i.log.Info("dividing limits as the leader", zap.Uint64("term", s.Core.Term), zap.Int("holders", len(known)))
 		d.term, d.divider = s.Core.Term, quota.NewDivider(now, s.Core.Term, i.o.Regions, known)
 	}
 	if !i.machine.MayHold(from) {
@@ -130,7 +130,7 @@
 			return
 		}
 		if _, err := i.propose(context.Background(), newest.Command{Holders: change}); err != nil {
-			i.log.Info("holders of limits were not named", zap.Int("holders", len(change.Add)), zap.Error(err))
+			i.log.Info("adding holders of limits failed", zap.Int("holders", len(change.Add)), zap.Error(err))
 			d.mu.Lock()
 			d.proposing = false
 			d.mu.Unlock()
--- a/node/control/list.go
+++ b/node/control/list.go
@@ -74,7 +74,7 @@
 			notBefore = i.listReader.started.Add(i.firstReadDelay())
 		default:
 			notBefore = time.Now().Add(i.readInterval())
-			i.log.Warn("the list of targets was not read", zap.Error(err), zap.Duration("age_of_the_last", now.Sub(i.store.List().ReadAt)))
+			i.log.Warn("reading the list of targets failed", zap.Error(err), zap.Duration("age_of_the_last", now.Sub(i.store.List().ReadAt)))
 		}
 	})
 }
--- a/node/control/standby.go
+++ b/node/control/standby.go
@@ -126,7 +126,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	i.log.Debug("a report was not passed on", zap.Error(err))
+	i.log.Debug("forwarding a report failed", zap.Error(err))
 	return i.serveReport(ctx, from, payload)
 }
 
--- a/node/history.go
+++ b/node/history.go
@@ -131,7 +131,7 @@
 	}
 	s, err := burn.Decode(data)
 	if err != nil {
-		h.node.log.Warn("history of burn is damaged and left out", zap.Error(err))
+		h.node.log.Warn("burn history on disk is damaged and ignored", zap.Error(err))
 		return
 	}
 	h.own.Restore(s)
