--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -272,8 +272,8 @@
 func (i *Instance) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	i.cancel = cancel
-	for _, duty := range []func(context.Context){i.runJoining, i.runList, i.runGossip, i.runWakes, i.watchNode, i.acceptedFile.run} {
-		i.wg.Go(func() { duty(ctx) })
+	for _, run := range []func(context.Context){i.runJoining, i.runList, i.runGossip, i.runWakes, i.watchNode, i.acceptedFile.run} {
+		i.wg.Go(func() { run(ctx) })
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -247,20 +247,20 @@
 		cancel()
 		return err
 	}
-	duties := []func(context.Context){
+	loops := []func(context.Context){
 		n.members.Run, n.spreader.Run, n.regions.Run, n.loads.Run, n.limits.Run, n.suspects.Run, n.history.run, n.pipeline.Run, n.publishPeers,
 	}
 	if n.claimKeeper != nil {
-		duties = append(duties, n.claimKeeper.run)
+		loops = append(loops, n.claimKeeper.run)
 	}
 	if n.placing != nil {
-		duties = append(duties, n.placing.Run)
+		loops = append(loops, n.placing.Run)
 	}
 	if n.platform != nil {
-		duties = append(duties, n.platform.run)
+		loops = append(loops, n.platform.run)
 	}
-	for _, duty := range duties {
-		n.wg.Go(func() { duty(ctx) })
+	for _, run := range loops {
+		n.wg.Go(func() { run(ctx) })
 	}
 	return nil
 }
