--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -53,7 +53,7 @@
 	// with pieces of others that were not offered yet.
 	maxMessageBytes = 3*maxDocumentBytes + 1<<20
 	// maxAppendBytes bounds the entries in one message between members. A message that fits one
-	// chunk of the link is not delayed behind the heartbeats.
+	// chunk of the link keeps its order among the heartbeats.
 	maxAppendBytes = 12 << 10
 	// callTimeout bounds one operation on the group. Operators allow a call one second.
 	callTimeout = 900 * time.Millisecond
--- a/node/control/joining.go
+++ b/node/control/joining.go
@@ -53,7 +53,7 @@
 }
 
 // runJoining repeats this instance's join request, which also reports its zone to the leader.
-// While this instance leads, it changes the group instead.
+// While this instance leads, it records its own request and makes the changes of the group.
 func (i *Instance) runJoining(ctx context.Context) {
 	requested, attempt := false, -1
 	var notBefore time.Time
--- a/node/control/list.go
+++ b/node/control/list.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// listInterval is the time between two reads of the platform's list, whose calls are paid
-	// for. Together with the list's own lag it ends the attempts to a draining target within
-	// 1.5 s after the list shows it.
+	// listInterval is the time between two reads of the platform's list, whose calls are counted
+	// and paid for. Together with the list's own lag it ends the attempts to a draining target
+	// within 1.5 s after the list shows it.
 	listInterval = 700 * time.Millisecond
 	// callSpacing is the mean time between two calls over all reads. maxListInterval bounds the
 	// time between two reads of a long list that follows from it: calls are paid for, but a
@@ -36,8 +36,8 @@
 	// anyReaderCalls is the number of calls that any instance may make for a first read: all
 	// core instances may have started at once, and none knows a list.
 	anyReaderCalls = 4
-	// longReadingCalls is the number of calls of a first read that other instances wait for.
-	longReadingCalls = 100
+	// maxAwaitedCalls is the length, in calls, of the longest first read that others wait for.
+	maxAwaitedCalls = 100
 )
 
 // Throttle waits until the next call to the platform's list may be made. refused says that the
@@ -153,5 +153,5 @@
 // of lower ranks: the time of such a read for each of them, as each may fail to reach the
 // platform.
 func (i *Instance) firstReadDelay() time.Duration {
-	return time.Duration(i.store.Rank(time.Now())) * i.callsDuration(longReadingCalls)
+	return time.Duration(i.store.Rank(time.Now())) * i.callsDuration(maxAwaitedCalls)
 }
