--- a/node/control/accepted_file_test.go
+++ b/node/control/accepted_file_test.go
@@ -41,7 +41,7 @@
 			So(k.write(stateOf(1, "one")), ShouldBeNil)
 			fs.CrashAfter(budget)
 			err := k.write(stateOf(2, "two"))
-			fs.Mend()
+			fs.ClearFaults()
 			fs.PowerLoss(rng.IntN)
 			s, readErr := newAcceptedFileOn(fs).read()
 			So(readErr, ShouldBeNil)
--- a/node/control/document_reader.go
+++ b/node/control/document_reader.go
@@ -23,17 +23,17 @@
 // memberSource is the source's name in a transfer: each call asks a single member.
 const memberSource = "member"
 
-// read returns the document whose root is given. ask sends a question to a member that holds
+// read returns the document whose root is given. ask sends a request to a member that holds
 // the document. If ctx ends first, the received pieces are kept for the next call.
-func (r *documentReader) read(ctx context.Context, root pieces.Digest, ask func(context.Context, *pieces.Ask) (*pieces.Answer, error)) ([]byte, error) {
+func (r *documentReader) read(ctx context.Context, root pieces.Digest, ask func(context.Context, *pieces.Request) (*pieces.Response, error)) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.transfer == nil {
 		r.transfer = pieces.NewTransfer(func(d pieces.Digest) bool { return r.held[d] != nil })
 	}
 	for ctx.Err() == nil {
-		r.transfer.Want(time.Now(), root, memberSource)
-		q, wait := r.transfer.Next(time.Now())
+		r.transfer.HandleAnnouncement(time.Now(), root, memberSource)
+		q, wait := r.transfer.NextFetch(time.Now())
 		if q == nil {
 			_ = duty.Pause(ctx, max(wait, time.Millisecond))
 			continue
@@ -42,7 +42,7 @@
 		if !r.transfer.Complete() {
 			continue
 		}
-		complete := r.transfer.Wanted()
+		complete := r.transfer.Current()
 		document := r.take()
 		if complete == root {
 			return document, nil
@@ -51,21 +51,21 @@
 	return nil, errors.Annotate(ctx.Err(), "the configuration did not come in time")
 }
 
-func (r *documentReader) ask(ctx context.Context, q *pieces.Question, ask func(context.Context, *pieces.Ask) (*pieces.Answer, error)) {
-	within, cancel := context.WithTimeout(ctx, q.Within)
+func (r *documentReader) ask(ctx context.Context, q *pieces.Fetch, ask func(context.Context, *pieces.Request) (*pieces.Response, error)) {
+	within, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
-	a, err := ask(within, &q.Ask)
+	a, err := ask(within, &q.Request)
 	if err != nil {
-		r.transfer.Failed(time.Now(), q)
+		r.transfer.HandleFailure(time.Now(), q)
 		return
 	}
-	// Answered counts a useless answer as a failure; the next question follows after a backoff.
-	_ = r.transfer.Answered(time.Now(), q, a)
+	// HandleResponse counts a useless answer as a failure; the next fetch follows after a backoff.
+	_ = r.transfer.HandleResponse(time.Now(), q, a)
 }
 
 // take assembles a complete transfer and keeps its pieces.
 func (r *documentReader) take() []byte {
-	m, got := r.transfer.Take(time.Now())
+	m, got := r.transfer.Finish(time.Now())
 	document, all := m.Join(got, r.held)
 	r.held = all
 	return document
--- a/node/control/gossip.go
+++ b/node/control/gossip.go
@@ -23,7 +23,7 @@
 // others leave.
 const wakeInterval = 20 * time.Millisecond
 
-func (i *Instance) runWakes(ctx context.Context) { duty.Every(ctx, wakeInterval, i.store.WakeDue) }
+func (i *Instance) runWakes(ctx context.Context) { duty.Every(ctx, wakeInterval, i.store.WakeIfDue) }
 
 func (i *Instance) triggerGossip() {
 	select {
@@ -87,8 +87,8 @@
 		return
 	}
 	now := time.Now()
-	i.store.Suspected(now, g.Suspects, false)
-	if !i.store.Gossiped(now, g) || i.applyList(from, &g, now) {
+	i.store.AddSuspects(now, g.Suspects, false)
+	if !i.store.MergeGossip(now, g) || i.applyList(from, &g, now) {
 		return
 	}
 	i.wg.Go(func() { i.fetchList(from, g, now) })
@@ -100,14 +100,14 @@
 	if len(g.List) == 0 {
 		return false
 	}
-	var n feed.ListNews
+	var n feed.ListUpdate
 	if err := cbor.Unmarshal(g.List, &n); err != nil {
 		i.log.Warn("a list of targets cannot be read", zap.String("from", from), zap.Error(err))
 		return false
 	}
 	list, ok := i.store.List().Apply(&n, time.Now(), readAt(g, receivedAt))
 	if ok {
-		i.store.Listed(list, false)
+		i.store.SetList(list, false)
 	}
 	return ok
 }
@@ -131,7 +131,7 @@
 		// The next gossip message announces the list again.
 		return
 	}
-	var n *feed.ListNews
+	var n *feed.ListUpdate
 	if err := cbor.Unmarshal(answer, &n); err != nil {
 		i.log.Warn("a list of targets cannot be read", zap.String("from", from), zap.Error(err))
 		return
@@ -140,7 +140,7 @@
 		return
 	}
 	if list, ok := i.store.List().Apply(n, time.Now(), readAt(&g, receivedAt)); ok {
-		i.store.Listed(list, false)
+		i.store.SetList(list, false)
 	}
 }
 
@@ -149,8 +149,8 @@
 	if err := cbor.Unmarshal(payload, &known); err != nil {
 		return nil, err
 	}
-	if n := i.store.News(time.Now(), known, ""); n != nil {
+	if n := i.store.EncodeListUpdate(time.Now(), known, ""); n != nil {
 		return n, nil
 	}
-	return cbor.Marshal((*feed.ListNews)(nil))
+	return cbor.Marshal((*feed.ListUpdate)(nil))
 }
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -123,7 +123,7 @@
 	hub          *link.Hub
 	node         *replhost.Node
 	machine      *newest.Machine
-	store        *feed.Board
+	store        *feed.Store
 	acceptedFile *acceptedFile
 	// documents are served to entry instances.
 	documents documents
@@ -143,7 +143,7 @@
 	// positionCache holds this instance's recent place in the group; confirmations shares one
 	// confirmation among callers that ask for it at the same time.
 	positionCache positionCache
-	confirmations duty.Shared
+	confirmations duty.Coalescer
 	// noLeaderLogged says that the log already has a line about first states that nobody could
 	// confirm.
 	noLeaderLogged atomic.Bool
@@ -163,7 +163,7 @@
 // New recovers the log and registers the link handlers. Start begins the work.
 func New(o Options) (*Instance, error) {
 	i := &Instance{
-		o: o, log: o.Log, store: feed.NewBoard(o.Self, rand.Uint64()), members: admit.New(o.Admission),
+		o: o, log: o.Log, store: feed.NewStore(o.Self, rand.Uint64()), members: admit.New(o.Admission),
 		gossipNow: make(chan struct{}, 1),
 	}
 	i.metrics = metrics.NewSiteCore(i.coreState)
@@ -221,11 +221,11 @@
 // channels.
 func LinkOptions(self string, urgent ...string) link.Options {
 	return link.Options{
-		Plain:       self,
-		Address:     func(id string) (string, bool) { return id, true },
-		Urgent:      append(urgent, channelGroup),
-		MaxMessage:  maxMessageBytes,
-		DialTimeout: time.Second,
+		PlaintextID:    self,
+		Address:        func(id string) (string, bool) { return id, true },
+		UrgentChannels: append(urgent, channelGroup),
+		MaxMessage:     maxMessageBytes,
+		DialTimeout:    time.Second,
 		// A bit more than two round trips between regions. TCP would resend a lost first packet
 		// only after a second, for example when core instances come back a moment later than
 		// entry instances after a power loss of all.
@@ -234,8 +234,8 @@
 		PingTimeout:    700 * time.Millisecond,
 		// After a power loss all processes may start at the same moment: a peer that does not
 		// listen yet is tried again soon.
-		BackoffCeil: 200 * time.Millisecond,
-		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		MaxBackoff: 200 * time.Millisecond,
+		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
@@ -266,7 +266,7 @@
 }
 
 // Store returns the store of known instances and targets, which is kept in memory only.
-func (i *Instance) Store() *feed.Board { return i.store }
+func (i *Instance) Store() *feed.Store { return i.store }
 
 // Start begins the background work.
 func (i *Instance) Start() {
@@ -300,7 +300,7 @@
 		if !p.Voter || !p.CaughtUp {
 			continue
 		}
-		if err := i.node.Transfer(ctx, p.Member.ID); err != nil {
+		if err := i.node.TransferLeader(ctx, p.Member.ID); err != nil {
 			i.log.Warn("leadership transfer failed", zap.String("to", p.Member.ID), zap.Error(err))
 			continue
 		}
@@ -338,7 +338,7 @@
 
 // Ended returns a channel that is closed when the log has failed. The process should then end,
 // so that it is restarted on its disk.
-func (i *Instance) Ended() <-chan struct{} { return i.node.Ended() }
+func (i *Instance) Ended() <-chan struct{} { return i.node.Done() }
 
 // watchNode logs changes of the leader and the failure of the log.
 func (i *Instance) watchNode(ctx context.Context) {
@@ -349,7 +349,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-i.node.Ended():
+		case <-i.node.Done():
 			i.log.Error("replicated log ended", zap.Error(i.node.Status().Err))
 			return
 		case <-tick.C:
--- a/node/control/lagging.go
+++ b/node/control/lagging.go
@@ -43,7 +43,7 @@
 		}
 		return nil, nil
 	}
-	if !seen || now.Sub(last.reportedAt) >= feed.EntryLife {
+	if !seen || now.Sub(last.reportedAt) >= feed.EntryTTL {
 		// It may have caught up meanwhile, or have restarted.
 		last = lag{since: now}
 	}
@@ -63,7 +63,7 @@
 	defer l.mu.Unlock()
 	for id, known := range l.byInstance {
 		switch {
-		case now.Sub(known.reportedAt) >= feed.EntryLife:
+		case now.Sub(known.reportedAt) >= feed.EntryTTL:
 			delete(l.byInstance, id)
 		case known.logged:
 			n++
@@ -76,7 +76,7 @@
 // has caught up.
 func (i *Instance) recordLag(now time.Time, r *feed.Report) {
 	accepted := i.accepted()
-	newLag, ended := i.lagging.record(now, r.Self.ID, r.Held, accepted.Index)
+	newLag, ended := i.lagging.record(now, r.Self.ID, r.DocumentIndex, accepted.Index)
 	if newLag != nil {
 		i.log.Warn("an entry instance is behind", zap.String("entry", r.Self.ID), zap.String("zone", r.Self.Zone),
 			zap.Uint64("holds", newLag.held), zap.Uint64("heard", r.Index), zap.Uint64("accepted", accepted.Index),
--- a/node/control/lagging_test.go
+++ b/node/control/lagging_test.go
@@ -38,7 +38,7 @@
 	}
 	l.record(at(0), "gone", 1, 5)
 	l.record(at(lagThreshold-time.Second), "gone", 1, 5)
-	if newLag, _ := l.record(at(lagThreshold+feed.EntryLife), "gone", 1, 5); newLag != nil {
+	if newLag, _ := l.record(at(lagThreshold+feed.EntryTTL), "gone", 1, 5); newLag != nil {
 		t.Error("the time without reports counts")
 	}
 	if l.count(at(time.Hour)); len(l.byInstance) != 0 {
--- a/node/control/limits.go
+++ b/node/control/limits.go
@@ -122,7 +122,7 @@
 	d := &i.division
 	for {
 		d.mu.Lock()
-		change := &newest.Holders{Add: slices.Sorted(maps.Keys(d.pending)), Gone: d.divider.Gone(i.clock(), i.machine.Holders())}
+		change := &newest.Holders{Add: slices.Sorted(maps.Keys(d.pending)), Gone: d.divider.Silent(i.clock(), i.machine.Holders())}
 		d.pending = nil
 		d.proposing = len(change.Add) > 0
 		d.mu.Unlock()
--- a/node/control/list.go
+++ b/node/control/list.go
@@ -49,7 +49,7 @@
 
 // listReader is the state of the goroutine that reads the list.
 type listReader struct {
-	pacer   feed.Pace
+	pacer   feed.Pacer
 	started time.Time
 }
 
@@ -57,7 +57,7 @@
 // instance's rank allows. So normally one instance reads. When it is dead, frozen or
 // partitioned, the next one takes over by itself, on each side of a partition.
 func (i *Instance) runList(ctx context.Context) {
-	i.listReader = listReader{started: time.Now(), pacer: feed.Pace{PerSecond: rateShare * i.o.ListRate}}
+	i.listReader = listReader{started: time.Now(), pacer: feed.Pacer{PerSecond: rateShare * i.o.ListRate}}
 	var notBefore time.Time
 	duty.Every(ctx, listCheckInterval, func(time.Time) {
 		if i.isStandby() {
@@ -85,13 +85,13 @@
 	if rank == 0 {
 		return i.readInterval()
 	}
-	return i.readInterval() + i.callsDuration(i.store.Calls()) + time.Duration(rank)*backupDelay
+	return i.readInterval() + i.callsDuration(i.store.ReadCalls()) + time.Duration(rank)*backupDelay
 }
 
 // readInterval returns the time between two reads. A long list is read less often, to stay
 // within one reader's share of the platform's rate.
 func (i *Instance) readInterval() time.Duration {
-	calls := i.store.Calls()
+	calls := i.store.ReadCalls()
 	return readIntervalFor(calls, i.callsDuration(calls))
 }
 
@@ -118,9 +118,9 @@
 	if err != nil {
 		return err
 	}
-	i.store.ReadTook(calls)
+	i.store.SetReadCalls(calls)
 	list := feed.NewList(targets, at, before)
-	i.store.Listed(list, true)
+	i.store.SetList(list, true)
 	if list.Digest != before.Digest {
 		i.log.Info("list of targets changed", zap.Int("targets", len(targets)))
 		i.triggerGossip()
@@ -142,7 +142,7 @@
 			mu.Unlock()
 			return errReadElsewhere
 		}
-		wait := i.listReader.pacer.Turn(now, refused, rand.Float64())
+		wait := i.listReader.pacer.Delay(now, refused, rand.Float64())
 		mu.Unlock()
 		timeout.Reset(wait + listCallTimeout)
 		return duty.Pause(ctx, wait)
--- a/node/control/reports.go
+++ b/node/control/reports.go
@@ -20,8 +20,8 @@
 	}
 	began := time.Now()
 	i.recordReport(began, &r)
-	i.store.Suspected(time.Now(), r.Suspects, true)
-	if r.First {
+	i.store.AddSuspects(time.Now(), r.Suspects, true)
+	if r.WantConfirmed {
 		i.confirmFirst(ctx)
 	}
 	wait := time.NewTimer(time.Duration(r.WaitMillis) * time.Millisecond)
@@ -45,9 +45,9 @@
 	case r.Probe:
 		return
 	case r.Brief:
-		i.store.Compared(now, r.Self)
+		i.store.AddComparison(now, r.Self)
 	default:
-		i.store.Reported(now, r.Self)
+		i.store.AddReport(now, r.Self)
 	}
 	i.recordLag(now, r)
 }
@@ -61,7 +61,7 @@
 	if r.Probe {
 		return !i.hasLeader()
 	}
-	return !i.store.HasList(time.Now(), r)
+	return !i.store.HasListFor(time.Now(), r)
 }
 
 // confirmFirst tries to confirm the accepted state for an instance that has just started. This
@@ -88,12 +88,12 @@
 }
 
 func (i *Instance) updateFor(r feed.Report) feed.Update {
-	u := feed.Update{Led: i.hasLeader()}
+	u := feed.Update{HasLeader: i.hasLeader()}
 	s := i.accepted()
-	if s.Index > r.Held {
+	if s.Index > r.DocumentIndex {
 		u.Head = s.Head()
 	}
-	i.store.Fill(time.Now(), r, s.Evacuated, &u)
+	i.store.FillUpdate(time.Now(), r, s.Evacuated, &u)
 	requested := time.Duration(r.WaitMillis) * time.Millisecond
 	if wait := i.store.ReportWait(requested); !r.Brief && wait > requested {
 		u.WaitMillis = wait.Milliseconds()
--- a/node/group/group.go
+++ b/node/group/group.go
@@ -32,7 +32,7 @@
 )
 
 // MessageChannel returns the link channel of a group's messages between members. It belongs
-// among the link's Urgent channels.
+// among the link's UrgentChannels.
 func MessageChannel(name string) string { return "group/" + name }
 
 func proposeChannel(name string) string { return "propose/" + name }
--- a/node/groups.go
+++ b/node/groups.go
@@ -76,7 +76,7 @@
 // watchGroup logs when a replicated log of this instance fails. The instance keeps serving
 // without it, and nothing else shows the failure.
 func (n *Node) watchGroup(m *group.Member, name string) {
-	<-m.Node.Ended()
+	<-m.Node.Done()
 	if s := m.Node.Status(); s.State == replhost.Failed {
 		n.log.Error("replicated log failed", zap.String("group", name), zap.Error(s.Err))
 	}
--- a/node/loads/book_test.go
+++ b/node/loads/table_test.go
@@ -26,9 +26,8 @@
 	return list
 }
 
-// Symptom: engines are polled by every instance, or by none after a failure.
-// Events: members come and go; observations of the owner reach the others.
-// Cause: an owner chosen by each instance for itself, or none in its place.
+// Guards against engines that are polled by several instances or by none, with any
+// members, while the owner's observations reach the others.
 func TestEachEngineHasOnePoller(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members []string
@@ -38,11 +37,11 @@
 		list := targets(rapid.IntRange(1, 40).Draw(t, "targets"))
 		polls := map[string]int{}
 		for _, m := range members {
-			b := NewBook(m)
+			b := NewTable(m)
 			b.SetTargets(list)
 			b.SetMembers(members)
 			for _, target := range list {
-				b.Received(start, Observation{Target: target.ID})
+				b.Merge(start, Observation{Target: target.ID})
 			}
 			for _, due := range b.Due(start.Add(PollInterval)) {
 				polls[due.ID]++
@@ -56,35 +55,32 @@
 	})
 }
 
-// Symptom: nobody knows the load of an engine whose owner is cut off.
-// Events: the owner's observations stay out.
-// Cause: no deputy.
-func TestTheDeputyPollsInTheOwnersSilence(t *testing.T) {
+// Guards against an engine without load reports while its owner is cut off.
+func TestBackupPollsWithoutReportsOfTheOwner(t *testing.T) {
 	members := []string{"a", "b", "c"}
 	polled := 0
 	for _, m := range members {
-		b := NewBook(m)
+		b := NewTable(m)
 		b.SetTargets(targets(1))
 		b.SetMembers(members)
-		b.Received(start, Observation{Target: "t0"})
-		silent := start.Add(b.pace.Deputy + time.Millisecond)
+		b.Merge(start, Observation{Target: "t0"})
+		silent := start.Add(b.timing.BackupDelay + time.Millisecond)
 		for i := range 3 {
-			now := silent.Add(time.Duration(i) * b.pace.Poll)
+			now := silent.Add(time.Duration(i) * b.timing.PollInterval)
 			polled += len(b.Due(now))
-			b.Polled(now, "t0", ports.LoadReport{At: now}, nil)
+			b.HandlePoll(now, "t0", ports.LoadReport{At: now}, nil)
 		}
 	}
 	if polled != 2*3 {
-		t.Fatalf("%d polls of owner and deputy in three intervals", polled)
+		t.Fatalf("%d polls of owner and backup in three intervals", polled)
 	}
 }
 
-// Symptom: a target is lost for good after one bad moment, or gets work while
-// it is down. Events: polls fail and succeed in any order; time passes.
-// Cause: one failure taken for death, or death never forgotten.
-func TestDownNeedsSeveralFailuresAndIsForgotten(t *testing.T) {
+// Guards against a target that counts as down after one failed poll, or forever, and
+// against one that gets requests while it is down: polls fail and succeed in any order.
+func TestDownNeedsSeveralFailuresAndExpires(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook("a")
+		b := NewTable("a")
 		b.SetTargets(targets(1))
 		b.SetMembers([]string{"a"})
 		now, failures := start, 0
@@ -92,26 +88,25 @@
 			now = now.Add(PollInterval)
 			if rapid.Bool().Draw(t, "fails") {
 				failures++
-				b.Polled(now, "t0", ports.LoadReport{}, errPoll)
+				b.HandlePoll(now, "t0", ports.LoadReport{}, errPoll)
 			} else {
 				failures = 0
-				b.Polled(now, "t0", ports.LoadReport{At: now}, nil)
+				b.HandlePoll(now, "t0", ports.LoadReport{At: now}, nil)
 			}
 			state, _ := b.State(now, "t0")
-			if (state == route.Down) != (failures >= downAfter) {
+			if (state == route.Down) != (failures >= downAfterFailures) {
 				t.Fatalf("%v after %d failures in a row", state, failures)
 			}
 		}
-		if state, known := b.State(now.Add(b.pace.Forget+time.Second), "t0"); known && state == route.Down {
-			t.Fatal("down for good although nobody says so")
+		if state, known := b.State(now.Add(b.timing.DownExpiry+time.Second), "t0"); known && state == route.Down {
+			t.Fatal("down forever although no instance reports it")
 		}
 	})
 }
 
-// Symptom: a leaving target gets new work. Events: bundle, engine or platform
-// say that it leaves, in any combination with what is observed.
-// Cause: an observation that overwrites what operators decided.
-func TestLeavingStands(t *testing.T) {
+// Guards against new requests at a leaving target, as an observation overwrites what the
+// bundle or the platform says.
+func TestLeavingIsNotOverwritten(t *testing.T) {
 	warm := route.TargetSpec{ID: "t0", State: route.Warm}
 	leaving := route.TargetSpec{ID: "t0", State: route.Leaving}
 	for _, tc := range []struct {
@@ -121,41 +116,40 @@
 		platform []string
 		want     route.State
 	}{
-		{"nobody says so", warm, ports.LoadReport{}, nil, route.Warm},
+		{"none", warm, ports.LoadReport{}, nil, route.Warm},
 		{"the bundle", leaving, ports.LoadReport{}, nil, route.Leaving},
 		{"the engine", warm, ports.LoadReport{Draining: true}, nil, route.Leaving},
 		{"the platform", warm, ports.LoadReport{}, []string{"t0"}, route.Leaving},
 		{"loading", warm, ports.LoadReport{Loading: true}, nil, route.Loading},
 	} {
-		b := NewBook("a")
+		b := NewTable("a")
 		b.SetTargets(targets(1))
 		b.SetMembers([]string{"a"})
 		b.SetLeaving(tc.platform)
 		tc.report.At = start
-		b.Polled(start, "t0", tc.report, nil)
+		b.HandlePoll(start, "t0", tc.report, nil)
 		if got := b.Overlay(start, []route.TargetSpec{tc.spec})[0].State; got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// Symptom: two crashes of an engine are taken for one.
-// Events: it goes down and comes back, or tells when it started.
-// Cause: lives that are not told apart.
-func TestLivesAreNumbered(t *testing.T) {
-	b := NewBook("a")
+// Guards against two crashes of an engine that count as one: it goes down and comes
+// back, or reports when it started.
+func TestIncarnationsAreDistinguished(t *testing.T) {
+	b := NewTable("a")
 	b.SetTargets(targets(1))
 	b.SetMembers([]string{"a"})
-	lives := map[uint64]bool{}
+	incarnations := map[uint64]bool{}
 	for range 3 {
-		for range downAfter {
-			b.Polled(start, "t0", ports.LoadReport{}, errPoll)
+		for range downAfterFailures {
+			b.HandlePoll(start, "t0", ports.LoadReport{}, errPoll)
 		}
-		o, _ := b.Polled(start, "t0", ports.LoadReport{At: start}, nil)
-		lives[o.Life] = true
+		o, _ := b.HandlePoll(start, "t0", ports.LoadReport{At: start}, nil)
+		incarnations[o.Incarnation] = true
 	}
-	o, _ := b.Polled(start, "t0", ports.LoadReport{At: start, Started: start}, nil)
-	if len(lives) != 3 || o.Life != uint64(start.UnixMilli()) {
-		t.Fatalf("lives %v and %d", lives, o.Life)
+	o, _ := b.HandlePoll(start, "t0", ports.LoadReport{At: start, Started: start}, nil)
+	if len(incarnations) != 3 || o.Incarnation != uint64(start.UnixMilli()) {
+		t.Fatalf("incarnations %v and %d", incarnations, o.Incarnation)
 	}
 }
--- a/node/members/members.go
+++ b/node/members/members.go
@@ -16,7 +16,7 @@
 	"github.com/gullhaven/gullhaven/coord/ring"
 )
 
-// Channel is the link channel; it belongs among the link's Urgent channels.
+// Channel is the link channel; it belongs among the link's UrgentChannels.
 const Channel = "members"
 
 // inboxSize bounds the messages that wait for the loop. Probes are repeated, so that a lost one
--- a/node/node.go
+++ b/node/node.go
@@ -121,12 +121,12 @@
 		metrics: metrics.NewSet(), served: served.NewTable(time.Now()), draining: make(chan struct{}),
 	}
 	hub, err := link.New(link.Options{
-		Key:        o.Key,
-		Address:    n.address,
-		Urgent:     []string{members.Channel, group.MessageChannel(globalGroup), group.MessageChannel(regionGroup(n.s.Region))},
-		MaxMessage: maxLinkMessage,
-		Rand:       newRand(),
-		Allow:      o.AllowPeer,
+		Key:            o.Key,
+		Address:        n.address,
+		UrgentChannels: []string{members.Channel, group.MessageChannel(globalGroup), group.MessageChannel(regionGroup(n.s.Region))},
+		MaxMessage:     maxLinkMessage,
+		Rand:           newRand(),
+		AllowPeer:      o.AllowPeer,
 	})
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 	})
 	self := roster.Contact{
 		ID: n.s.Instance, Region: n.s.Region, Zone: n.s.Zone,
-		Address: n.s.Advertise.Instances, Callers: n.s.Advertise.Callers,
+		Address: n.s.Advertise.Instances, CallerAddress: n.s.Advertise.Callers,
 	}
 	n.regions = regions.New(regions.Options{
 		Self: self, Seeds: n.contacts(), Hub: n.hub, Routing: n.pipeline.Routing(), Log: n.log, OnChange: n.setLinks,
@@ -198,7 +198,7 @@
 		Claims:    n.claims,
 		Limits:    n.limits,
 		Suspects:  n.suspects,
-		Lone:      n.suspects,
+		LoneRuns:  n.suspects,
 		Observer:  n.history.observer(n.served),
 		Directory: n.directory,
 		Metrics:   n.metrics,
--- a/node/rollout/snapshot.go
+++ b/node/rollout/snapshot.go
@@ -79,7 +79,7 @@
 	}
 	groups := registry.New()
 	if s := machine.InForce(); s != nil {
-		groups.Observe(claimLifetime(s))
+		groups.ObserveLifetime(claimLifetime(s))
 	}
 	return machine, groups, nil
 }
--- a/node/status.go
+++ b/node/status.go
@@ -182,8 +182,8 @@
 			v.State, v.Disk = "unreachable", "unknown"
 		}
 	}
-	for _, stranger := range s.Core.Strangers {
-		if stranger.ID == v.Instance {
+	for _, m := range s.Core.OtherIncarnations {
+		if m.ID == v.Instance {
 			v.Disk = "empty"
 		}
 	}
@@ -288,7 +288,7 @@
 func (n *Node) targetStatus() []*operators.TargetStatus {
 	list := []*operators.TargetStatus{}
 	for _, spec := range n.loads.States() {
-		seen, at := n.loads.Seen(string(spec.ID))
+		seen, at := n.loads.LastObservation(string(spec.ID))
 		t := &operators.TargetStatus{
 			ID:      string(spec.ID),
 			Service: spec.Service,
--- a/pipeline/body.go
+++ b/pipeline/body.go
@@ -12,10 +12,10 @@
 	"github.com/gullhaven/gullhaven/metrics"
 )
 
-// firstRead is the room made for a body of unknown length.
-const firstRead = 4 << 10
+// initialReadBytes is the first buffer size for a body of unknown length.
+const initialReadBytes = 4 << 10
 
-// ReadBody reads the whole body within a bound of size and time.
+// ReadBody reads the whole body, within the bounds of size and time.
 type ReadBody struct {
 	bounds  Bounds
 	metrics *metrics.Set
@@ -32,10 +32,10 @@
 	return next(x)
 }
 
-// formType is what curl says of every body it is not told the type of.
+// formType is the content type that curl sends by default.
 const formType = "application/x-www-form-urlencoded"
 
-// checkContentType takes JSON, nothing said, and what curl says by default.
+// checkContentType accepts JSON, a missing content type, and curl's default.
 func checkContentType(r *http.Request) error {
 	given := r.Header.Get("Content-Type")
 	if given == "" || given == "application/json" {
@@ -49,13 +49,13 @@
 }
 
 func (f *ReadBody) read(x *Exchange) error {
-	limit := f.bounds.BodyBytes
+	limit := f.bounds.MaxBodyBytes
 	if x.R.ContentLength > limit {
 		x.W.Header().Set("Connection", "close")
 		return f.tooLarge()
 	}
 	c := http.NewResponseController(x.W)
-	if c.SetReadDeadline(x.Arrival.Add(f.bounds.BodyTime)) == nil {
+	if c.SetReadDeadline(x.Arrival.Add(f.bounds.BodyTimeout)) == nil {
 		defer func() { _ = c.SetReadDeadline(noDeadline) }()
 	}
 	body, err := readBounded(x.R.Body, x.R.ContentLength, limit)
@@ -71,7 +71,7 @@
 var errTooLarge = errors.New("body too large")
 
 func readBounded(r io.Reader, length, limit int64) ([]byte, error) {
-	room := int64(firstRead)
+	room := int64(initialReadBytes)
 	if length >= 0 {
 		room = length + 1
 	}
@@ -95,7 +95,7 @@
 }
 
 func (f *ReadBody) tooLarge() *verdict.Error {
-	return refuse(CodeBodyTooLarge, fmt.Sprintf("the body is larger than %d bytes", f.bounds.BodyBytes))
+	return refuse(CodeBodyTooLarge, fmt.Sprintf("the body is larger than %d bytes", f.bounds.MaxBodyBytes))
 }
 
 func (f *ReadBody) readError(err error) *verdict.Error {
@@ -103,18 +103,18 @@
 	case errors.Is(err, errTooLarge):
 		return f.tooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refuse(CodeBodyTruncated, fmt.Sprintf("the body did not come within %s", f.bounds.BodyTime))
+		return refuse(CodeBodyTruncated, fmt.Sprintf("the body did not come within %s", f.bounds.BodyTimeout))
 	}
 	return &verdict.Error{Code: CodeBodyTruncated, Message: "the body ended early", Err: err}
 }
 
-// ReadOnceBody reads the body of a plain request that runs at most once, so
-// that its resends can be told from other requests under the same key. Other
-// plain bodies are streamed.
-type ReadOnceBody struct{ body ReadBody }
+// ReadPlainBody reads the body of a plain request that runs at most once, so
+// that a resend can be told from another request with the same key. Bodies of
+// other plain requests are streamed.
+type ReadPlainBody struct{ body ReadBody }
 
-// Serve fills x.Body where the request runs at most once.
-func (f *ReadOnceBody) Serve(x *Exchange, next Handler) error {
+// Serve fills x.Digest, and x.Body where the request runs at most once.
+func (f *ReadPlainBody) Serve(x *Exchange, next Handler) error {
 	if x.Once {
 		if err := f.body.read(x); err != nil {
 			return err
--- a/pipeline/hopcheck.go
+++ b/pipeline/hopcheck.go
@@ -6,27 +6,27 @@
 	"github.com/gullhaven/gullhaven/pipeline/hop"
 )
 
-// HopCheck refuses requests that came in a loop. Callers may not send hops at
-// all; between instances they are required, and the last must be the sender.
-type HopCheck struct{ at hop.Station }
+// HopCheck refuses requests that were forwarded in a loop. Callers must not send
+// a hop header; instances must, and its last hop must be the sender.
+type HopCheck struct{ self hop.Hop }
 
-// Serve checks the hops before anything else of the request is looked at.
+// Serve fills x.Hops, or refuses the request.
 func (f *HopCheck) Serve(x *Exchange, next Handler) error {
 	values, given := x.R.Header[HeaderHop]
 	if x.Peer == "" {
 		if given {
-			return refuse(CodeHop, HeaderHop+" goes between instances only")
+			return refuse(CodeHopNotAllowed, HeaderHop+" goes between instances only")
 		}
 		return next(x)
 	}
 	path, err := hop.Parse(strings.Join(values, ","))
 	if err != nil {
-		return refuse(CodeHop, err.Error())
+		return refuse(CodeHopNotAllowed, err.Error())
 	}
 	if path[len(path)-1].Instance != x.Peer {
-		return refuse(CodeHop, hop.ErrSender.Error())
+		return refuse(CodeHopNotAllowed, hop.ErrSender.Error())
 	}
-	if err := path.Check(f.at); err != nil {
+	if err := path.Check(f.self); err != nil {
 		return refuse(CodeLoop, err.Error())
 	}
 	x.Hops = path
