--- a/daemon/site.go
+++ b/daemon/site.go
@@ -161,8 +161,8 @@
 		s.Listen.Metrics:         i.MetricsHandler(),
 		s.Listen.BindInstances(): i.PeerHandler(),
 		s.Listen.Callers:         i.CallerHandler(),
-		s.Listen.Ready:           platform.ReadyCall(i.Ready),
-		s.Listen.Directory:       platform.DirectoryCall(i.CallerAddresses),
+		s.Listen.Ready:           platform.ReadyHandler(i.Ready),
+		s.Listen.Directory:       platform.DirectoryHandler(i.CallerAddresses),
 	}); err != nil {
 		return err
 	}
@@ -222,7 +222,7 @@
 	if err := r.listen(map[string]http.Handler{
 		s.Listen.Metrics:         i.Metrics(),
 		s.Listen.BindInstances(): i.Links(),
-		s.Listen.Operators:       platform.OperatorCalls(i),
+		s.Listen.Operators:       platform.OperatorHandler(i),
 	}); err != nil {
 		return err
 	}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -75,7 +75,7 @@
 			r := Request{
 				ID: fmt.Sprintf("c%d-%d", caller, n), Path: paths[rng.IntN(len(paths))], Entry: conn.Address, Start: time.Now(),
 			}
-			r.Outcome, stays = conn.Ask(r.ID, r.Path, deadline, r.Start.Add(2*(deadline+slack)))
+			r.Outcome, stays = conn.Do(r.ID, r.Path, deadline, r.Start.Add(2*(deadline+slack)))
 			r.End = time.Now()
 			w.Ledger.Ended(r)
 			_ = duty.Pause(ctx, time.Duration(rng.Int64N(int64(2*callerPause))))
@@ -183,7 +183,7 @@
 		return platformtest.Outcome{Err: err}
 	}
 	defer conn.Close()
-	o, _ := conn.Ask(id, path, deadline, time.Now().Add(deadline+slack))
+	o, _ := conn.Do(id, path, deadline, time.Now().Add(deadline+slack))
 	return o
 }
 
--- a/soak/world.go
+++ b/soak/world.go
@@ -46,7 +46,7 @@
 type World struct {
 	o       Options
 	Ledger  *Ledger
-	book    *platformtest.Book
+	book    *platformtest.RunLog
 	list    *platformtest.List
 	entries []*entry
 	cores   []*coreInstance
@@ -78,15 +78,15 @@
 	behind
 	service, zone string
 	server        *server
-	listed        platformtest.Listed
+	listed        platformtest.ListEntry
 	// replacing is held while a runner is followed by another one.
 	replacing sync.Mutex
 }
 
 // NewWorld starts the site and waits for nothing.
 func NewWorld(o Options) (*World, error) {
-	w := &World{o: o, book: &platformtest.Book{}, list: &platformtest.List{}}
-	w.Ledger = &Ledger{Events: events, Runs: w.book.Runs, Strange: w.book.Strange, Deadline: deadline, Slack: slack}
+	w := &World{o: o, book: &platformtest.RunLog{}, list: &platformtest.List{}}
+	w.Ledger = &Ledger{Events: events, Runs: w.book.Runs, Strange: w.book.WrongWorkspace, Deadline: deadline, Slack: slack}
 	return w, w.build()
 }
 
@@ -261,11 +261,11 @@
 
 // serve starts a runner under an id and lists it.
 func (w *World) serve(r *runner, id string) error {
-	server, err := serve(r.forwarder.to, &platformtest.Runner{ID: id, Book: w.book, Work: work, Events: events})
+	server, err := serve(r.forwarder.to, &platformtest.Runner{ID: id, RunLog: w.book, WorkTime: work, Events: events})
 	if err != nil {
 		return err
 	}
-	listed := platformtest.Listed{ID: id, Service: r.service, Address: r.forwarder.Address(), Zone: r.zone, Slots: 16, Born: time.Now().UnixMilli()}
+	listed := platformtest.ListEntry{ID: id, Service: r.service, Address: r.forwarder.Address(), Zone: r.zone, Slots: 16, Born: time.Now().UnixMilli()}
 	w.mu.Lock()
 	r.server, r.listed = server, listed
 	w.mu.Unlock()
@@ -334,9 +334,9 @@
 // troubleList makes a fault of the platform's list.
 func (w *World) troubleList(f Fault) {
 	if f.Kind == Foreign {
-		w.list.Foreign(foreignEntries...)
+		w.list.SetForeignEntries(foreignEntries...)
 		time.Sleep(f.For)
-		w.list.Foreign()
+		w.list.SetForeignEntries()
 		return
 	}
 	w.list.Refuse(http.StatusTooManyRequests)
