--- a/api/server_test.go
+++ b/api/server_test.go
@@ -23,7 +23,7 @@
 	"github.com/gullhaven/gullhaven/pipeline"
 	"github.com/gullhaven/gullhaven/ports"
 	"github.com/gullhaven/gullhaven/ports/enginehttp"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 	"github.com/gullhaven/gullhaven/route"
 	"github.com/gullhaven/gullhaven/standin"
 )
@@ -87,7 +87,7 @@
 		Instance: claim.Instance{ID: "malang-1"},
 		Region:   "jatim",
 		Decider:  route.New(route.Config{Region: "jatim", Instances: 1}, rand.New(rand.NewPCG(1, 1))),
-		Engines:  enginehttp.NewSet(sending.NewTransports(sending.Options{})),
+		Engines:  enginehttp.NewSet(transport.NewTransports(transport.Options{})),
 		Metrics:  set,
 	})
 	p.SetView(pipeline.NewView(b, "", "jatim"))
--- a/daemon/site.go
+++ b/daemon/site.go
@@ -276,7 +276,7 @@
 	link.TuneConn(c, s)
 	if tcp, ok := c.(*net.TCPConn); ok && s == http.StateNew {
 		// Without it a cut shows by the pings of the link.
-		_ = rawhttp.Watch(tcp, rawhttp.DefaultSilence)
+		_ = rawhttp.DetectDeadPeer(tcp, rawhttp.DefaultAckTimeout)
 	}
 }
 
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -15,7 +15,7 @@
 	"github.com/gullhaven/gullhaven/pipeline"
 	"github.com/gullhaven/gullhaven/ports"
 	"github.com/gullhaven/gullhaven/ports/enginehttp"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 	"github.com/gullhaven/gullhaven/standin"
 )
 
@@ -60,7 +60,7 @@
 // order gives an engine an order, as its platform or a person would.
 func (c *cluster) order(e *engineTarget, kind ports.OrderKind) {
 	c.t.Helper()
-	transports := sending.NewTransports(sending.Options{})
+	transports := transport.NewTransports(transport.Options{})
 	defer transports.Close()
 	o := ports.Order{ID: "by-hand", Kind: kind, Fence: 1 << 40, Expires: time.Now().Add(time.Minute)}
 	_, err := enginehttp.New(e.address, transports).Order(c.t.Context(), o)
--- a/metrics/served/served_test.go
+++ b/metrics/served/served_test.go
@@ -31,7 +31,7 @@
 		{"no room", pipeline.Outcome{Code: pipeline.CodeOverloaded}, burn.Refused, true},
 		{"out of time, not sent", pipeline.Outcome{Code: pipeline.CodeDeadline}, burn.Refused, true},
 		{"out of time, sent", pipeline.Outcome{Code: pipeline.CodeDeadline, Verdict: verdict.MayHaveRun}, burn.Late, true},
-		{"target died", pipeline.Outcome{Code: ports.CodeCut, Verdict: verdict.MayHaveRun}, burn.TargetLost, true},
+		{"target died", pipeline.Outcome{Code: ports.CodeStreamCut, Verdict: verdict.MayHaveRun}, burn.TargetLost, true},
 		{"region unreached", pipeline.Outcome{Code: pipeline.CodeRegionUnreached}, burn.SentAway, true},
 		{"limit", pipeline.Outcome{Code: pipeline.CodeOverLimit}, burn.Limit, true},
 		{"wrong body", pipeline.Outcome{Code: pipeline.CodeBodyMalformed}, burn.Kept, false},
--- a/node/entry/expire.go
+++ b/node/entry/expire.go
@@ -19,7 +19,7 @@
 		listed := i.pool.Addresses()
 		for address := range previous {
 			if !listed[address] {
-				i.targets.Forget(address)
+				i.targets.CloseIdle(address)
 			}
 		}
 		previous = listed
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -104,7 +104,7 @@
 		o: o, log: o.Log, hub: hub, chooser: feed.NewCoreChooser(), startupProbeTime: startupProbeTime,
 		pool:    pick.New(o.Self.ID),
 		targets: rawhttp.NewClient(rawhttp.Options{}),
-		peers:   rawhttp.NewClient(rawhttp.Options{DialTime: peerDialTimeout, IdleTime: peerIdleTimeout, Silence: peerSilenceTimeout}),
+		peers:   rawhttp.NewClient(rawhttp.Options{DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout, AckTimeout: peerSilenceTimeout}),
 	}
 	i.known.entries.Self = o.Self.ID
 	i.metrics = metrics.NewSiteEntry(i.metricsState)
--- a/node/limits/limits.go
+++ b/node/limits/limits.go
@@ -124,10 +124,10 @@
 }
 
 // Take consumes requests and tokens of a workspace's share; see Table.Take.
-func (s *Service) Take(now time.Time, workspace string, requests, tokens float64) ports.LimitAnswer {
+func (s *Service) Consume(now time.Time, workspace string, requests, tokens float64) ports.LimitDecision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Take(now, workspace, requests, tokens)
+	return s.table.Consume(now, workspace, requests, tokens)
 }
 
 // Len returns the number of limits in use at this instance.
--- a/node/limits/limits_test.go
+++ b/node/limits/limits_test.go
@@ -80,7 +80,7 @@
 			continue
 		}
 		for range r.asked[name] {
-			if r.tables[name].Take(r.now, workspace, 1, 0).OK {
+			if r.tables[name].Consume(r.now, workspace, 1, 0).Allowed {
 				r.passed[name]++
 			}
 		}
--- a/node/limits/table.go
+++ b/node/limits/table.go
@@ -67,7 +67,7 @@
 
 // Take consumes one request and the tokens of a workspace's share if requests is
 // above 0, else the tokens only. RetryAfter is set if it is refused.
-func (b *Table) Take(now time.Time, workspace string, requests, tokens float64) ports.LimitAnswer {
+func (b *Table) Consume(now time.Time, workspace string, requests, tokens float64) ports.LimitDecision {
 	l := b.limiters[PartitionOf(workspace)]
 	var ok bool
 	var wait time.Duration
@@ -76,7 +76,7 @@
 	} else {
 		ok, wait = l.TakeTokens(now, workspace, tokens)
 	}
-	return ports.LimitAnswer{OK: ok, RetryAfter: wait}
+	return ports.LimitDecision{Allowed: ok, RetryAfter: wait}
 }
 
 // Len returns the number of limits in use at this instance.
--- a/node/node.go
+++ b/node/node.go
@@ -37,7 +37,7 @@
 	"github.com/gullhaven/gullhaven/ports/enginehttp"
 	"github.com/gullhaven/gullhaven/ports/plainhttp"
 	"github.com/gullhaven/gullhaven/ports/platformhttp"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 	"github.com/gullhaven/gullhaven/route"
 	"github.com/gullhaven/gullhaven/settings"
 )
@@ -151,7 +151,7 @@
 	if err := n.openGroups(); err != nil {
 		return err
 	}
-	transports := sending.NewTransports(sending.Options{})
+	transports := transport.NewTransports(transport.Options{})
 	n.engines = enginehttp.NewSet(transports)
 	if a := n.s.Platform.InstanceList; a != "" {
 		n.platform = &platform{node: n, list: platformhttp.NewInstanceList(a, transports)}
--- a/node/placing/placing.go
+++ b/node/placing/placing.go
@@ -210,7 +210,7 @@
 		return placement.OrderUnanswered
 	case e.Code == ports.CodeOldFence:
 		return placement.OrderOldFence
-	case e.Code == ports.CodeExpired:
+	case e.Code == ports.CodeOrderExpired:
 		return placement.OrderExpired
 	case e.Verdict != verdict.NotRun:
 		return placement.OrderUnanswered
--- a/node/placing/placing_test.go
+++ b/node/placing/placing_test.go
@@ -21,7 +21,7 @@
 	"github.com/gullhaven/gullhaven/placement"
 	"github.com/gullhaven/gullhaven/ports"
 	"github.com/gullhaven/gullhaven/ports/enginehttp"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 	"github.com/gullhaven/gullhaven/standin"
 )
 
@@ -40,7 +40,7 @@
 }
 
 func newFleet(t *testing.T) *fleet {
-	tr := sending.NewTransports(sending.Options{})
+	tr := transport.NewTransports(transport.Options{})
 	t.Cleanup(tr.Close)
 	f := &fleet{set: enginehttp.NewSet(tr)}
 	for i := range engineCount {
--- a/operate/capacity/bench_test.go
+++ b/operate/capacity/bench_test.go
@@ -22,7 +22,7 @@
 	"github.com/gullhaven/gullhaven/pipeline"
 	"github.com/gullhaven/gullhaven/ports"
 	"github.com/gullhaven/gullhaven/ports/enginehttp"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 	"github.com/gullhaven/gullhaven/standin"
 )
 
@@ -155,7 +155,7 @@
 	server.Listener = countedListener{server.Listener, &bytes}
 	server.Start()
 	defer server.Close()
-	set := enginehttp.NewSet(sending.NewTransports(sending.Options{}))
+	set := enginehttp.NewSet(transport.NewTransports(transport.Options{}))
 	engine := set.Engine(strings.TrimPrefix(server.URL, "http://"))
 	if _, err := engine.Load(context.Background()); err != nil {
 		b.Fatal(err)
--- a/pipeline/attempts.go
+++ b/pipeline/attempts.go
@@ -190,7 +190,7 @@
 	switch {
 	case err == nil:
 		return ports.AttemptFinished
-	case x.Ctx.Err() == nil && asError(err).Code == ports.CodeCut:
+	case x.Ctx.Err() == nil && asError(err).Code == ports.CodeStreamCut:
 		return ports.AttemptCrashed
 	}
 	return ports.AttemptOther
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -117,7 +117,7 @@
 	if offer == nil {
 		return nil
 	}
-	address := place.ChooseInstance(q.g.o.Self, q.reachablePeers(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
+	address := place.ChooseInstance(q.g.o.Self, q.reachablePeers(now, offer.Region), q.g.o.Peers.HasIdle, q.g.uniform())
 	return &destination{peer: Peer{Address: address, Region: offer.Region}, waitMs: offer.Wait()}
 }
 
--- a/pipeline/exchange/relay.go
+++ b/pipeline/exchange/relay.go
@@ -105,7 +105,7 @@
 	lastEventAt := time.Now()
 	for {
 		if q.route.Resumable && !first {
-			a.Within(streamIdleTimeout)
+			a.SetReadTimeout(streamIdleTimeout)
 		}
 		event, err := e.next()
 		now := time.Now()
--- a/pipeline/exchange/send.go
+++ b/pipeline/exchange/send.go
@@ -227,12 +227,12 @@
 	if f.Verdict != verdict.NotRun {
 		q.recordRun(f.Verdict)
 	}
-	q.g.o.Log.Info("attempt lost", zap.String("id", q.call.ID), zap.String("target", target), zap.Bool("dial", f.Dial),
+	q.g.o.Log.Info("attempt lost", zap.String("id", q.call.ID), zap.String("target", target), zap.Bool("dial", f.DialFailed),
 		zap.Bool("reused", f.Reused), zap.Error(f.Err), zap.Duration("after", time.Since(q.acceptedAt)))
 	switch {
 	case q.ctx.Err() != nil:
 		return pick.Neutral
-	case f.Dial:
+	case f.DialFailed:
 		return pick.Unreachable
 	case f.Reused:
 		return pick.Neutral
--- a/pipeline/forward.go
+++ b/pipeline/forward.go
@@ -127,7 +127,7 @@
 	defer s.Close()
 	first, err := s.Next()
 	if err == io.EOF {
-		return verdict.New(verdict.Ran, ports.CodeTarget, "the other region gave an empty answer")
+		return verdict.New(verdict.Ran, ports.CodeTargetError, "the other region gave an empty answer")
 	}
 	if err != nil {
 		return err
--- a/pipeline/hop_test.go
+++ b/pipeline/hop_test.go
@@ -146,7 +146,7 @@
 			}
 		}},
 		{"may have run there", true, func(w http.ResponseWriter, _ *http.Request) {
-			WriteRefusal(w, verdict.New(verdict.MayHaveRun, ports.CodeCut, "broke"))
+			WriteRefusal(w, verdict.New(verdict.MayHaveRun, ports.CodeStreamCut, "broke"))
 		}, func(t *testing.T, resp *http.Response) {
 			if got := readRefusal(t, resp); got.Verdict != verdict.MayHaveRun {
 				t.Fatalf("%+v", got)
--- a/pipeline/input_test.go
+++ b/pipeline/input_test.go
@@ -186,13 +186,13 @@
 
 type fixedLimits struct{ requests, tokens float64 }
 
-func (l *fixedLimits) Take(_ time.Time, _ string, requests, tokens float64) ports.LimitAnswer {
+func (l *fixedLimits) Consume(_ time.Time, _ string, requests, tokens float64) ports.LimitDecision {
 	if requests > l.requests || tokens > l.tokens {
-		return ports.LimitAnswer{RetryAfter: 1200 * time.Millisecond}
+		return ports.LimitDecision{RetryAfter: 1200 * time.Millisecond}
 	}
 	l.requests -= requests
 	l.tokens -= tokens
-	return ports.LimitAnswer{OK: true}
+	return ports.LimitDecision{Allowed: true}
 }
 
 func TestLimitsSetRetryAfter(t *testing.T) {
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -42,8 +42,8 @@
 	if l == nil || x.Peer != "" {
 		return nil
 	}
-	a := l.Take(now(), x.Workspace.ID, requests, tokens)
-	if a.OK {
+	a := l.Consume(now(), x.Workspace.ID, requests, tokens)
+	if a.Allowed {
 		return nil
 	}
 	return &verdict.Error{Code: CodeOverLimit, Message: "the workspace's limit is used up", RetryAfter: a.RetryAfter}
--- a/pipeline/move_test.go
+++ b/pipeline/move_test.go
@@ -239,9 +239,9 @@
 // slowLimits allow everything and advance a clock by limitWait for each call.
 type slowLimits struct{ clock *atomic.Int64 }
 
-func (w slowLimits) Take(time.Time, string, float64, float64) ports.LimitAnswer {
+func (w slowLimits) Consume(time.Time, string, float64, float64) ports.LimitDecision {
 	w.clock.Add(int64(limitWait))
-	return ports.LimitAnswer{OK: true}
+	return ports.LimitDecision{Allowed: true}
 }
 
 // outcomes is an Observer that sends the outcomes to a channel.
--- a/pipeline/promise_test.go
+++ b/pipeline/promise_test.go
@@ -34,11 +34,11 @@
 		{"late", standin.Fault{Kind: standin.FaultLate, DelayMillis: 5}, true, "", nil},
 		{"cut, resumed", standin.Fault{Kind: standin.FaultCut, Chunk: 4}, true, "",
 			func(r *rig) int64 { return r.deps.Metrics.Resumes.Count() }},
-		{"cut, not resumed", standin.Fault{Kind: standin.FaultLost, Chunk: 4}, false, ports.CodeCut,
+		{"cut, not resumed", standin.Fault{Kind: standin.FaultLost, Chunk: 4}, false, ports.CodeStreamCut,
 			func(r *rig) int64 { return r.deps.Metrics.CutAnswers.Count() }},
-		{"short", standin.Fault{Kind: standin.FaultShort, Chunk: 4}, false, ports.CodeCut,
+		{"short", standin.Fault{Kind: standin.FaultShort, Chunk: 4}, false, ports.CodeStreamCut,
 			func(r *rig) int64 { return r.deps.Metrics.CutAnswers.Count() }},
-		{"gap", standin.Fault{Kind: standin.FaultGap, Chunk: 4}, false, ports.CodeGap,
+		{"gap", standin.Fault{Kind: standin.FaultGap, Chunk: 4}, false, ports.CodeStreamGap,
 			func(r *rig) int64 { return r.deps.Metrics.CutAnswers.Count() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/pipeline/relay.go
+++ b/pipeline/relay.go
@@ -83,7 +83,7 @@
 // is known to be whole.
 func (r *relay) writeWhole(s ports.Stream, c ports.Chunk) error {
 	if _, err := s.Next(); err != io.EOF {
-		return verdict.New(verdict.Ran, ports.CodeTarget, "more follows a whole answer")
+		return verdict.New(verdict.Ran, ports.CodeTargetError, "more follows a whole answer")
 	}
 	h := r.x.W.Header()
 	h.Set("Content-Type", ports.ContentTypeJSON)
--- a/pipeline/rig_test.go
+++ b/pipeline/rig_test.go
@@ -22,7 +22,7 @@
 	"github.com/gullhaven/gullhaven/ports"
 	"github.com/gullhaven/gullhaven/ports/enginehttp"
 	"github.com/gullhaven/gullhaven/ports/plainhttp"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 	"github.com/gullhaven/gullhaven/route"
 	"github.com/gullhaven/gullhaven/standin"
 )
@@ -64,7 +64,7 @@
 
 func newRig(t testing.TB, options ...rigOption) *rig {
 	t.Helper()
-	transports := sending.NewTransports(sending.Options{})
+	transports := transport.NewTransports(transport.Options{})
 	t.Cleanup(transports.Close)
 	r := &rig{t: t, claims: newMemClaims(), b: testBundle()}
 	r.engines = []*standin.Engine{standin.NewEngine(standin.EngineConfig{ID: "e0"})}
--- a/pipeline/sendmodel.go
+++ b/pipeline/sendmodel.go
@@ -64,7 +64,7 @@
 	}
 	o.first, o.err = o.stream.Next()
 	if o.err == io.EOF {
-		o.err = verdict.New(verdict.Ran, ports.CodeTarget, "the target gave an empty answer")
+		o.err = verdict.New(verdict.Ran, ports.CodeTargetError, "the target gave an empty answer")
 	}
 	if o.err != nil {
 		f.closeStream(o.stream)
@@ -129,7 +129,7 @@
 	if !errors.As(err, &e) {
 		return false
 	}
-	return e.Code == ports.CodeCut || e.Code == ports.CodeGap
+	return e.Code == ports.CodeStreamCut || e.Code == ports.CodeStreamGap
 }
 
 func (f *Attempts) closeStream(s ports.Stream) {
--- a/pipeline/sendplain.go
+++ b/pipeline/sendplain.go
@@ -71,7 +71,7 @@
 	}
 	defer answer.Body.Close()
 	if !x.Once && isGatewayError(answer.Status) && !x.bodyUsed() && a.query.Attempt+1 < x.View.Bundle.Rules.MaxAttempts {
-		return verdict.New(verdict.MayHaveRun, ports.CodeTarget, "the target answered "+http.StatusText(answer.Status))
+		return verdict.New(verdict.MayHaveRun, ports.CodeTargetError, "the target answered "+http.StatusText(answer.Status))
 	}
 	f.routing.FirstToken(a.route)
 	return relayPlain(x, answer)
@@ -100,7 +100,7 @@
 			return nil
 		}
 		if err != nil {
-			return &verdict.Error{Verdict: verdict.Ran, Code: ports.CodeCut, Message: "the answer ended early", Err: err}
+			return &verdict.Error{Verdict: verdict.Ran, Code: ports.CodeStreamCut, Message: "the answer ended early", Err: err}
 		}
 		if werr := r.callerGone(r.flush()); werr != nil {
 			return werr
--- a/ports/answer/stream.go
+++ b/ports/answer/stream.go
@@ -45,7 +45,7 @@
 		return ports.Chunk{}, io.EOF
 	}
 	for {
-		if data, ok := s.seq.Held(); ok {
+		if data, ok := s.seq.TakeHeld(); ok {
 			return s.deliver(data)
 		}
 		e, err := s.events.Next()
@@ -69,14 +69,14 @@
 		return false, s.brokenOff(e.Data)
 	}
 	if len(e.ID) == 0 {
-		return s.seq.TakeNext(), nil
+		return s.seq.AcceptNext(), nil
 	}
 	i := bytes.LastIndexByte(e.ID, ':')
 	n, ok := parseSeq(e.ID[i+1:])
 	if i < 0 || !ok {
 		return false, verdict.New(s.verdict(), ports.CodeWrongAnswer, "malformed event id")
 	}
-	return s.seq.Take(e.ID[:i], n, e.Data)
+	return s.seq.Accept(e.ID[:i], n, e.Data)
 }
 
 // failure is the form of an error event that tells its code and verdict.
@@ -94,7 +94,7 @@
 	if json.Unmarshal(data, &f) == nil && f.Error.Code != "" {
 		return verdict.New(s.verdict().Join(f.Error.Verdict), f.Error.Code, f.Error.Message)
 	}
-	return &verdict.Error{Verdict: s.verdict(), Code: ports.CodeTarget, Message: "target broke the answer off", Err: errors.New(string(data))}
+	return &verdict.Error{Verdict: s.verdict(), Code: ports.CodeTargetError, Message: "target broke the answer off", Err: errors.New(string(data))}
 }
 
 func (s *stream) deliver(data []byte) (ports.Chunk, error) {
@@ -102,7 +102,7 @@
 		return ports.Chunk{Seq: s.seq.Next() - 1, Data: data}, nil
 	}
 	if !s.seq.Complete() {
-		return ports.Chunk{}, s.seq.Gap()
+		return ports.Chunk{}, s.seq.GapError()
 	}
 	s.done = true
 	return ports.Chunk{}, io.EOF
@@ -116,9 +116,9 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if !s.seq.Complete() {
-		return s.seq.Gap()
+		return s.seq.GapError()
 	}
-	return &verdict.Error{Verdict: s.verdict(), Code: ports.CodeCut, Message: "the answer ended before its end mark", Err: err}
+	return &verdict.Error{Verdict: s.verdict(), Code: ports.CodeStreamCut, Message: "the answer ended before its end mark", Err: err}
 }
 
 // verdict is Ran from the first chunk on.
@@ -199,7 +199,7 @@
 		err = errors.New("answer above " + strconv.Itoa(maxWholeBytes) + " bytes")
 	}
 	if err != nil {
-		return ports.Chunk{}, &verdict.Error{Verdict: verdict.MayHaveRun, Code: ports.CodeCut, Message: "the answer ended before its end", Err: err}
+		return ports.Chunk{}, &verdict.Error{Verdict: verdict.MayHaveRun, Code: ports.CodeStreamCut, Message: "the answer ended before its end", Err: err}
 	}
 	w.done = true
 	return ports.Chunk{Seq: 1, Data: data}, nil
--- a/ports/engine.go
+++ b/ports/engine.go
@@ -26,19 +26,19 @@
 	// CodeInvalid: the target found the request itself at fault.
 	CodeInvalid verdict.Code = "target_invalid"
 	// CodeTarget: the target answered with an error of its own.
-	CodeTarget verdict.Code = "target_error"
+	CodeTargetError verdict.Code = "target_error"
 	// CodeCut: the answer ended before its end mark.
-	CodeCut verdict.Code = "stream_cut"
+	CodeStreamCut verdict.Code = "stream_cut"
 	// CodeGap: chunks of the answer are missing.
-	CodeGap verdict.Code = "stream_gap"
+	CodeStreamGap verdict.Code = "stream_gap"
 	// CodeWrongAnswer: the answer belongs to another attempt.
 	CodeWrongAnswer verdict.Code = "wrong_answer"
 	// CodeOldFence: an order carried a fencing number that was overtaken.
 	CodeOldFence verdict.Code = "old_fence"
 	// CodeExpired: an order's expiry passed before it was sent.
-	CodeExpired verdict.Code = "order_expired"
+	CodeOrderExpired verdict.Code = "order_expired"
 	// CodeUnknown: the target does not know the attempt.
-	CodeUnknown verdict.Code = "unknown_attempt"
+	CodeUnknownAttempt verdict.Code = "unknown_attempt"
 )
 
 // Completion is one sending of a completion request.
--- a/ports/enginehttp/client.go
+++ b/ports/enginehttp/client.go
@@ -18,7 +18,7 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 	"github.com/gullhaven/gullhaven/ports"
 	"github.com/gullhaven/gullhaven/ports/answer"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 )
 
 // Paths of an engine.
@@ -41,20 +41,20 @@
 // Client talks to one engine. It is safe for concurrent use.
 type Client struct {
 	base       string
-	transports *sending.Transports
+	transports *transport.Transports
 	now        func() time.Time
 }
 
 // New makes a client for the engine at address (IP:port).
-func New(address string, t *sending.Transports) *Client {
+func New(address string, t *transport.Transports) *Client {
 	return &Client{base: "http://" + address, transports: t, now: time.Now}
 }
 
 // Set makes and keeps one client for each address.
-type Set struct{ clients *sending.Clients[*Client] }
+type Set struct{ clients *transport.Clients[*Client] }
 
 // NewSet makes an empty set over the transports.
-func NewSet(t *sending.Transports) *Set { return &Set{clients: sending.NewClients(t, New)} }
+func NewSet(t *transport.Transports) *Set { return &Set{clients: transport.NewClients(t, New)} }
 
 // Engine returns the client for an address.
 func (s *Set) Engine(address string) ports.Engine { return s.clients.At(address) }
@@ -139,7 +139,7 @@
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	e := &verdict.Error{
 		Verdict: verdict.MayHaveRun,
-		Code:    ports.CodeTarget,
+		Code:    ports.CodeTargetError,
 		Message: fmt.Sprintf("target answered %d", resp.StatusCode),
 		Err:     errors.New(string(text)),
 	}
@@ -148,7 +148,7 @@
 		e.Verdict, e.Code = verdict.NotRun, ports.CodeRejected
 		e.RetryAfter = retryAfter(resp.Header)
 	case resp.StatusCode == http.StatusNotFound:
-		e.Verdict, e.Code = verdict.NotRun, ports.CodeUnknown
+		e.Verdict, e.Code = verdict.NotRun, ports.CodeUnknownAttempt
 	case resp.StatusCode >= 400 && resp.StatusCode < 500:
 		e.Verdict, e.Code = verdict.NotRun, ports.CodeInvalid
 	case resp.Header.Get(ports.HeaderVerdict) == verdict.NotRun.String():
@@ -169,7 +169,7 @@
 func (c *Client) Cancel(ctx context.Context, a ports.AttemptID) error {
 	err := c.call(ctx, http.MethodPost, attemptPath(a, "cancel"), nil, nil)
 	var e *verdict.Error
-	if errors.As(err, &e) && e.Code == ports.CodeUnknown {
+	if errors.As(err, &e) && e.Code == ports.CodeUnknownAttempt {
 		return nil
 	}
 	return err
@@ -193,7 +193,7 @@
 	var r ports.OrderResult
 	if !o.Expires.IsZero() {
 		if !c.now().Before(o.Expires) {
-			return r, verdict.New(verdict.NotRun, ports.CodeExpired, "order expired before it was sent")
+			return r, verdict.New(verdict.NotRun, ports.CodeOrderExpired, "order expired before it was sent")
 		}
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, o.Expires)
@@ -233,7 +233,7 @@
 		return err
 	}
 	if err := json.NewDecoder(limited).Decode(out); err != nil {
-		return &verdict.Error{Verdict: verdict.Ran, Code: ports.CodeTarget, Message: "malformed answer of " + path, Err: err}
+		return &verdict.Error{Verdict: verdict.Ran, Code: ports.CodeTargetError, Message: "malformed answer of " + path, Err: err}
 	}
 	return nil
 }
--- a/ports/peers.go
+++ b/ports/peers.go
@@ -76,8 +76,8 @@
 }
 
 // LimitAnswer is the answer to a request for tokens of a limit.
-type LimitAnswer struct {
-	OK bool
+type LimitDecision struct {
+	Allowed bool
 	// RetryAfter goes with a refusal.
 	RetryAfter time.Duration
 }
@@ -85,7 +85,7 @@
 // Limits holds this instance's shares of the workspaces' limits.
 type Limits interface {
 	// Take uses up requests and tokens of a workspace's share, or neither.
-	Take(now time.Time, workspace string, requests, tokens float64) LimitAnswer
+	Consume(now time.Time, workspace string, requests, tokens float64) LimitDecision
 }
 
 // ForwardRequest is a request passed on to another instance.
--- a/ports/plainhttp/client.go
+++ b/ports/plainhttp/client.go
@@ -8,17 +8,17 @@
 
 	"github.com/gullhaven/gullhaven/coord/verdict"
 	"github.com/gullhaven/gullhaven/ports"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 )
 
 // Client talks to one target. It is safe for concurrent use.
 type Client struct {
 	address    string
-	transports *sending.Transports
+	transports *transport.Transports
 }
 
 // New makes a client for the target at address (IP:port).
-func New(address string, t *sending.Transports) *Client {
+func New(address string, t *transport.Transports) *Client {
 	return &Client{address: address, transports: t}
 }
 
@@ -48,10 +48,10 @@
 }
 
 // Set makes and keeps one client for each address.
-type Set struct{ clients *sending.Clients[*Client] }
+type Set struct{ clients *transport.Clients[*Client] }
 
 // NewSet makes an empty set over the transports.
-func NewSet(t *sending.Transports) *Set { return &Set{clients: sending.NewClients(t, New)} }
+func NewSet(t *transport.Transports) *Set { return &Set{clients: transport.NewClients(t, New)} }
 
 // Plain returns the client for an address.
 func (s *Set) Plain(address string) ports.Plain { return s.clients.At(address) }
--- a/ports/platformhttp/client.go
+++ b/ports/platformhttp/client.go
@@ -15,7 +15,7 @@
 
 	"github.com/gullhaven/gullhaven/coord/verdict"
 	"github.com/gullhaven/gullhaven/ports"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 )
 
 // Paths of the platform.
@@ -28,19 +28,19 @@
 const maxListBytes = 8 << 20
 
 // ErrNoObject: the weight store has nothing under the key.
-var ErrNoObject = errors.New("no such object in the weight store")
+var ErrObjectNotFound = errors.New("no such object in the weight store")
 
 // ErrShort: an object ended before its size.
-var ErrShort = errors.New("the object ended early")
+var ErrTruncated = errors.New("the object ended early")
 
 // WeightStore is the client of the weight store.
 type WeightStore struct {
 	base       string
-	transports *sending.Transports
+	transports *transport.Transports
 }
 
 // NewWeightStore makes a client for the store at address (IP:port).
-func NewWeightStore(address string, t *sending.Transports) *WeightStore {
+func NewWeightStore(address string, t *transport.Transports) *WeightStore {
 	return &WeightStore{base: "http://" + address, transports: t}
 }
 
@@ -63,7 +63,7 @@
 	}
 	if offset > 0 && resp.StatusCode != http.StatusPartialContent {
 		resp.Body.Close()
-		return nil, verdict.New(verdict.Ran, ports.CodeTarget, "the weight store gave the whole object instead of a part")
+		return nil, verdict.New(verdict.Ran, ports.CodeTargetError, "the weight store gave the whole object instead of a part")
 	}
 	return &exact{ReadCloser: resp.Body, left: resp.ContentLength}, nil
 }
@@ -90,14 +90,14 @@
 func storeError(resp *http.Response) error {
 	switch resp.StatusCode {
 	case http.StatusNotFound:
-		return ErrNoObject
+		return ErrObjectNotFound
 	case http.StatusTooManyRequests:
 		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 		e := verdict.New(verdict.NotRun, ports.CodeRejected, "the weight store is at its rate")
 		e.RetryAfter = time.Duration(seconds) * time.Second
 		return e
 	}
-	return verdict.New(verdict.Ran, ports.CodeTarget, fmt.Sprintf("the weight store answered %d", resp.StatusCode))
+	return verdict.New(verdict.Ran, ports.CodeTargetError, fmt.Sprintf("the weight store answered %d", resp.StatusCode))
 }
 
 // exact ends with ErrShort if fewer bytes than announced came.
@@ -111,7 +111,7 @@
 	n, err := e.ReadCloser.Read(p)
 	e.left -= int64(n)
 	if err != nil && e.left > 0 {
-		return n, ErrShort
+		return n, ErrTruncated
 	}
 	return n, err
 }
@@ -119,11 +119,11 @@
 // InstanceList is the client of the list of instances.
 type InstanceList struct {
 	url        string
-	transports *sending.Transports
+	transports *transport.Transports
 }
 
 // NewInstanceList makes a client for the list at address (IP:port).
-func NewInstanceList(address string, t *sending.Transports) *InstanceList {
+func NewInstanceList(address string, t *transport.Transports) *InstanceList {
 	return &InstanceList{url: "http://" + address + PathInstances, transports: t}
 }
 
@@ -140,10 +140,10 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return out, verdict.New(verdict.Ran, ports.CodeTarget, fmt.Sprintf("the list of instances answered %d", resp.StatusCode))
+		return out, verdict.New(verdict.Ran, ports.CodeTargetError, fmt.Sprintf("the list of instances answered %d", resp.StatusCode))
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&out); err != nil {
-		return out, &verdict.Error{Verdict: verdict.Ran, Code: ports.CodeTarget, Message: "malformed list of instances", Err: err}
+		return out, &verdict.Error{Verdict: verdict.Ran, Code: ports.CodeTargetError, Message: "malformed list of instances", Err: err}
 	}
 	return out, nil
 }
--- a/ports/rawhttp/client.go
+++ b/ports/rawhttp/client.go
@@ -25,13 +25,13 @@
 const (
 	// DefaultDialTime is how long a connection may take: well over the 2 ms that a
 	// target of the region needs, and short enough to try another one in time.
-	DefaultDialTime = 400 * time.Millisecond
+	DefaultDialTimeout = 400 * time.Millisecond
 	// DefaultIdleTime is how long an unused connection is kept where the other end
 	// does not say; it is below the idle timeouts of common servers.
-	DefaultIdleTime = 4 * time.Second
+	DefaultIdleTimeout = 4 * time.Second
 	// DefaultSilence is how long sent bytes may stay unacknowledged before the
 	// connection is given up by the kernel: three repeats inside a region.
-	DefaultSilence = 1500 * time.Millisecond
+	DefaultAckTimeout = 1500 * time.Millisecond
 )
 
 const (
@@ -49,7 +49,7 @@
 
 // Options of a Client. Zero values take the defaults.
 type Options struct {
-	DialTime, IdleTime, Silence time.Duration
+	DialTimeout, IdleTimeout, AckTimeout time.Duration
 }
 
 // Client keeps connections to any number of addresses. It is safe for several
@@ -65,14 +65,14 @@
 
 // NewClient makes a Client. Run closes idle connections in time.
 func NewClient(o Options) *Client {
-	if o.DialTime <= 0 {
-		o.DialTime = DefaultDialTime
+	if o.DialTimeout <= 0 {
+		o.DialTimeout = DefaultDialTimeout
 	}
-	if o.IdleTime <= 0 {
-		o.IdleTime = DefaultIdleTime
+	if o.IdleTimeout <= 0 {
+		o.IdleTimeout = DefaultIdleTimeout
 	}
-	if o.Silence <= 0 {
-		o.Silence = DefaultSilence
+	if o.AckTimeout <= 0 {
+		o.AckTimeout = DefaultAckTimeout
 	}
 	return &Client{o: o, idle: map[string][]*conn{}}
 }
@@ -92,7 +92,7 @@
 	// Verdict is NotRun only if no byte of the request can have been read there.
 	Verdict verdict.Verdict
 	// Dial says that no connection was made.
-	Dial bool
+	DialFailed bool
 	// Reused says that the connection had carried requests before.
 	Reused bool
 	Err    error
@@ -129,7 +129,7 @@
 func (c *Client) Do(ctx context.Context, addr string, req *Request) (*Answer, error) {
 	cn, err := c.connection(ctx, addr)
 	if err != nil {
-		return nil, &Failure{Verdict: verdict.NotRun, Dial: true, Err: err}
+		return nil, &Failure{Verdict: verdict.NotRun, DialFailed: true, Err: err}
 	}
 	a := &Answer{client: c, c: cn, ctx: ctx}
 	a.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(past) })
@@ -231,7 +231,7 @@
 }
 
 // Within bounds the wait for the next bytes of the body.
-func (a *Answer) Within(d time.Duration) {
+func (a *Answer) SetReadTimeout(d time.Duration) {
 	_ = a.c.SetReadDeadline(time.Now().Add(d))
 	if a.ctx.Err() != nil {
 		// The end of the context may have been overwritten.
@@ -283,7 +283,7 @@
 
 // idleTime is how long the other end keeps the connection.
 func (a *Answer) idleTime() time.Duration {
-	keep := a.client.o.IdleTime
+	keep := a.client.o.IdleTimeout
 	for _, field := range strings.Split(a.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
@@ -334,13 +334,13 @@
 }
 
 func (c *Client) dial(ctx context.Context, addr string) (*conn, error) {
-	d := net.Dialer{Timeout: c.o.DialTime, KeepAlive: -1}
+	d := net.Dialer{Timeout: c.o.DialTimeout, KeepAlive: -1}
 	raw, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := raw.(*net.TCPConn); ok {
-		if err := Watch(tcp, c.o.Silence); err != nil {
+		if err := DetectDeadPeer(tcp, c.o.AckTimeout); err != nil {
 			_ = raw.Close()
 			return nil, err
 		}
@@ -352,7 +352,7 @@
 }
 
 // Keeps reports whether an unused connection to an address is kept.
-func (c *Client) Keeps(addr string) bool {
+func (c *Client) HasIdle(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.idle[addr]) > 0
@@ -382,7 +382,7 @@
 }
 
 // Forget closes the idle connections to an address, whose target has gone.
-func (c *Client) Forget(addr string) {
+func (c *Client) CloseIdle(addr string) {
 	c.expire(func(cn *conn) bool { return cn.addr == addr })
 }
 
--- a/ports/rawhttp/client_test.go
+++ b/ports/rawhttp/client_test.go
@@ -126,7 +126,7 @@
 		}
 		So(s.conns.Load(), ShouldEqual, 1)
 		So(c.Dials(), ShouldEqual, 1)
-		c.Forget(s.addr())
+		c.CloseIdle(s.addr())
 		_, err := exchange(c, s.addr(), get())
 		So(err, ShouldBeNil)
 		So(s.conns.Load(), ShouldEqual, 2)
@@ -162,7 +162,7 @@
 		var f *rawhttp.Failure
 		So(errors.As(err, &f), ShouldBeTrue)
 		So(f.Verdict, ShouldEqual, verdict.NotRun)
-		So(f.Dial, ShouldBeTrue)
+		So(f.DialFailed, ShouldBeTrue)
 	})
 	Convey("the target reads the request and closes", t, func() {
 		s := serve(t, func(net.Conn, *http.Request) bool { return false })
@@ -265,7 +265,7 @@
 			close(gone)
 			return false
 		})
-		c := rawhttp.NewClient(rawhttp.Options{IdleTime: time.Hour})
+		c := rawhttp.NewClient(rawhttp.Options{IdleTimeout: time.Hour})
 		_, err := exchange(c, s.addr(), get())
 		So(err, ShouldBeNil)
 		ctx, cancel := context.WithCancel(context.Background())
--- a/ports/rawhttp/socket_linux.go
+++ b/ports/rawhttp/socket_linux.go
@@ -15,7 +15,7 @@
 // Watch has the kernel give up a connection whose other end is silent: one whose
 // bytes stay unacknowledged, or that does not answer probes while idle. Without it a
 // connection that a partition or a lost machine has cut hangs for many minutes.
-func Watch(c *net.TCPConn, silence time.Duration) error {
+func DetectDeadPeer(c *net.TCPConn, silence time.Duration) error {
 	err := c.SetKeepAliveConfig(net.KeepAliveConfig{
 		Enable: true, Idle: keepaliveUnit, Interval: keepaliveUnit, Count: 2,
 	})
@@ -43,12 +43,12 @@
 	if time.Now().After(c.idleUntil) {
 		return false
 	}
-	return Quiet(c.Conn) == nil
+	return CheckIdle(c.Conn) == nil
 }
 
 // Quiet returns nil if a read of the connection would have to wait: the other end has
 // neither closed it nor sent anything.
-func Quiet(c net.Conn) error {
+func CheckIdle(c net.Conn) error {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
--- a/ports/sequence.go
+++ b/ports/sequence.go
@@ -53,7 +53,7 @@
 
 // Take reports whether data is the chunk to deliver now. Data that came early
 // is copied and kept for Held. An error means a gap that was not filled in time.
-func (s *Sequencer) Take(attempt []byte, seq uint64, data []byte) (bool, error) {
+func (s *Sequencer) Accept(attempt []byte, seq uint64, data []byte) (bool, error) {
 	if string(attempt) != string(s.attempt) {
 		s.counts.Foreign++
 		return false, nil
@@ -70,7 +70,7 @@
 }
 
 // TakeNext takes an unnumbered chunk as the next one.
-func (s *Sequencer) TakeNext() bool {
+func (s *Sequencer) AcceptNext() bool {
 	s.next++
 	return true
 }
@@ -81,7 +81,7 @@
 		return nil
 	}
 	if len(s.held) >= reorderWindow {
-		return s.Gap()
+		return s.GapError()
 	}
 	if s.held == nil {
 		s.held = make(map[uint64][]byte)
@@ -92,7 +92,7 @@
 }
 
 // Held returns the next chunk if it came early.
-func (s *Sequencer) Held() ([]byte, bool) {
+func (s *Sequencer) TakeHeld() ([]byte, bool) {
 	data, ok := s.held[s.next]
 	if !ok {
 		return nil, false
@@ -106,10 +106,10 @@
 func (s *Sequencer) Complete() bool { return len(s.held) == 0 }
 
 // Gap is the error for a missing chunk.
-func (s *Sequencer) Gap() *verdict.Error {
+func (s *Sequencer) GapError() *verdict.Error {
 	v := verdict.MayHaveRun
 	if s.next > 1 || len(s.held) > 0 {
 		v = verdict.Ran
 	}
-	return verdict.New(v, CodeGap, fmt.Sprintf("chunk %d of the answer is missing", s.next))
+	return verdict.New(v, CodeStreamGap, fmt.Sprintf("chunk %d of the answer is missing", s.next))
 }
--- a/ports/sequence_test.go
+++ b/ports/sequence_test.go
@@ -34,11 +34,11 @@
 		s := NewSequencer("a", uint64(after))
 		for _, i := range arrivals {
 			if rapid.Bool().Draw(t, "foreign") {
-				if ready, _ := s.Take([]byte("b"), s.Next(), []byte("x")); ready {
+				if ready, _ := s.Accept([]byte("b"), s.Next(), []byte("x")); ready {
 					t.Fatal("a foreign chunk was delivered")
 				}
 			}
-			ready, err := s.Take([]byte("a"), uint64(i), fmt.Append(nil, i))
+			ready, err := s.Accept([]byte("a"), uint64(i), fmt.Append(nil, i))
 			if err != nil {
 				if missing == 0 {
 					t.Fatalf("gap with none missing: %v", err)
@@ -48,7 +48,7 @@
 			if ready {
 				got = append(got, fmt.Sprint(i))
 			}
-			for data, ok := s.Held(); ok; data, ok = s.Held() {
+			for data, ok := s.TakeHeld(); ok; data, ok = s.TakeHeld() {
 				got = append(got, string(data))
 			}
 		}
--- a/ports/sending/clients.go
+++ b/ports/transport/clients.go
@@ -1,4 +1,4 @@
-package sending
+package transport
 
 import "sync"
 
--- a/ports/sending/transport.go
+++ b/ports/transport/transport.go
@@ -1,6 +1,6 @@
 // Package sending holds the HTTP transports to targets and tells for each
 // failed sending whether it can have reached the target.
-package sending
+package transport
 
 import (
 	"errors"
@@ -38,7 +38,7 @@
 	// DialTimeout bounds a connection's making; default 1 s.
 	DialTimeout time.Duration
 	// IdlePerHost bounds kept connections to one target; default 256.
-	IdlePerHost int
+	MaxIdlePerHost int
 }
 
 // NewTransports makes the transports.
@@ -46,14 +46,14 @@
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = defaultDialTimeout
 	}
-	if o.IdlePerHost <= 0 {
-		o.IdlePerHost = defaultIdlePerHost
+	if o.MaxIdlePerHost <= 0 {
+		o.MaxIdlePerHost = defaultIdlePerHost
 	}
 	dialer := &net.Dialer{Timeout: o.DialTimeout}
 	kept := &http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxIdleConns:        0,
-		MaxIdleConnsPerHost: o.IdlePerHost,
+		MaxIdleConnsPerHost: o.MaxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 		ReadBufferSize:      readBufferBytes,
@@ -77,7 +77,7 @@
 // noticed. A request written to such a connection fails, and its caller is told that it may
 // have run, where it cannot have and could be sent elsewhere at once.
 func dropStale(info httptrace.GotConnInfo) bool {
-	if !info.Reused || rawhttp.Quiet(info.Conn) == nil {
+	if !info.Reused || rawhttp.CheckIdle(info.Conn) == nil {
 		return false
 	}
 	_ = info.Conn.Close()
@@ -118,7 +118,7 @@
 	}
 	return nil, &verdict.Error{
 		Verdict: verdict.MayHaveRun,
-		Code:    ports.CodeCut,
+		Code:    ports.CodeStreamCut,
 		Message: "connection to the target broke before an answer",
 		Err:     err,
 	}
--- a/ports/sending/transport_test.go
+++ b/ports/transport/transport_test.go
@@ -1,4 +1,4 @@
-package sending_test
+package transport_test
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"testing"
 
 	"github.com/gullhaven/gullhaven/coord/verdict"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 )
 
 // Symptom: a caller is told that its request may have run, though the target had ended
@@ -16,7 +16,7 @@
 // Events: a target with kept connections ends; a request follows within a millisecond.
 // Cause: the request was written to a connection that was closed already.
 func TestRequestsAfterTheEndOfATargetHaveNotRun(t *testing.T) {
-	transports := sending.NewTransports(sending.Options{})
+	transports := transport.NewTransports(transport.Options{})
 	defer transports.Close()
 	post := func(address string) error {
 		req, err := http.NewRequest(http.MethodPost, "http://"+address+"/", strings.NewReader(strings.Repeat("x", 4000)))
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -17,15 +17,15 @@
 	"github.com/gullhaven/gullhaven/ports/enginehttp"
 	"github.com/gullhaven/gullhaven/ports/plainhttp"
 	"github.com/gullhaven/gullhaven/ports/platformhttp"
-	"github.com/gullhaven/gullhaven/ports/sending"
+	"github.com/gullhaven/gullhaven/ports/transport"
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-func listen(t *testing.T, h http.Handler) (address string, tr *sending.Transports) {
+func listen(t *testing.T, h http.Handler) (address string, tr *transport.Transports) {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
-	tr = sending.NewTransports(sending.Options{})
+	tr = transport.NewTransports(transport.Options{})
 	t.Cleanup(tr.Close)
 	return strings.TrimPrefix(s.URL, "http://"), tr
 }
@@ -76,12 +76,12 @@
 		{"duplicate", fault{Kind: standin.FaultDuplicate, Chunk: 3}, 8, "", 0, ports.SequenceCounts{Duplicates: 1}},
 		{"out of order", fault{Kind: standin.FaultReorder, Chunk: 3}, 8, "", 0, ports.SequenceCounts{Reordered: 1}},
 		{"foreign", fault{Kind: standin.FaultForeign, Chunk: 3}, 8, "", 0, ports.SequenceCounts{Foreign: 1}},
-		{"cut", fault{Kind: standin.FaultCut, Chunk: 3}, 3, ports.CodeCut, verdict.Ran, ports.SequenceCounts{}},
-		{"short", fault{Kind: standin.FaultShort, Chunk: 3}, 3, ports.CodeCut, verdict.Ran, ports.SequenceCounts{}},
-		{"gap", fault{Kind: standin.FaultGap, Chunk: 3}, 2, ports.CodeGap, verdict.Ran, ports.SequenceCounts{Reordered: 6}},
+		{"cut", fault{Kind: standin.FaultCut, Chunk: 3}, 3, ports.CodeStreamCut, verdict.Ran, ports.SequenceCounts{}},
+		{"short", fault{Kind: standin.FaultShort, Chunk: 3}, 3, ports.CodeStreamCut, verdict.Ran, ports.SequenceCounts{}},
+		{"gap", fault{Kind: standin.FaultGap, Chunk: 3}, 2, ports.CodeStreamGap, verdict.Ran, ports.SequenceCounts{Reordered: 6}},
 		{"wrong answer", fault{Kind: standin.FaultWrongAnswer}, 0, ports.CodeWrongAnswer, verdict.MayHaveRun, ports.SequenceCounts{}},
-		{"crash", fault{Kind: standin.FaultCrash}, 0, ports.CodeCut, verdict.MayHaveRun, ports.SequenceCounts{}},
-		{"error", fault{Kind: standin.FaultError}, 0, ports.CodeTarget, verdict.MayHaveRun, ports.SequenceCounts{}},
+		{"crash", fault{Kind: standin.FaultCrash}, 0, ports.CodeStreamCut, verdict.MayHaveRun, ports.SequenceCounts{}},
+		{"error", fault{Kind: standin.FaultError}, 0, ports.CodeTargetError, verdict.MayHaveRun, ports.SequenceCounts{}},
 		{"reject", fault{Kind: standin.FaultReject}, 0, ports.CodeRejected, verdict.NotRun, ports.SequenceCounts{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -105,7 +105,7 @@
 		address, tr := listen(t, e)
 		e.SetFaults(standin.Fault{Kind: standin.FaultCut})
 		_, _, end := read(enginehttp.New(address, tr).Complete(t.Context(), completion("a-1", false)))
-		checkEnd(t, end, ports.CodeCut, verdict.MayHaveRun)
+		checkEnd(t, end, ports.CodeStreamCut, verdict.MayHaveRun)
 	})
 }
 
@@ -154,7 +154,7 @@
 		s.Close()
 	}
 	_, err = c.Resume(t.Context(), completion("never", true), 1)
-	checkEnd(t, err, ports.CodeUnknown, verdict.NotRun)
+	checkEnd(t, err, ports.CodeUnknownAttempt, verdict.NotRun)
 	if err := c.Cancel(t.Context(), "never"); err != nil {
 		t.Fatalf("cancel of an unknown attempt: %v", err)
 	}
@@ -198,9 +198,9 @@
 	killer := completion("a-2", true)
 	killer.Body = []byte(strings.Replace(body, "hello", "killer", 1))
 	_, _, end := read(c.Complete(t.Context(), killer))
-	checkEnd(t, end, ports.CodeCut, verdict.MayHaveRun)
+	checkEnd(t, end, ports.CodeStreamCut, verdict.MayHaveRun)
 	_, end = other.Next()
-	checkEnd(t, end, ports.CodeCut, verdict.Ran)
+	checkEnd(t, end, ports.CodeStreamCut, verdict.Ran)
 	if after, err := c.Load(t.Context()); err != nil || !after.Started.After(before.Started) || after.Running > 1 {
 		t.Fatalf("%+v, then %+v, %v", before, after, err)
 	}
@@ -230,7 +230,7 @@
 		late := order("late", 8)
 		late.Expires = now.Add(-time.Second)
 		_, err = c.Order(t.Context(), late)
-		checkEnd(t, err, ports.CodeExpired, verdict.NotRun)
+		checkEnd(t, err, ports.CodeOrderExpired, verdict.NotRun)
 		if _, err := c.Order(t.Context(), order("new", 7)); err != nil {
 			t.Fatalf("the same order again: %v", err)
 		}
@@ -276,7 +276,7 @@
 		{standin.FaultError, 500, "", 0, false},
 		{standin.FaultReject, 503, "", 0, false},
 		{standin.FaultCut, 200, "", 0, true},
-		{standin.FaultCrash, 0, ports.CodeCut, verdict.MayHaveRun, false},
+		{standin.FaultCrash, 0, ports.CodeStreamCut, verdict.MayHaveRun, false},
 	} {
 		for _, once := range []bool{false, true} {
 			p := standin.NewPlain("desk")
@@ -324,7 +324,7 @@
 	p.SetFaults(standin.Fault{Kind: standin.FaultCrash, Count: 2})
 	before := p.Runs("k")
 	_, err := send(true)
-	checkEnd(t, err, ports.CodeCut, verdict.MayHaveRun)
+	checkEnd(t, err, ports.CodeStreamCut, verdict.MayHaveRun)
 	if n := p.Runs("k") - before; n != 1 {
 		t.Fatalf("ran %d times", n)
 	}
@@ -338,12 +338,12 @@
 	if n, err := c.Size(t.Context(), "w"); n != 200_000 || err != nil {
 		t.Fatalf("size %d, %v", n, err)
 	}
-	if _, err := c.Size(t.Context(), "none"); !errors.Is(err, platformhttp.ErrNoObject) {
+	if _, err := c.Size(t.Context(), "none"); !errors.Is(err, platformhttp.ErrObjectNotFound) {
 		t.Fatal(err)
 	}
 	whole := readObject(t, c, 0, nil)
 	s.SetFaults(standin.Fault{Kind: standin.FaultCut, Count: 1})
-	half := readObject(t, c, 0, platformhttp.ErrShort)
+	half := readObject(t, c, 0, platformhttp.ErrTruncated)
 	rest := readObject(t, c, int64(len(half)), nil)
 	if !bytes.Equal(append(half, rest...), whole) || len(whole) != 200_000 {
 		t.Fatalf("%d and %d bytes of %d", len(half), len(rest), len(whole))
