--- a/ports/answer/stream.go
+++ b/ports/answer/stream.go
@@ -1,5 +1,5 @@
-// Package answer reads answers of engines, streamed or whole, and tells a whole
-// answer from one that ended early.
+// Package answer reads answers of engines, streamed or whole, and detects answers
+// that end early.
 package answer
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// drainWait bounds the wait for the end of an answer after its end mark.
-const drainWait = 50 * time.Millisecond
+// drainTimeout bounds the wait for the end of the body after the end mark.
+const drainTimeout = 50 * time.Millisecond
 
-// stream is a streamed answer under way.
+// stream is a streamed answer in progress.
 type stream struct {
 	events *ports.EventReader
 	body   io.ReadCloser
@@ -28,8 +28,8 @@
 	closed bool
 }
 
-// NewStream reads a streamed answer of attempt a after chunk after. Close calls
-// cancel.
+// NewStream returns a reader of the streamed answer of attempt a after chunk after.
+// Close calls cancel.
 func NewStream(a ports.AttemptID, after uint64, body io.ReadCloser, cancel context.CancelFunc) ports.Stream {
 	return &stream{
 		events: ports.NewEventReader(body),
@@ -50,9 +50,9 @@
 		}
 		e, err := s.events.Next()
 		if err != nil {
-			return ports.Chunk{}, s.cut(err)
+			return ports.Chunk{}, s.cutError(err)
 		}
-		ready, err := s.take(e)
+		ready, err := s.accept(e)
 		if err != nil {
 			return ports.Chunk{}, err
 		}
@@ -62,11 +62,11 @@
 	}
 }
 
-// take puts one event through the Sequencer. An event without an id is taken as
-// the next one, for engines that number nothing.
-func (s *stream) take(e ports.Event) (bool, error) {
+// accept passes one event to the Sequencer. An event without an id counts as the
+// next one, for engines that don't number events.
+func (s *stream) accept(e ports.Event) (bool, error) {
 	if string(e.Name) == "error" {
-		return false, s.brokenOff(e.Data)
+		return false, s.errorEvent(e.Data)
 	}
 	if len(e.ID) == 0 {
 		return s.seq.AcceptNext(), nil
@@ -74,13 +74,13 @@
 	i := bytes.LastIndexByte(e.ID, ':')
 	n, ok := parseSeq(e.ID[i+1:])
 	if i < 0 || !ok {
-		return false, verdict.New(s.verdict(), ports.CodeWrongAnswer, "malformed event id")
+		return false, verdict.New(s.currentVerdict(), ports.CodeWrongAnswer, "malformed event id")
 	}
 	return s.seq.Accept(e.ID[:i], n, e.Data)
 }
 
-// failure is the form of an error event that tells its code and verdict.
-type failure struct {
+// errorBody is the form of an error event with code and verdict.
+type errorBody struct {
 	Error struct {
 		Code    verdict.Code    `json:"code"`
 		Verdict verdict.Verdict `json:"verdict"`
@@ -88,13 +88,14 @@
 	} `json:"error"`
 }
 
-// brokenOff reads an error event; one of another form is the target's own.
-func (s *stream) brokenOff(data []byte) error {
-	var f failure
+// errorEvent returns the error of an error event. One of another form counts as an
+// error of the target.
+func (s *stream) errorEvent(data []byte) error {
+	var f errorBody
 	if json.Unmarshal(data, &f) == nil && f.Error.Code != "" {
-		return verdict.New(s.verdict().Join(f.Error.Verdict), f.Error.Code, f.Error.Message)
+		return verdict.New(s.currentVerdict().Join(f.Error.Verdict), f.Error.Code, f.Error.Message)
 	}
-	return &verdict.Error{Verdict: s.verdict(), Code: ports.CodeTargetError, Message: "target broke the answer off", Err: errors.New(string(data))}
+	return &verdict.Error{Verdict: s.currentVerdict(), Code: ports.CodeTargetError, Message: "target broke the answer off", Err: errors.New(string(data))}
 }
 
 func (s *stream) deliver(data []byte) (ports.Chunk, error) {
@@ -108,35 +109,35 @@
 	return ports.Chunk{}, io.EOF
 }
 
-// cut is the error for an answer that ended without its mark. A clean end of the
-// bytes is no clean end of the answer: were io.EOF kept as the cause, errors.Is
-// would find it, and a part would pass for the whole.
-func (s *stream) cut(err error) error {
+// cutError returns the error for an answer that ended without its end mark. io.EOF
+// is replaced as the cause: errors.Is would find it, and a truncated answer would
+// pass for a whole one.
+func (s *stream) cutError(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	if !s.seq.Complete() {
 		return s.seq.GapError()
 	}
-	return &verdict.Error{Verdict: s.verdict(), Code: ports.CodeStreamCut, Message: "the answer ended before its end mark", Err: err}
+	return &verdict.Error{Verdict: s.currentVerdict(), Code: ports.CodeStreamCut, Message: "the answer ended before its end mark", Err: err}
 }
 
-// verdict is Ran from the first chunk on.
-func (s *stream) verdict() verdict.Verdict {
+// currentVerdict returns Ran from the first chunk on, before it MayHaveRun.
+func (s *stream) currentVerdict() verdict.Verdict {
 	if s.seq.Next() > 1 {
 		return verdict.Ran
 	}
 	return verdict.MayHaveRun
 }
 
-// Buffered reports whether more has come already.
+// Buffered reports whether another whole event has been received already.
 func (s *stream) Buffered() bool { return !s.closed && s.events.Buffered() }
 
-// Counts returns what was dropped.
+// Counts returns the counts of chunks that did not come in order.
 func (s *stream) Counts() ports.SequenceCounts { return s.seq.Counts() }
 
-// Close ends the stream. The body of a whole stream is read to its end first,
-// so that the connection can be kept.
+// Close releases the stream. The body of a whole answer is read to its end first,
+// so that the connection can be reused.
 func (s *stream) Close() error {
 	if s.closed {
 		return nil
@@ -144,22 +145,22 @@
 	s.closed = true
 	s.events.Release()
 	if s.done {
-		s.drain()
+		s.drainBody()
 	}
 	s.cancel()
 	return s.body.Close()
 }
 
-// drain reads what follows the end mark. An engine that sends the mark and keeps
-// the answer open would hold its caller's connection, so the wait is bounded.
-func (s *stream) drain() {
-	t := time.AfterFunc(drainWait, s.cancel)
+// drainBody reads what follows the end mark. The wait is bounded, as an engine that
+// sends the mark and keeps the answer open would hold up the caller's connection.
+func (s *stream) drainBody() {
+	t := time.AfterFunc(drainTimeout, s.cancel)
 	defer t.Stop()
 	var rest [1]byte
 	_, _ = s.body.Read(rest[:])
 }
 
-// parseSeq reads a decimal number without allocating.
+// parseSeq parses a decimal number without allocating.
 func parseSeq(b []byte) (uint64, bool) {
 	if len(b) == 0 || len(b) > 19 {
 		return 0, false
@@ -174,7 +175,7 @@
 	return n, true
 }
 
-// NewWhole reads a whole answer as one chunk. Close calls cancel.
+// NewWhole returns a reader of a whole answer as one chunk. Close calls cancel.
 func NewWhole(body io.ReadCloser, cancel context.CancelFunc) ports.Stream {
 	return &whole{body: body, cancel: cancel}
 }
@@ -205,13 +206,13 @@
 	return ports.Chunk{Seq: 1, Data: data}, nil
 }
 
-// Buffered is always false.
+// Buffered returns false.
 func (w *whole) Buffered() bool { return false }
 
-// Counts is always zero.
+// Counts returns zero counts.
 func (w *whole) Counts() ports.SequenceCounts { return ports.SequenceCounts{} }
 
-// Close ends the answer.
+// Close releases the answer.
 func (w *whole) Close() error {
 	w.cancel()
 	return w.body.Close()
--- a/ports/enginehttp/client.go
+++ b/ports/enginehttp/client.go
@@ -32,28 +32,28 @@
 )
 
 const (
-	// maxReportBytes bounds answers of the engine's own paths.
+	// maxReportBytes bounds JSON answers of the engine's own paths.
 	maxReportBytes = 4 << 20
-	// maxErrorBytes is how much of an error's body is kept for the message.
+	// maxErrorBytes bounds the part of an error's body that is kept as the cause.
 	maxErrorBytes = 512
 )
 
-// Client talks to one engine. It is safe for concurrent use.
+// Client is the client of one engine. It is safe for concurrent use.
 type Client struct {
 	base       string
 	transports *transport.Transports
 	now        func() time.Time
 }
 
-// New makes a client for the engine at address (IP:port).
+// New returns a client for the engine at address (IP:port).
 func New(address string, t *transport.Transports) *Client {
 	return &Client{base: "http://" + address, transports: t, now: time.Now}
 }
 
-// Set makes and keeps one client for each address.
+// Set has one client for each address.
 type Set struct{ clients *transport.Clients[*Client] }
 
-// NewSet makes an empty set over the transports.
+// NewSet returns an empty set that uses the transports.
 func NewSet(t *transport.Transports) *Set { return &Set{clients: transport.NewClients(t, New)} }
 
 // Engine returns the client for an address.
@@ -65,22 +65,22 @@
 	if m.Chat {
 		path = PathChat
 	}
-	return c.open(ctx, m, path, fromStart)
+	return c.openStream(ctx, m, path, fromStart)
 }
 
-// Resume takes up an answer after chunk after.
+// Resume continues an answer after chunk after.
 func (c *Client) Resume(ctx context.Context, m ports.Completion, after uint64) (ports.Stream, error) {
-	return c.open(ctx, m, attemptPath(m.Attempt, "resume"), int64(after))
+	return c.openStream(ctx, m, attemptPath(m.Attempt, "resume"), int64(after))
 }
 
-// fromStart stands for an answer that is not resumed.
+// fromStart as the last chunk means an answer that is not resumed.
 const fromStart = -1
 
 func attemptPath(a ports.AttemptID, verb string) string {
 	return PathCompletion + "/" + url.PathEscape(string(a)) + "/" + verb
 }
 
-func (c *Client) open(ctx context.Context, m ports.Completion, path string, after int64) (ports.Stream, error) {
+func (c *Client) openStream(ctx context.Context, m ports.Completion, path string, after int64) (ports.Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	req, sent, err := c.completionRequest(ctx, m, path, after)
 	if err != nil {
@@ -92,7 +92,7 @@
 		cancel()
 		return nil, err
 	}
-	sent.letGo()
+	sent.release()
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
 		return nil, statusError(resp)
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	sent := setBody(req, body)
+	sent := newSentBody(req, body)
 	h := req.Header
 	h.Set("Content-Type", ports.ContentTypeJSON)
 	h.Set(ports.HeaderAttempt, string(m.Attempt))
@@ -132,8 +132,8 @@
 	return req, sent, nil
 }
 
-// statusError turns an answer other than 200 into an error. Only 429 and 4xx
-// say that the engine did not start; a 5xx can come from a run that broke.
+// statusError converts an answer with a status other than 200 to an error. Only 429
+// and other 4xx mean that the engine did not start; a 5xx can come from a failed run.
 func statusError(resp *http.Response) error {
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
@@ -165,7 +165,7 @@
 	return time.Duration(s) * time.Second
 }
 
-// Cancel ends an attempt.
+// Cancel ends an attempt; an unknown one is no error.
 func (c *Client) Cancel(ctx context.Context, a ports.AttemptID) error {
 	err := c.call(ctx, http.MethodPost, attemptPath(a, "cancel"), nil, nil)
 	var e *verdict.Error
@@ -188,7 +188,7 @@
 	return events, c.call(ctx, http.MethodGet, path, nil, &events)
 }
 
-// Order gives an order, unless it has expired.
+// Order sends an order, unless it has expired.
 func (c *Client) Order(ctx context.Context, o ports.Order) (ports.OrderResult, error) {
 	var r ports.OrderResult
 	if !o.Expires.IsZero() {
@@ -206,7 +206,7 @@
 	return r, c.call(ctx, http.MethodPost, PathOrders, bytes.NewReader(body), &r)
 }
 
-// ExportKV returns the KV cache of an attempt.
+// ExportKV returns the KV cache of an attempt. The caller must close it.
 func (c *Client) ExportKV(ctx context.Context, a ports.AttemptID) (io.ReadCloser, error) {
 	resp, err := c.send(ctx, http.MethodGet, PathKV+url.PathEscape(string(a)), nil)
 	if err != nil {
@@ -215,12 +215,12 @@
 	return resp.Body, nil
 }
 
-// ImportKV takes a KV cache in.
+// ImportKV loads a KV cache.
 func (c *Client) ImportKV(ctx context.Context, a ports.AttemptID, kv io.Reader) error {
 	return c.call(ctx, http.MethodPut, PathKV+url.PathEscape(string(a)), kv, nil)
 }
 
-// call sends a request and reads the JSON answer into out, if out is not nil.
+// call sends a request and decodes the JSON answer into out, if out is not nil.
 func (c *Client) call(ctx context.Context, method, path string, body io.Reader, out any) error {
 	resp, err := c.send(ctx, method, path, body)
 	if err != nil {
--- a/ports/enginehttp/sentbody.go
+++ b/ports/enginehttp/sentbody.go
@@ -6,21 +6,20 @@
 	"sync/atomic"
 )
 
-// sentBody is the body of a request, which can be let go of once the answer has
-// begun.
+// sentBody is the body of a request, which is dropped once it is sent whole and the
+// answer has begun.
 //
-// net/http keeps a request for as long as its answer is read, and with it all
-// bytes of the body: the prompt of a long stream would be held to its end. The
-// body is dropped when the answer has begun and the body was sent whole. An
-// engine may answer before it has read all; to cut the body off then would cut
-// the answer off.
+// net/http keeps a request, and with it the whole body, for as long as its answer is
+// read: the prompt of a long stream would be held in memory to its end. An engine may
+// answer before it has read the whole body; truncating the body then would end the
+// answer.
 type sentBody struct {
-	data            atomic.Pointer[[]byte]
-	answered, whole atomic.Bool
+	data           atomic.Pointer[[]byte]
+	answered, sent atomic.Bool
 }
 
-// setBody gives a request its body.
-func setBody(req *http.Request, data []byte) *sentBody {
+// newSentBody sets the body of a request.
+func newSentBody(req *http.Request, data []byte) *sentBody {
 	b := &sentBody{}
 	if len(data) == 0 {
 		return b
@@ -28,8 +27,8 @@
 	b.data.Store(&data)
 	req.ContentLength = int64(len(data))
 	req.Body, _ = b.open()
-	// Without GetBody net/http gives up where a kept connection was closed
-	// before anything was written.
+	// Without GetBody net/http fails if a reused connection was closed before
+	// anything was written.
 	req.GetBody = b.open
 	return b
 }
@@ -40,18 +39,18 @@
 	if data == nil {
 		return nil, http.ErrBodyReadAfterClose
 	}
-	b.whole.Store(false)
+	b.sent.Store(false)
 	return &sentReader{body: b, left: int64(len(*data))}, nil
 }
 
-// letGo says that the answer has begun.
-func (b *sentBody) letGo() {
+// release is called when the answer has begun.
+func (b *sentBody) release() {
 	b.answered.Store(true)
-	b.drop()
+	b.dropIfDone()
 }
 
-func (b *sentBody) drop() {
-	if b.answered.Load() && b.whole.Load() {
+func (b *sentBody) dropIfDone() {
+	if b.answered.Load() && b.sent.Load() {
 		b.data.Store(nil)
 	}
 }
@@ -62,11 +61,11 @@
 	left int64
 }
 
-// Read reads on; at the end the body may be let go of.
+// Read reads the body; at its end the body may be dropped.
 func (r *sentReader) Read(p []byte) (int, error) {
 	if r.left == 0 {
-		r.body.whole.Store(true)
-		r.body.drop()
+		r.body.sent.Store(true)
+		r.body.dropIfDone()
 		return 0, io.EOF
 	}
 	data := r.body.data.Load()
--- a/ports/enginehttp/sentbody_test.go
+++ b/ports/enginehttp/sentbody_test.go
@@ -6,16 +6,15 @@
 	"testing"
 )
 
-// Symptom: long streams hold their prompts; or an answer breaks off because its
-// engine began it before it had read the whole body.
-// Events: the answer begins before, during or after the sending of the body, and
-// the body is sent a second time over another connection.
-// Cause: a body held by its request; a body dropped while it is being sent.
-func TestABodyIsDroppedWhenItIsSentAndAnswered(t *testing.T) {
+// Guards against long streams that hold their prompts in memory, and against an answer
+// that breaks off because the body is dropped while it is being sent. The answer begins
+// before, during or after the sending of the body, and the body is sent again over
+// another connection.
+func TestBodyIsDroppedOnceSentAndAnswered(t *testing.T) {
 	const text = "the body"
 	for answeredAt := 0; answeredAt <= len(text)+1; answeredAt++ {
 		req, _ := http.NewRequest(http.MethodPost, "http://127.0.0.1:1", http.NoBody)
-		b := setBody(req, []byte(text))
+		b := newSentBody(req, []byte(text))
 		if _, err := io.ReadAll(req.Body); err != nil || b.data.Load() == nil {
 			t.Fatalf("dropped before the answer: %v", err)
 		}
@@ -26,7 +25,7 @@
 		got := ""
 		for one := make([]byte, 1); ; {
 			if len(got) == answeredAt {
-				b.letGo()
+				b.release()
 			}
 			n, err := again.Read(one)
 			got += string(one[:n])
@@ -38,7 +37,7 @@
 			}
 		}
 		if answeredAt > len(text) {
-			b.letGo()
+			b.release()
 		}
 		if got != text || req.ContentLength != int64(len(text)) {
 			t.Fatalf("answered at %d: %q", answeredAt, got)
--- a/ports/events.go
+++ b/ports/events.go
@@ -8,20 +8,20 @@
 	"sync"
 )
 
-// eventBufferBytes is the read buffer of one open stream; longer lines are
-// gathered in a buffer that grows.
-const eventBufferBytes = 2 << 10
+// eventReadBufferBytes is the read buffer of one open stream; longer lines are
+// collected in a growing buffer.
+const eventReadBufferBytes = 2 << 10
 
 // MaxEventBytes bounds one line of a stream, and the data of one event over all
-// its lines. An engine that never ends an event would else take all memory.
+// its lines. Without it, an engine that never ends an event would use up all memory.
 const MaxEventBytes = 1 << 20
 
 // ErrEventTooLong is returned for a line or an event above MaxEventBytes.
 var ErrEventTooLong = errors.New("event too long")
 
-var eventReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBufferBytes) }}
+var eventReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventReadBufferBytes) }}
 
-// Event is one server-sent event; its slices are valid until the next Next.
+// Event is one server-sent event. Its slices are valid until the next call of Next.
 type Event struct {
 	ID   []byte
 	Name []byte
@@ -31,21 +31,21 @@
 // EventReader reads server-sent events (WHATWG HTML, section 9.2). Comments,
 // retry fields and unknown fields are skipped.
 type EventReader struct {
-	r    *bufio.Reader
-	id   []byte
-	name []byte
-	data []byte
-	long []byte
+	r        *bufio.Reader
+	id       []byte
+	name     []byte
+	data     []byte
+	longLine []byte
 }
 
-// NewEventReader reads events from r.
+// NewEventReader returns a reader of the events in r.
 func NewEventReader(r io.Reader) *EventReader {
 	b := eventReaders.Get().(*bufio.Reader)
 	b.Reset(r)
 	return &EventReader{r: b}
 }
 
-// Release gives the buffers back; the reader must not be used afterwards.
+// Release returns the buffers to their pool. The reader must not be used afterwards.
 func (e *EventReader) Release() {
 	if e.r == nil {
 		return
@@ -55,8 +55,8 @@
 	e.r = nil
 }
 
-// Buffered reports whether a further whole event has been read already. Bytes of
-// a part of one don't count: its rest may be long in coming.
+// Buffered reports whether another whole event has been read already. A part of
+// one does not count, as its rest may take long.
 func (e *EventReader) Buffered() bool {
 	if e.r == nil || e.r.Buffered() == 0 {
 		return false
@@ -65,8 +65,8 @@
 	return bytes.Contains(b, []byte("\n\n"))
 }
 
-// Next returns the next event that has data. io.EOF may come in the middle of
-// an event; the unfinished event is dropped then.
+// Next returns the next event with data. An event that is unfinished at io.EOF is
+// dropped. The error is ErrEventTooLong for a line or event above MaxEventBytes.
 func (e *EventReader) Next() (Event, error) {
 	if e.r == nil {
 		return Event{}, io.ErrClosedPipe
@@ -74,7 +74,7 @@
 	e.id, e.name, e.data = e.id[:0], e.name[:0], e.data[:0]
 	fields := 0
 	for {
-		line, err := e.line()
+		line, err := e.readLine()
 		if err != nil {
 			return Event{}, err
 		}
@@ -84,15 +84,15 @@
 			}
 			continue
 		}
-		fields += e.field(line)
+		fields += e.parseField(line)
 		if len(e.data) > MaxEventBytes {
 			return Event{}, ErrEventTooLong
 		}
 	}
 }
 
-// field takes one line in and returns the number of data lines in it, 0 or 1.
-func (e *EventReader) field(line []byte) int {
+// parseField parses one line and returns the number of data lines in it, 0 or 1.
+func (e *EventReader) parseField(line []byte) int {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
@@ -110,27 +110,27 @@
 	return 0
 }
 
-func (e *EventReader) line() ([]byte, error) {
+func (e *EventReader) readLine() ([]byte, error) {
 	part, err := e.r.ReadSlice('\n')
 	if err == nil {
-		return trimEnd(part), nil
+		return trimLineEnd(part), nil
 	}
-	e.long = e.long[:0]
+	e.longLine = e.longLine[:0]
 	for errors.Is(err, bufio.ErrBufferFull) {
-		if len(e.long) > MaxEventBytes {
+		if len(e.longLine) > MaxEventBytes {
 			return nil, ErrEventTooLong
 		}
-		e.long = append(e.long, part...)
+		e.longLine = append(e.longLine, part...)
 		part, err = e.r.ReadSlice('\n')
 	}
 	if err != nil {
 		return nil, err
 	}
-	e.long = append(e.long, part...)
-	return trimEnd(e.long), nil
+	e.longLine = append(e.longLine, part...)
+	return trimLineEnd(e.longLine), nil
 }
 
-func trimEnd(line []byte) []byte {
+func trimLineEnd(line []byte) []byte {
 	line = bytes.TrimSuffix(line, []byte{'\n'})
 	return bytes.TrimSuffix(line, []byte{'\r'})
 }
--- a/ports/events_test.go
+++ b/ports/events_test.go
@@ -9,14 +9,14 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// endless gives one line over and over, without the blank line that ends an
-// event, up to a bound that keeps a failing test from taking all memory.
-type endless struct {
+// endlessReader repeats one line without the blank line that ends an event, up to a
+// bound that keeps a failing test from using up all memory.
+type endlessReader struct {
 	line string
 	left int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessReader) Read(p []byte) (int, error) {
 	if e.left <= 0 {
 		return 0, io.EOF
 	}
@@ -26,11 +26,10 @@
 	return n, nil
 }
 
-// Symptom: an instance runs out of memory. Events: an engine that went wrong
-// sends data lines and never ends the event. Cause: lines that were bounded each,
-// but not together.
+// Guards against an instance that runs out of memory: a faulty engine sends data lines
+// and never ends the event, and only each line is bounded, not their sum.
 func TestEventsAreBounded(t *testing.T) {
-	r := ports.NewEventReader(&endless{line: "data: x\n", left: 16 * ports.MaxEventBytes})
+	r := ports.NewEventReader(&endlessReader{line: "data: x\n", left: 16 * ports.MaxEventBytes})
 	defer r.Release()
 	if _, err := r.Next(); !errors.Is(err, ports.ErrEventTooLong) {
 		t.Errorf("%v, want %v", err, ports.ErrEventTooLong)
--- a/ports/plain.go
+++ b/ports/plain.go
@@ -6,22 +6,22 @@
 	"net/http"
 )
 
-// PlainRequest is one sending to a plain service.
+// PlainRequest is one attempt at a plain service.
 type PlainRequest struct {
 	Attempt AttemptID
 	Method  string
-	// Path starts with a slash and is below the service; RawQuery has no "?".
+	// Path starts with a slash and is relative to the service; RawQuery has no "?".
 	Path     string
 	RawQuery string
 	Header   http.Header
-	// Body may be nil; Length is its size in bytes, -1 if not known.
+	// Body may be nil; Length is its size in bytes, -1 if unknown.
 	Body   io.Reader
 	Length int64
-	// Once forbids any second sending by layers below.
+	// Once forbids retries by lower layers.
 	Once bool
 }
 
-// PlainAnswer is the answer of a plain service; Body must be closed.
+// PlainAnswer is the answer of a plain service. Body must be closed.
 type PlainAnswer struct {
 	Status int
 	Header http.Header
@@ -34,7 +34,7 @@
 	Do(ctx context.Context, r PlainRequest) (*PlainAnswer, error)
 }
 
-// Plains finds the plain target at an address (IP:port).
+// Plains returns the plain target at an address (IP:port).
 type Plains interface {
 	Plain(address string) Plain
 }
--- a/ports/plainhttp/client.go
+++ b/ports/plainhttp/client.go
@@ -11,18 +11,18 @@
 	"github.com/gullhaven/gullhaven/ports/transport"
 )
 
-// Client talks to one target. It is safe for concurrent use.
+// Client is the client of one target. It is safe for concurrent use.
 type Client struct {
 	address    string
 	transports *transport.Transports
 }
 
-// New makes a client for the target at address (IP:port).
+// New returns a client for the target at address (IP:port).
 func New(address string, t *transport.Transports) *Client {
 	return &Client{address: address, transports: t}
 }
 
-// Do sends a request.
+// Do sends a request. It takes over r.Header. An answer of any status is no error.
 func (c *Client) Do(ctx context.Context, r ports.PlainRequest) (*ports.PlainAnswer, error) {
 	u, err := url.Parse("http://" + c.address + r.Path)
 	if err != nil {
@@ -47,10 +47,10 @@
 	return &ports.PlainAnswer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
-// Set makes and keeps one client for each address.
+// Set has one client for each address.
 type Set struct{ clients *transport.Clients[*Client] }
 
-// NewSet makes an empty set over the transports.
+// NewSet returns an empty set that uses the transports.
 func NewSet(t *transport.Transports) *Set { return &Set{clients: transport.NewClients(t, New)} }
 
 // Plain returns the client for an address.
--- a/ports/platform.go
+++ b/ports/platform.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// WeightStore gives weights at a limited rate.
+// WeightStore serves model weights at a limited rate.
 type WeightStore interface {
 	// Size returns the size of an object in bytes.
 	Size(ctx context.Context, key string) (int64, error)
-	// Read returns an object from offset on.
+	// Read returns an object from offset on. The caller must close it.
 	Read(ctx context.Context, key string, offset int64) (io.ReadCloser, error)
 }
 
-// InstanceState is what the platform says of an instance.
+// InstanceState is the state of an instance in the platform's list.
 type InstanceState string
 
 // States of an instance.
@@ -32,7 +32,7 @@
 	State   InstanceState `json:"state"`
 }
 
-// InstanceSnapshot is the list as it was at At.
+// InstanceSnapshot is the list as of At.
 type InstanceSnapshot struct {
 	At        time.Time  `json:"at"`
 	Instances []Instance `json:"instances"`
@@ -44,11 +44,11 @@
 	Instances(ctx context.Context) (InstanceSnapshot, error)
 }
 
-// DirectoryQuery tells where a caller is.
+// DirectoryQuery is a caller's query of the directory.
 type DirectoryQuery struct {
-	// Zone and Region of the caller; empty means not known.
+	// Zone and Region of the caller; empty means unknown.
 	Zone, Region string
-	// Caller spreads callers over instances of equal standing.
+	// Caller identifies the caller, to spread callers over equally good instances.
 	Caller string
 }
 
@@ -64,11 +64,11 @@
 // DirectoryAnswer lists the instances to use now, best first.
 type DirectoryAnswer struct {
 	Entries []DirectoryEntry
-	// TTL is how long the answer holds.
+	// TTL is how long the answer may be cached.
 	TTL time.Duration
 }
 
-// Directory tells callers which instances to use.
+// Directory returns the instances that callers should use.
 type Directory interface {
 	Lookup(q DirectoryQuery) DirectoryAnswer
 }
--- a/ports/platformhttp/client.go
+++ b/ports/platformhttp/client.go
@@ -27,10 +27,10 @@
 // maxListBytes bounds a list of instances.
 const maxListBytes = 8 << 20
 
-// ErrNoObject: the weight store has nothing under the key.
+// ErrObjectNotFound: the weight store has no object with the key.
 var ErrObjectNotFound = errors.New("no such object in the weight store")
 
-// ErrShort: an object ended before its size.
+// ErrTruncated: an object ended before its announced size.
 var ErrTruncated = errors.New("the object ended early")
 
 // WeightStore is the client of the weight store.
@@ -39,12 +39,12 @@
 	transports *transport.Transports
 }
 
-// NewWeightStore makes a client for the store at address (IP:port).
+// NewWeightStore returns a client for the store at address (IP:port).
 func NewWeightStore(address string, t *transport.Transports) *WeightStore {
 	return &WeightStore{base: "http://" + address, transports: t}
 }
 
-// Size returns the size of an object in bytes.
+// Size returns the size of an object in bytes, or ErrObjectNotFound.
 func (s *WeightStore) Size(ctx context.Context, key string) (int64, error) {
 	resp, err := s.send(ctx, http.MethodHead, key, 0)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return resp.ContentLength, nil
 }
 
-// Read returns an object from offset on. A body that ends before the announced
-// size ends with ErrShort.
+// Read returns an object from offset on, or ErrObjectNotFound. A body that is shorter
+// than announced ends with ErrTruncated. The caller must close it.
 func (s *WeightStore) Read(ctx context.Context, key string, offset int64) (io.ReadCloser, error) {
 	resp, err := s.send(ctx, http.MethodGet, key, offset)
 	if err != nil {
@@ -65,7 +65,7 @@
 		resp.Body.Close()
 		return nil, verdict.New(verdict.Ran, ports.CodeTargetError, "the weight store gave the whole object instead of a part")
 	}
-	return &exact{ReadCloser: resp.Body, left: resp.ContentLength}, nil
+	return &sizedBody{ReadCloser: resp.Body, remaining: resp.ContentLength}, nil
 }
 
 func (s *WeightStore) send(ctx context.Context, method, key string, offset int64) (*http.Response, error) {
@@ -100,17 +100,17 @@
 	return verdict.New(verdict.Ran, ports.CodeTargetError, fmt.Sprintf("the weight store answered %d", resp.StatusCode))
 }
 
-// exact ends with ErrShort if fewer bytes than announced came.
-type exact struct {
+// sizedBody ends with ErrTruncated if it is shorter than announced.
+type sizedBody struct {
 	io.ReadCloser
-	left int64
+	remaining int64
 }
 
-// Read counts what came.
-func (e *exact) Read(p []byte) (int, error) {
+// Read reads and counts bytes.
+func (e *sizedBody) Read(p []byte) (int, error) {
 	n, err := e.ReadCloser.Read(p)
-	e.left -= int64(n)
-	if err != nil && e.left > 0 {
+	e.remaining -= int64(n)
+	if err != nil && e.remaining > 0 {
 		return n, ErrTruncated
 	}
 	return n, err
@@ -122,7 +122,7 @@
 	transports *transport.Transports
 }
 
-// NewInstanceList makes a client for the list at address (IP:port).
+// NewInstanceList returns a client for the list at address (IP:port).
 func NewInstanceList(address string, t *transport.Transports) *InstanceList {
 	return &InstanceList{url: "http://" + address + PathInstances, transports: t}
 }
--- a/ports/rawhttp/client.go
+++ b/ports/rawhttp/client.go
@@ -1,9 +1,9 @@
-// Package rawhttp sends single HTTP/1.1 requests over kept connections and says for
-// each failure whether the request may have reached the other end.
+// Package rawhttp sends HTTP/1.1 requests over persistent connections and reports for
+// each failure whether the request may have reached the peer.
 //
-// http.Transport is not used: it sends some requests a second time by itself when a
-// kept connection turns out to be closed, and it does not tell whether a byte of a
-// failed request has left. Messages are read and written by net/http's own parser.
+// http.Transport is not used: it retries some requests by itself when a reused
+// connection turns out to be closed, and it does not report whether a byte of a failed
+// request was sent. Answers are parsed by net/http.
 package rawhttp
 
 import (
@@ -23,47 +23,47 @@
 
 // Defaults of Options.
 const (
-	// DefaultDialTime is how long a connection may take: well over the 2 ms that a
-	// target of the region needs, and short enough to try another one in time.
+	// DefaultDialTimeout is well above the 2 ms that a target of the region needs, and
+	// short enough to try another one in time.
 	DefaultDialTimeout = 400 * time.Millisecond
-	// DefaultIdleTime is how long an unused connection is kept where the other end
-	// does not say; it is below the idle timeouts of common servers.
+	// DefaultIdleTimeout is how long an idle connection is kept if the peer announces no
+	// timeout; it is below the idle timeouts of common servers.
 	DefaultIdleTimeout = 4 * time.Second
-	// DefaultSilence is how long sent bytes may stay unacknowledged before the
-	// connection is given up by the kernel: three repeats inside a region.
+	// DefaultAckTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection: three retransmissions inside a region.
 	DefaultAckTimeout = 1500 * time.Millisecond
 )
 
 const (
-	// idleMargin is taken off an idle timeout that the other end names, so that a
-	// request does not cross its close.
-	idleMargin = 600 * time.Millisecond
-	// readBuffer is the size of a connection's reading buffer in bytes: an answer of
-	// 800 bytes or a few events.
-	readBuffer = 2 << 10
-	// asyncBody is the length in bytes from which on a body is written beside the
-	// reading of the answer: the other end may answer first and read on later, and
-	// with small windows both ends would wait for each other.
-	asyncBody = 8 << 10
+	// idleTimeoutMargin is subtracted from an idle timeout that the peer announces, so
+	// that a request does not race with its close.
+	idleTimeoutMargin = 600 * time.Millisecond
+	// readBufferBytes is the size of a connection's read buffer: an answer of 800 bytes
+	// or a few events.
+	readBufferBytes = 2 << 10
+	// asyncBodyBytes is the length from which on a body is written while the answer is
+	// read: the peer may answer before it has read the body, and with small TCP windows
+	// both ends would wait for each other.
+	asyncBodyBytes = 8 << 10
 )
 
-// Options of a Client. Zero values take the defaults.
+// Options of a Client. Zero values mean the defaults.
 type Options struct {
 	DialTimeout, IdleTimeout, AckTimeout time.Duration
 }
 
-// Client keeps connections to any number of addresses. It is safe for several
-// goroutines.
+// Client has a pool of connections to any number of addresses. It is safe for concurrent
+// use.
 type Client struct {
 	o Options
 
 	mu   sync.Mutex
 	idle map[string][]*conn // newest last
-	// Dials counts new connections.
+	// dials counts new connections.
 	dials uint64
 }
 
-// NewClient makes a Client. Run closes idle connections in time.
+// NewClient returns a Client. Run must be called to close idle connections in time.
 func NewClient(o Options) *Client {
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = DefaultDialTimeout
@@ -83,17 +83,17 @@
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// HasBody says that the request has a body, be it of no bytes.
+	// HasBody is true if the request has a body, even an empty one.
 	HasBody bool
 }
 
 // Failure is a request without an answer.
 type Failure struct {
-	// Verdict is NotRun only if no byte of the request can have been read there.
+	// Verdict is NotRun only if the peer cannot have read a byte of the request.
 	Verdict verdict.Verdict
-	// Dial says that no connection was made.
+	// DialFailed is true if no connection was made.
 	DialFailed bool
-	// Reused says that the connection had carried requests before.
+	// Reused is true if the connection had carried requests before.
 	Reused bool
 	Err    error
 }
@@ -109,30 +109,31 @@
 	r         *bufio.Reader
 	addr      string
 	idleUntil time.Time
-	used      bool
+	reused    bool
 }
 
 // Answer is the head of an answer; its body is read from Body. Close must be called
-// once.
+// exactly once.
 type Answer struct {
 	*http.Response
 	client *Client
 	c      *conn
 	ctx    context.Context
 	stop   func() bool
-	// written is closed when the request is written whole; nil if it was before.
+	// written is closed when the whole request is written; nil if it is written before Do
+	// reads the answer.
 	written chan struct{}
 }
 
-// Do sends a request and reads the head of the answer. ctx ends all of it, the
-// reading of the body too. The error is a *Failure.
+// Do sends a request and reads the head of the answer. The end of ctx also ends the
+// reading of the body. The error is a *Failure.
 func (c *Client) Do(ctx context.Context, addr string, req *Request) (*Answer, error) {
-	cn, err := c.connection(ctx, addr)
+	cn, err := c.getConn(ctx, addr)
 	if err != nil {
 		return nil, &Failure{Verdict: verdict.NotRun, DialFailed: true, Err: err}
 	}
 	a := &Answer{client: c, c: cn, ctx: ctx}
-	a.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(past) })
+	a.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(pastDeadline) })
 	if err := a.write(req); err != nil {
 		a.abandon()
 		return nil, a.failure(ctx, err)
@@ -148,13 +149,13 @@
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
-	return &Failure{Verdict: verdict.MayHaveRun, Reused: a.c.used, Err: err}
+	return &Failure{Verdict: verdict.MayHaveRun, Reused: a.c.reused, Err: err}
 }
 
-// write sends the request in one piece, or its body beside the reading.
+// write sends the request in one write, or a long body while the answer is read.
 func (a *Answer) write(req *Request) error {
 	head := appendHead(make([]byte, 0, headSize(req)), req)
-	if len(req.Body) < asyncBody {
+	if len(req.Body) < asyncBodyBytes {
 		_, err := a.c.Write(append(head, req.Body...))
 		return err
 	}
@@ -163,8 +164,8 @@
 	}
 	a.written = make(chan struct{})
 	go func() {
-		// A failure shows in the reading of the answer: the connection is not kept
-		// unless written is closed by then.
+		// A failure shows when the answer is read: the connection is reused only if
+		// written is closed by then.
 		if _, err := a.c.Write(req.Body); err == nil {
 			close(a.written)
 		}
@@ -179,7 +180,7 @@
 			n += len(name) + len(v) + 4
 		}
 	}
-	if len(req.Body) < asyncBody {
+	if len(req.Body) < asyncBodyBytes {
 		n += len(req.Body)
 	}
 	return n
@@ -208,7 +209,7 @@
 	return append(b, "\r\n"...)
 }
 
-// readHead reads the head of the final answer; interim ones are skipped.
+// readHead reads the head of the final answer; interim answers (1xx) are skipped.
 func (a *Answer) readHead(req *Request) error {
 	for {
 		res, err := http.ReadResponse(a.c.r, &http.Request{Method: req.Method})
@@ -223,44 +224,44 @@
 }
 
 // Reused reports whether the connection had carried requests before.
-func (a *Answer) Reused() bool { return a.c.used }
+func (a *Answer) Reused() bool { return a.c.reused }
 
-// Framed reports whether the end of the body can be told from a lost connection.
+// Framed reports whether the end of the body can be distinguished from a lost connection.
 func (a *Answer) Framed() bool {
 	return a.ContentLength >= 0 || len(a.TransferEncoding) > 0
 }
 
-// Within bounds the wait for the next bytes of the body.
+// SetReadTimeout sets a deadline for reading the body, d from now.
 func (a *Answer) SetReadTimeout(d time.Duration) {
 	_ = a.c.SetReadDeadline(time.Now().Add(d))
 	if a.ctx.Err() != nil {
-		// The end of the context may have been overwritten.
-		_ = a.c.SetDeadline(past)
+		// The deadline set at the end of the context may have been overwritten.
+		_ = a.c.SetDeadline(pastDeadline)
 	}
 }
 
-// past is a deadline that ends all that waits.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that ends all pending reads and writes.
+var pastDeadline = time.Unix(1, 0)
 
-// Close ends the exchange. The connection is kept if complete says that the body was
-// read to its end and nothing speaks against it.
+// Close ends the exchange. complete must be true only if the body was read to its end; the
+// connection is then reused if it is in a clean state.
 func (a *Answer) Close(complete bool) {
-	if !complete || !a.keepable() || !a.stop() {
+	if !complete || !a.reusable() || !a.stop() {
 		a.abandon()
 		return
 	}
-	// A deadline of Within would end the next exchange.
+	// A deadline of SetReadTimeout would end the next exchange.
 	if err := a.c.SetDeadline(time.Time{}); err != nil {
 		a.abandon()
 		return
 	}
-	a.client.put(a.c, a.idleTime())
+	a.client.putIdle(a.c, a.idleTimeout())
 }
 
-// keepable reports whether the next answer on the connection would be that of the
-// next request. Bytes after the end of an answer belong to no request, and a request
-// of which a part is still to be sent would run into the next one.
-func (a *Answer) keepable() bool {
+// reusable reports whether the next answer on the connection would be that of the next
+// request. Bytes after the end of an answer belong to no request, and the unsent rest of
+// a request would be mixed with the next one.
+func (a *Answer) reusable() bool {
 	if a.Response.Close || !a.Framed() || a.c.r.Buffered() > 0 {
 		return false
 	}
@@ -277,27 +278,27 @@
 
 func (a *Answer) abandon() {
 	a.stop()
-	// The error says only that the connection was closed before.
+	// The only error is that the connection is closed already.
 	_ = a.c.Close()
 }
 
-// idleTime is how long the other end keeps the connection.
-func (a *Answer) idleTime() time.Duration {
-	keep := a.client.o.IdleTimeout
+// idleTimeout returns how long the connection may stay idle.
+func (a *Answer) idleTimeout() time.Duration {
+	timeout := a.client.o.IdleTimeout
 	for _, field := range strings.Split(a.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
 		if name == "timeout" && err == nil {
-			keep = min(keep, time.Duration(seconds)*time.Second-idleMargin)
+			timeout = min(timeout, time.Duration(seconds)*time.Second-idleTimeoutMargin)
 		}
 	}
-	return keep
+	return timeout
 }
 
-// connection returns a kept connection or makes a new one.
-func (c *Client) connection(ctx context.Context, addr string) (*conn, error) {
+// getConn returns an idle connection or makes a new one.
+func (c *Client) getConn(ctx context.Context, addr string) (*conn, error) {
 	for {
-		cn := c.take(addr)
+		cn := c.takeIdle(addr)
 		if cn == nil {
 			return c.dial(ctx, addr)
 		}
@@ -308,7 +309,7 @@
 	}
 }
 
-func (c *Client) take(addr string) *conn {
+func (c *Client) takeIdle(addr string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[addr]
@@ -321,13 +322,13 @@
 	return cn
 }
 
-func (c *Client) put(cn *conn, keep time.Duration) {
-	if keep <= 0 {
+func (c *Client) putIdle(cn *conn, timeout time.Duration) {
+	if timeout <= 0 {
 		_ = cn.Close()
 		return
 	}
-	cn.used = true
-	cn.idleUntil = time.Now().Add(keep)
+	cn.reused = true
+	cn.idleUntil = time.Now().Add(timeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle[cn.addr] = append(c.idle[cn.addr], cn)
@@ -348,10 +349,10 @@
 	c.mu.Lock()
 	c.dials++
 	c.mu.Unlock()
-	return &conn{Conn: raw, r: bufio.NewReaderSize(raw, readBuffer), addr: addr}, nil
+	return &conn{Conn: raw, r: bufio.NewReaderSize(raw, readBufferBytes), addr: addr}, nil
 }
 
-// Keeps reports whether an unused connection to an address is kept.
+// HasIdle reports whether there is an idle connection to an address.
 func (c *Client) HasIdle(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -365,8 +366,8 @@
 	return c.dials
 }
 
-// Run closes connections that were idle for too long, until ctx ends; then it closes
-// all that are idle.
+// Run closes connections that are idle for too long, until ctx ends; then it closes all
+// idle connections.
 func (c *Client) Run(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -381,30 +382,30 @@
 	}
 }
 
-// Forget closes the idle connections to an address, whose target has gone.
+// CloseIdle closes the idle connections to an address, for a target that was removed.
 func (c *Client) CloseIdle(addr string) {
 	c.expire(func(cn *conn) bool { return cn.addr == addr })
 }
 
-func (c *Client) expire(over func(*conn) bool) {
+func (c *Client) expire(expired func(*conn) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, list := range c.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, cn := range list {
-			if over(cn) {
+			if expired(cn) {
 				_ = cn.Close()
 			} else {
-				kept = append(kept, cn)
+				remaining = append(remaining, cn)
 			}
 		}
-		clear(list[len(kept):])
-		if c.idle[addr] = kept; len(kept) == 0 {
+		clear(list[len(remaining):])
+		if c.idle[addr] = remaining; len(remaining) == 0 {
 			delete(c.idle, addr)
 		}
 	}
 }
 
-// errStale: the other end has closed a kept connection or sent bytes on it that
-// belong to no request.
+// errStale: the peer has closed an idle connection, or sent bytes on it that belong to no
+// request.
 var errStale = errors.New("kept connection is closed or holds stray bytes")
--- a/ports/rawhttp/client_test.go
+++ b/ports/rawhttp/client_test.go
@@ -19,7 +19,7 @@
 	"github.com/gullhaven/gullhaven/ports/rawhttp"
 )
 
-// server runs script for each request that it reads; false ends the connection.
+// server runs a script for each request that it reads; false ends the connection.
 type server struct {
 	net.Listener
 	conns atomic.Int64
@@ -61,7 +61,7 @@
 	return &rawhttp.Request{Method: "GET", Target: "/x", Host: "h", Header: http.Header{"A": {"b"}}}
 }
 
-// exchange does one whole exchange and returns its body.
+// exchange sends a request and returns the whole body of the answer.
 func exchange(c *rawhttp.Client, addr string, r *rawhttp.Request) (string, error) {
 	a, err := c.Do(context.Background(), addr, r)
 	if err != nil {
@@ -76,9 +76,9 @@
 
 const ok2 = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Symptom: a caller gets the answer to another caller's request.
-// Events: a target sends a second answer, or a late one, on a kept connection.
-// Cause: what waits on the connection is read as the answer to the next request.
+// Guards against a caller that gets the answer to another caller's request: a target sends
+// a second answer, or a late one, on a reused connection, and the pending bytes are read as
+// the answer to the next request.
 func TestStrayBytesAreNeverAnAnswer(t *testing.T) {
 	Convey("a target sends two answers to each request", t, func() {
 		s := serve(t, func(c net.Conn, r *http.Request) bool {
@@ -92,7 +92,7 @@
 			So(body, ShouldEqual, "ok")
 		}
 	})
-	Convey("a target sends bytes after its answer is read and the connection is kept", t, func() {
+	Convey("a target sends bytes after its answer was read and the connection is idle", t, func() {
 		late := make(chan struct{})
 		sent := make(chan struct{})
 		var n atomic.Int64
@@ -117,7 +117,7 @@
 }
 
 func TestKeptConnectionsAreUsedAgain(t *testing.T) {
-	Convey("a sound target", t, func() {
+	Convey("a healthy target", t, func() {
 		s := serve(t, func(c net.Conn, r *http.Request) bool { answer(c, ok2); return true })
 		c := rawhttp.NewClient(rawhttp.Options{})
 		for range 5 {
@@ -136,7 +136,7 @@
 		"a Keep-Alive of 0 s":      "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=0\r\n\r\nok",
 		"an interim answer before": "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
 	} {
-		Convey("not kept, but right: "+name, t, func() {
+		Convey("not reused, but correct: "+name, t, func() {
 			s := serve(t, func(c net.Conn, r *http.Request) bool { answer(c, text); return true })
 			c := rawhttp.NewClient(rawhttp.Options{})
 			for range 3 {
@@ -149,9 +149,8 @@
 	}
 }
 
-// Symptom: a caller is told "not run", and the request has run.
-// Events: the connection is refused, or ends after the request was written.
-// Cause: both are taken for the same failure.
+// Guards against the verdict "not run" for a request that has run: a refused connection and
+// one that ends after the request was written count as the same failure.
 func TestFailuresHaveTheirVerdict(t *testing.T) {
 	Convey("nobody listens", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -196,10 +195,9 @@
 	})
 }
 
-// Symptom: a target reads the next request's head as the rest of a long body.
-// Events: the target answers before it has read the body, keeps the connection, and
-// reads on later.
-// Cause: the connection was used again before the body was written.
+// Guards against a target that reads the next request's head as the rest of a long body: it
+// answers before it has read the body and reads on later, and the connection is reused before
+// the body is written.
 func TestEarlyAnswerDoesNotMixRequests(t *testing.T) {
 	Convey("a target that answers a long body early", t, func() {
 		s := serve(t, func(c net.Conn, r *http.Request) bool {
@@ -258,11 +256,11 @@
 
 func TestIdleConnectionsEndWithTheClient(t *testing.T) {
 	Convey("Run ends", t, func() {
-		gone := make(chan struct{})
+		closed := make(chan struct{})
 		s := serve(t, func(c net.Conn, r *http.Request) bool {
 			answer(c, ok2)
 			_, _ = c.Read(make([]byte, 1))
-			close(gone)
+			close(closed)
 			return false
 		})
 		c := rawhttp.NewClient(rawhttp.Options{IdleTimeout: time.Hour})
@@ -271,6 +269,6 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		c.Run(ctx)
-		<-gone
+		<-closed
 	})
 }
--- a/ports/rawhttp/socket_linux.go
+++ b/ports/rawhttp/socket_linux.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepaliveUnit is the time without bytes after which the kernel probes, and that
-// between two probes; it counts in whole seconds.
-const keepaliveUnit = time.Second
+// keepaliveInterval is the idle time after which the kernel sends probes, and the time
+// between two probes. The kernel counts in whole seconds.
+const keepaliveInterval = time.Second
 
-// Watch has the kernel give up a connection whose other end is silent: one whose
-// bytes stay unacknowledged, or that does not answer probes while idle. Without it a
-// connection that a partition or a lost machine has cut hangs for many minutes.
-func DetectDeadPeer(c *net.TCPConn, silence time.Duration) error {
+// DetectDeadPeer makes the kernel close a connection if sent bytes stay unacknowledged for
+// ackTimeout, or if the peer does not answer probes while idle. Without it, a connection
+// hangs for many minutes after a partition or the loss of the peer's machine.
+func DetectDeadPeer(c *net.TCPConn, ackTimeout time.Duration) error {
 	err := c.SetKeepAliveConfig(net.KeepAliveConfig{
-		Enable: true, Idle: keepaliveUnit, Interval: keepaliveUnit, Count: 2,
+		Enable: true, Idle: keepaliveInterval, Interval: keepaliveInterval, Count: 2,
 	})
 	if err != nil {
 		return err
@@ -26,19 +26,19 @@
 	if err != nil {
 		return err
 	}
-	var set error
+	var setErr error
 	err = raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return setErr
 }
 
-// usable reports whether a kept connection can take a request: it is not too old, the
-// other end has not closed it, and nothing waits on it. What waits would be taken for
-// the answer to the next request.
+// usable reports whether an idle connection can take a request: it has not been idle for
+// too long, the peer has not closed it, and no bytes are pending on it, which would be
+// taken for the answer to the next request.
 func (c *conn) usable() bool {
 	if time.Now().After(c.idleUntil) {
 		return false
@@ -46,8 +46,8 @@
 	return CheckIdle(c.Conn) == nil
 }
 
-// Quiet returns nil if a read of the connection would have to wait: the other end has
-// neither closed it nor sent anything.
+// CheckIdle returns nil if a read of the connection would block: the peer has neither
+// closed it nor sent anything.
 func CheckIdle(c net.Conn) error {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -57,16 +57,16 @@
 	if err != nil {
 		return err
 	}
-	found := errStale
+	state := errStale
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if err == unix.EAGAIN {
-			found = nil
+			state = nil
 		}
 	})
 	if err != nil {
 		return err
 	}
-	return found
+	return state
 }
--- a/ports/sequence.go
+++ b/ports/sequence.go
@@ -6,20 +6,20 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// reorderWindow bounds how many chunks ahead of the next one are kept.
-const reorderWindow = 16
+// maxHeldChunks bounds the early chunks that are held.
+const maxHeldChunks = 16
 
-// SequenceCounts tells what a Sequencer saw besides chunks in order.
+// SequenceCounts counts the chunks that did not come in order.
 type SequenceCounts struct {
-	// Duplicates are chunks that were delivered before; dropped.
+	// Duplicates were delivered before; they are dropped.
 	Duplicates uint64
-	// Reordered are chunks that came early and were kept until their turn.
+	// Reordered came early and were held until the chunks before them had come.
 	Reordered uint64
-	// Foreign are chunks of another attempt; dropped.
+	// Foreign belong to another attempt; they are dropped.
 	Foreign uint64
 }
 
-// Add sums two counts.
+// Add returns the sum of two counts.
 func (c SequenceCounts) Add(o SequenceCounts) SequenceCounts {
 	c.Duplicates += o.Duplicates
 	c.Reordered += o.Reordered
@@ -29,10 +29,10 @@
 
 // Sequencer puts the chunks of one attempt in order.
 //
-// An engine behind a retrying or multiplexing layer can give a chunk twice,
-// early, or to the wrong attempt. Passed on as they come, the caller would read
-// a garbled answer that looks whole. The Sequencer delivers each chunk of its
-// own attempt once and in order, or reports a gap.
+// An engine behind a retrying or multiplexing layer can send a chunk twice, early,
+// or to the wrong attempt. If they were relayed as received, the caller would read a
+// garbled answer that looks whole. The Sequencer delivers each chunk of its own
+// attempt once and in order, or reports a gap.
 type Sequencer struct {
 	attempt AttemptID
 	next    uint64
@@ -40,19 +40,20 @@
 	counts  SequenceCounts
 }
 
-// NewSequencer makes a Sequencer that expects chunk after+1 of attempt a next.
+// NewSequencer returns a Sequencer that expects chunk after+1 of attempt a next.
 func NewSequencer(a AttemptID, after uint64) *Sequencer {
 	return &Sequencer{attempt: a, next: after + 1}
 }
 
-// Next is the number of the chunk to deliver next.
+// Next returns the number of the chunk to deliver next.
 func (s *Sequencer) Next() uint64 { return s.next }
 
-// Counts returns what was dropped or kept so far.
+// Counts returns the counts so far.
 func (s *Sequencer) Counts() SequenceCounts { return s.counts }
 
-// Take reports whether data is the chunk to deliver now. Data that came early
-// is copied and kept for Held. An error means a gap that was not filled in time.
+// Accept reports whether data is the chunk to deliver now. Data that came early is
+// copied and held for TakeHeld. An error means a gap that was not filled before too
+// many later chunks came.
 func (s *Sequencer) Accept(attempt []byte, seq uint64, data []byte) (bool, error) {
 	if string(attempt) != string(s.attempt) {
 		s.counts.Foreign++
@@ -66,21 +67,21 @@
 		s.next++
 		return true, nil
 	}
-	return false, s.hold(seq, data)
+	return false, s.holdChunk(seq, data)
 }
 
-// TakeNext takes an unnumbered chunk as the next one.
+// AcceptNext accepts an unnumbered chunk as the next one.
 func (s *Sequencer) AcceptNext() bool {
 	s.next++
 	return true
 }
 
-func (s *Sequencer) hold(seq uint64, data []byte) error {
+func (s *Sequencer) holdChunk(seq uint64, data []byte) error {
 	if _, ok := s.held[seq]; ok {
 		s.counts.Duplicates++
 		return nil
 	}
-	if len(s.held) >= reorderWindow {
+	if len(s.held) >= maxHeldChunks {
 		return s.GapError()
 	}
 	if s.held == nil {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// Held returns the next chunk if it came early.
+// TakeHeld removes and returns the next chunk if it came early.
 func (s *Sequencer) TakeHeld() ([]byte, bool) {
 	data, ok := s.held[s.next]
 	if !ok {
@@ -102,10 +103,10 @@
 	return data, true
 }
 
-// Complete reports whether nothing is kept that was not delivered.
+// Complete reports whether no chunk is held.
 func (s *Sequencer) Complete() bool { return len(s.held) == 0 }
 
-// Gap is the error for a missing chunk.
+// GapError returns the error for a missing chunk.
 func (s *Sequencer) GapError() *verdict.Error {
 	v := verdict.MayHaveRun
 	if s.next > 1 || len(s.held) > 0 {
--- a/ports/sequence_test.go
+++ b/ports/sequence_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a caller reads chunks twice, in a wrong order, or another's.
-// Events: chunks come doubled, swapped within a window, mixed with another
-// attempt's, or one is missing.
-// Cause: passing on in the order of arrival.
+// Guards against a caller that reads chunks twice, in a wrong order, or of another
+// attempt: chunks come duplicated, swapped within a window, mixed with another
+// attempt's, or one is missing, and are relayed in the order of arrival.
 func TestSequencerDeliversEachChunkOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "chunks")
--- a/ports/transport/transport.go
+++ b/ports/transport/transport.go
@@ -1,5 +1,5 @@
-// Package sending holds the HTTP transports to targets and tells for each
-// failed sending whether it can have reached the target.
+// Package transport holds the HTTP transports to targets and reports for each
+// failed attempt whether it may have reached the target.
 package transport
 
 import (
@@ -17,17 +17,18 @@
 )
 
 const (
-	defaultDialTimeout = time.Second
-	defaultIdlePerHost = 256
-	idleTimeout        = 60 * time.Second
-	// Buffers of one connection. They stay for as long as a stream is open, and
-	// its reader has a buffer of its own; the defaults of 4 KiB each would be a
+	defaultDialTimeout    = time.Second
+	defaultMaxIdlePerHost = 256
+	idleTimeout           = 60 * time.Second
+	// Buffers of one connection are allocated for as long as a stream is open, and
+	// its reader has a buffer of its own. The defaults of 4 KiB each would be a
 	// tenth of an open stream's memory.
 	readBufferBytes  = 2 << 10
 	writeBufferBytes = 1 << 10
 )
 
-// Transports sends requests to targets, over kept connections or fresh ones.
+// Transports sends requests to targets, over reused or new connections. It is safe
+// for concurrent use.
 type Transports struct {
 	kept  *http.Transport
 	fresh *http.Transport
@@ -35,19 +36,19 @@
 
 // Options of Transports; zero values mean the defaults.
 type Options struct {
-	// DialTimeout bounds a connection's making; default 1 s.
+	// DialTimeout bounds the time to connect; default 1 s.
 	DialTimeout time.Duration
-	// IdlePerHost bounds kept connections to one target; default 256.
+	// MaxIdlePerHost bounds idle connections to one target; default 256.
 	MaxIdlePerHost int
 }
 
-// NewTransports makes the transports.
+// NewTransports returns transports with the options.
 func NewTransports(o Options) *Transports {
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = defaultDialTimeout
 	}
 	if o.MaxIdlePerHost <= 0 {
-		o.MaxIdlePerHost = defaultIdlePerHost
+		o.MaxIdlePerHost = defaultMaxIdlePerHost
 	}
 	dialer := &net.Dialer{Timeout: o.DialTimeout}
 	kept := &http.Transport{
@@ -64,18 +65,18 @@
 	return &Transports{kept: kept, fresh: fresh}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (t *Transports) Close() {
 	t.kept.CloseIdleConnections()
 	t.fresh.CloseIdleConnections()
 }
 
-// dropStale closes a kept connection that the target has closed, before a byte of the
-// request is written to it, and reports that. net/http then takes another one.
+// dropStale closes a reused connection that the target has closed, before a byte of the
+// request is written to it, and reports whether it did. net/http then uses another one.
 //
-// What goes wrong without it: a target ends, and for some milliseconds net/http has not
-// noticed. A request written to such a connection fails, and its caller is told that it may
-// have run, where it cannot have and could be sent elsewhere at once.
+// Without it, net/http does not notice for some milliseconds that a target has ended. A
+// request written to such a connection fails with MayHaveRun, though it cannot have run and
+// could be retried at another target at once.
 func dropStale(info httptrace.GotConnInfo) bool {
 	if !info.Reused || rawhttp.CheckIdle(info.Conn) == nil {
 		return false
@@ -84,15 +85,14 @@
 	return true
 }
 
-// Do sends a request. Its error is a *verdict.Error: NotRun if no connection
-// was got, else MayHaveRun.
+// Do sends a request. Its error is a *verdict.Error: NotRun if there was no
+// connection, else MayHaveRun.
 //
-// With once the request goes over a connection of its own. net/http sends a
-// request a second time by itself when a kept connection turns out to be closed
-// and the request is a GET, or carries an Idempotency-Key header and a body
-// that can be read again. For a request that may run only once this would be a
-// double run that no counter of ours shows. On a fresh connection net/http
-// never does so. A target then sees one connection for each such request.
+// With once the request gets a connection of its own. net/http retries a request by
+// itself when a reused connection turns out to be closed and the request is a GET, or
+// has an Idempotency-Key header and a body that can be read again. A request that may
+// run only once would then run twice, and none of our counters would show it. On a new
+// connection net/http never retries. A target sees one connection for each such request.
 func (t *Transports) Do(req *http.Request, once bool) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -110,7 +110,7 @@
 		return resp, nil
 	}
 	if errors.Is(err, io.EOF) {
-		// Nobody may find io.EOF under it and take it for the end of an answer.
+		// errors.Is must not find io.EOF, which means the end of an answer.
 		err = io.ErrUnexpectedEOF
 	}
 	if !connected.Load() {
--- a/ports/transport/transport_test.go
+++ b/ports/transport/transport_test.go
@@ -11,11 +11,10 @@
 	"github.com/gullhaven/gullhaven/ports/transport"
 )
 
-// Symptom: a caller is told that its request may have run, though the target had ended
-// before the request was sent.
-// Events: a target with kept connections ends; a request follows within a millisecond.
-// Cause: the request was written to a connection that was closed already.
-func TestRequestsAfterTheEndOfATargetHaveNotRun(t *testing.T) {
+// Guards against the verdict "may have run" for a request that is sent after its target has
+// ended: a target with idle connections ends, a request follows within a millisecond and is
+// written to a closed connection.
+func TestRequestsAfterATargetEndedHaveNotRun(t *testing.T) {
 	transports := transport.NewTransports(transport.Options{})
 	defer transports.Close()
 	post := func(address string) error {
--- a/ports/wire.go
+++ b/ports/wire.go
@@ -1,6 +1,6 @@
 package ports
 
-// Names of headers on the wire to targets and between instances.
+// Headers of requests to targets and between instances.
 const (
 	HeaderAttempt   = "Gullhaven-Attempt"
 	HeaderPriority  = "Gullhaven-Priority"
