--- a/settings/check.go
+++ b/settings/check.go
@@ -9,10 +9,10 @@
 	"github.com/gullhaven/gullhaven/coord/keys"
 )
 
-// logLevels are the levels that Log.Level may name.
+// logLevels are the valid values of Log.Level.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// Check reports all faults with the path of each wrong field.
+// Check returns all faults, each with the path of the wrong field.
 func (s *Settings) Check() []Problem {
 	c := checker{s: s}
 	c.identity()
@@ -48,7 +48,7 @@
 	}
 }
 
-// identity requires names that the keys of the links can carry.
+// identity requires an instance id and a region that certificates can hold.
 func (c *checker) identity() {
 	const anyName = "any"
 	if err := (keys.Identity{Instance: c.s.Instance, Region: anyName}).Check(); err != nil {
@@ -68,8 +68,8 @@
 	return err == nil
 }
 
-// listen checks the three interfaces. An unspecified IP can be listened at,
-// but nobody can reach it.
+// listen checks the addresses of the three interfaces. An unspecified IP is valid for
+// listening, but must not be advertised.
 func (c *checker) listen() {
 	seen := map[string]string{}
 	names := []string{"callers", "instances", "operators"}
@@ -95,13 +95,13 @@
 	c.require(!ip.IsUnspecified(), path, "%s can't be reached by others; give the IP that %s has for them", address, listen)
 }
 
-// list in the order callers, instances, operators.
+// list returns the addresses in the order callers, instances, operators.
 func (a Addresses) list() []string {
 	return []string{a.Callers, a.Instances, a.Operators}
 }
 
-// voters checks the global group. A voter without a disk forgets what it voted
-// and acknowledged, so that accepted bundles could be lost.
+// voters checks the global group. A voter without a disk loses its votes and
+// acknowledgements in a restart, so that accepted bundles could be lost.
 func (c *checker) voters() {
 	c.require(len(c.s.Voters) > 0, "voters", "is empty; name the group that accepts bundles")
 	c.require(len(c.s.Voters)%2 == 1 || len(c.s.Voters) == 0, "voters",
@@ -117,7 +117,7 @@
 	}
 }
 
-// regionVoters checks the groups of the regions: like voters, but of each region.
+// regionVoters checks the groups of the regions, by the rules of voters for each region.
 func (c *checker) regionVoters() {
 	c.peers("region_voters", c.s.RegionVoters)
 	for _, region := range c.s.VoterRegions() {
@@ -157,7 +157,7 @@
 	}
 }
 
-// keys must all be there.
+// keys requires all key files.
 func (c *checker) keys() {
 	k := c.s.Keys
 	c.require(k.Authority != "", "keys.authority", "is missing; make a set with `gullhaven keygen`")
@@ -165,7 +165,7 @@
 	c.require(k.Key != "", "keys.key", "is missing; make a set with `gullhaven keygen`")
 }
 
-// bootstrap checks who may sign the first bundle.
+// bootstrap checks the operators that may sign the first bundle.
 func (c *checker) bootstrap() {
 	b := c.s.Bootstrap
 	c.require(len(b.Operators) > 0, "bootstrap.operators", "is empty; nobody could sign the first bundle")
@@ -174,7 +174,7 @@
 	c.problems = append(c.problems, bundle.CheckOperators("bootstrap.operators", b.Operators)...)
 }
 
-// platform checks the address that may be given.
+// platform checks the optional address.
 func (c *checker) platform() {
 	if list := c.s.Platform.InstanceList; list != "" {
 		c.address("platform.instance_list", list)
--- a/settings/load.go
+++ b/settings/load.go
@@ -8,7 +8,7 @@
 	"github.com/gullhaven/gullhaven/bundle/strict"
 )
 
-// Problem is one fault at one path of the settings.
+// Problem is a fault of one field of the settings.
 type Problem = strict.Problem
 
 // Problems are all faults of the settings, as an error.
@@ -18,8 +18,7 @@
 const maxBytes = 1 << 20
 
 // Load reads a file over the defaults, makes its paths absolute and checks the
-// result. The error is of type Problems where the content is wrong, and tells
-// all faults at once.
+// result. Wrong content is an error of type Problems with all faults.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -37,8 +36,8 @@
 	return s, nil
 }
 
-// Decode reads JSON over the defaults and checks it, like Load; paths stay as
-// they are.
+// Decode decodes JSON over the defaults and checks it, like Load; paths stay as they
+// are.
 func Decode(data []byte) (*Settings, error) {
 	if len(data) > maxBytes {
 		return nil, Problems{{Message: fmt.Sprintf("%d bytes are more than settings may have", len(data))}}
@@ -54,7 +53,7 @@
 	return s, nil
 }
 
-// fill takes each empty address from other.
+// fill sets each empty address to that of other.
 func (a *Addresses) fill(other Addresses) {
 	for _, pair := range []struct{ to, from *string }{
 		{&a.Callers, &other.Callers},
@@ -67,8 +66,8 @@
 	}
 }
 
-// resolve makes paths count from the settings file, so that the daemon may be
-// started in any folder.
+// resolve makes paths relative to the folder of the settings file, so that the daemon
+// may be started in any folder.
 func (s *Settings) resolve(folder string) {
 	for _, path := range []*string{&s.DataDir, &s.Keys.Authority, &s.Keys.Certificate, &s.Keys.Key} {
 		if *path != "" && !filepath.IsAbs(*path) {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"github.com/gullhaven/gullhaven/settings"
 )
 
-// sample is without faults.
+// sample returns settings without faults.
 func sample() *settings.Settings {
 	s := settings.Default()
 	s.Instance, s.Region, s.Zone = "malang-1", "jatim", "malang-hall"
@@ -27,8 +27,8 @@
 	return s
 }
 
-// Symptom: an instance starts, and fails an hour later for a setting that was
-// wrong all the time. Each line of the table spoils one setting.
+// Guards against an instance that starts with a wrong setting and fails later. Each case
+// makes one setting wrong.
 func TestCheckNamesPaths(t *testing.T) {
 	cases := []struct {
 		path, message string
@@ -86,7 +86,7 @@
 	})
 }
 
-// load decodes the JSON form.
+// load encodes s as JSON and returns the problems of decoding it.
 func load(t *testing.T, s *settings.Settings) settings.Problems {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -98,7 +98,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	convey.Convey("Paths count from the file and defaults hold", t, func() {
+	convey.Convey("Paths are relative to the file and defaults apply", t, func() {
 		folder := t.TempDir()
 		data, err := json.Marshal(sample())
 		convey.So(err, convey.ShouldBeNil)
@@ -119,7 +119,7 @@
 	})
 }
 
-// The examples are what newcomers copy, so they must be free of faults.
+// Guards against faults in the examples, which users copy.
 func TestExamplesPass(t *testing.T) {
 	files, err := filepath.Glob("../examples/*/settings/*.json")
 	if err != nil {
--- a/settings/site.go
+++ b/settings/site.go
@@ -13,41 +13,41 @@
 	"github.com/gullhaven/gullhaven/bundle/strict"
 )
 
-// Site is what one instance of a site must know: a deployment that routes by host and
-// path, whose core instances form their group from seeds and whose targets come from
-// the platform's list. Unknown fields are ignored, as the platform's template may hold
-// more than this version knows.
+// Site has the settings of one instance of a site: a deployment that routes by host and
+// path, whose core instances form their group from seeds and whose targets come from the
+// platform's list. Unknown fields are ignored, as the platform's template may have fields
+// of other versions.
 type Site struct {
 	// Instance is its id, for logs. No default.
 	Instance string `json:"instance"`
-	// Region and Zone that it stands in. No default.
+	// Region and Zone are its location. No default.
 	Region string `json:"region"`
 	Zone   string `json:"zone"`
 	// Regions gives the region of each availability zone. No default.
 	Regions map[string]string `json:"regions"`
 	Listen  SiteAddresses     `json:"listen"`
-	// Seeds are addresses of core instances for operators, IP:port. Their addresses
-	// for instances have the port of Listen.Instances. No default.
+	// Seeds are the operators' addresses of core instances, IP:port. Their addresses for
+	// instances have the port of Listen.Instances. No default.
 	Seeds []string `json:"seeds"`
-	// FirstStart says that the whole system starts for the first time: only then do
-	// the seeds form the group. Default false.
+	// FirstStart is true if the whole system starts for the first time; only then do the
+	// seeds form the group. Default false.
 	FirstStart bool `json:"first_start"`
 	// DataDir is the folder of a core instance on its disk. No default.
 	DataDir string `json:"data_dir"`
 	// InstanceList is the address of the platform's list of targets, IP:port.
 	InstanceList string `json:"instance_list"`
-	// InstanceListRate is how many calls of the list the platform takes a second from all
-	// instances; default none, which means that it does not say.
+	// InstanceListRate is the number of calls a second that the platform's list accepts
+	// from all instances together; 0, the default, means unknown.
 	InstanceListRate float64 `json:"instance_list_rate"`
-	// Retries is the budget of sendings beyond the first ones for one service, of all
-	// instances together.
+	// Retries is the retry budget of one service, for all instances together.
 	Retries SiteRetries `json:"retries"`
-	// LimitTolerance is what the platform lets all instances together pass beyond a
-	// workspace's limit; default nothing.
+	// LimitTolerance is what all instances together may pass beyond a workspace's limit;
+	// default nothing.
 	LimitTolerance SiteTolerance `json:"limit_tolerance"`
-	// GraceSeconds is the time between SIGTERM and the end by force; default 8.
+	// GraceSeconds is the time between SIGTERM and SIGKILL; default 8.
 	GraceSeconds float64 `json:"grace_seconds"`
-	// MemoryMB bounds the process; the collector works harder near it. Default none.
+	// MemoryMB is the memory limit of the process, from which the garbage collector's
+	// limit is derived. Default none.
 	MemoryMB int `json:"memory_mb"`
 	// LogLevel is debug, info, warn or error; default info.
 	LogLevel string `json:"log_level"`
@@ -59,27 +59,28 @@
 	Ready     string `json:"ready"`
 	Operators string `json:"operators"`
 	Directory string `json:"directory"`
-	// Instances is where other instances reach this one, without TLS: the network
-	// between the instances of a site is private.
+	// Instances is the address for other instances, without TLS: the network between
+	// the instances of a site is private.
 	Instances string `json:"instances"`
-	// InstancesBind is where it listens for them, where Instances is the address of a
-	// forwarder before it; default Instances.
+	// InstancesBind is the listen address for other instances if Instances is the address
+	// of a proxy in front of it; default Instances.
 	InstancesBind string `json:"instances_bind"`
-	// Metrics serves counters as text; default none.
+	// Metrics serves the metrics page; default none.
 	Metrics string `json:"metrics"`
 }
 
-// SiteRetries is a budget.
+// SiteRetries is a retry budget.
 type SiteRetries struct {
-	// Share of the first sendings in a span, and Allowance beside it.
+	// Share is the allowed ratio of retries to first attempts in a span, and Allowance the
+	// number of retries allowed in addition.
 	Share     float64 `json:"share"`
 	Allowance float64 `json:"allowance"`
 	// SpanSeconds is the length of the span; default 10.
 	SpanSeconds float64 `json:"span_seconds"`
 }
 
-// SiteTolerance is what may pass beyond a limit in any window: a share of what the limit gives
-// in it, and units beside that.
+// SiteTolerance is what may pass beyond a limit in any window: Share of the units that the limit
+// allows in it, and Units in addition.
 type SiteTolerance struct {
 	Share float64 `json:"share"`
 	Units float64 `json:"units"`
@@ -87,13 +88,13 @@
 	WindowSeconds float64 `json:"window_seconds"`
 }
 
-// Window of the tolerance.
+// Window returns the length of the window.
 func (t SiteTolerance) Window() time.Duration { return seconds(t.WindowSeconds) }
 
-// Span of the budget.
+// Span returns the length of the span.
 func (r SiteRetries) Span() time.Duration { return seconds(r.SpanSeconds) }
 
-// Grace between SIGTERM and the end by force.
+// Grace returns the time between SIGTERM and SIGKILL.
 func (s *Site) Grace() time.Duration { return seconds(s.GraceSeconds) }
 
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
@@ -104,7 +105,8 @@
 	defaultSpanSeconds  = 10
 )
 
-// LoadSite reads and checks the settings of a site's instance.
+// LoadSite reads and checks the settings of a site's instance. Wrong values are an error of
+// type Problems with all faults.
 func LoadSite(path string) (*Site, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -163,10 +165,10 @@
 	return p
 }
 
-// BindInstances is where the instance listens for other instances.
+// BindInstances returns the listen address for other instances.
 func (a *SiteAddresses) BindInstances() string { return cmp.Or(a.InstancesBind, a.Instances) }
 
-// SeedIDs are the seeds' addresses for instances.
+// SeedIDs returns the seeds' addresses for instances, which are their ids.
 func (s *Site) SeedIDs() []string {
 	_, port, _ := net.SplitHostPort(s.Listen.Instances)
 	out := make([]string, 0, len(s.Seeds))
@@ -177,7 +179,7 @@
 	return out
 }
 
-// RegionNames are the regions of the site, in order.
+// RegionNames returns the sorted regions of the site.
 func (s *Site) RegionNames() []string {
 	names := slices.Sorted(maps.Values(s.Regions))
 	return slices.Compact(names)
--- a/settings/site_test.go
+++ b/settings/site_test.go
@@ -12,7 +12,8 @@
 	"github.com/gullhaven/gullhaven/settings"
 )
 
-// coreSettings are those of a core instance, with one value changed; nil leaves it out.
+// coreSettings writes the settings of a core instance to a file, with one value changed or, if
+// nil, left out, and returns its path.
 func coreSettings(t *testing.T, key string, value any) string {
 	t.Helper()
 	listen := map[string]any{"operators": "10.0.0.1:80", "instances": "10.0.0.1:90"}
@@ -55,7 +56,7 @@
 		So(s.Listen.BindInstances(), ShouldEqual, "10.0.0.1:90")
 		So(s.FirstStart, ShouldBeFalse)
 	})
-	Convey("an instance may listen elsewhere than where others reach it", t, func() {
+	Convey("the listen address may differ from the one for others", t, func() {
 		s, err := settings.LoadSite(coreSettings(t, "listen.instances_bind", "127.0.0.1:91"))
 		So(err, ShouldBeNil)
 		So(s.Listen.BindInstances(), ShouldEqual, "127.0.0.1:91")
