--- a/api/form_test.go
+++ b/api/form_test.go
@@ -29,7 +29,7 @@
 		Instances: []*operators.InstanceStatus{{ID: "malang-1", Region: "jatim", Zone: "malang-hall", State: "alive"}},
 		Voters:    []*operators.VoterStatus{{Instance: "malang-1", Region: "jatim", State: "leader", Disk: "ok", Index: 9}},
 		Services: ServiceStatuses("jatim", []served.Figures{{
-			Service: "s", Window: 5 * time.Minute, Requests: 10, Refused: 1, Failed: 2, SentAway: 0.25, TargetSeconds: 3, Cost: 4,
+			Service: "s", Window: 5 * time.Minute, Requests: 10, Refused: 1, Failed: 2, SpilledShare: 0.25, TargetSeconds: 3, Cost: 4,
 			P50: time.Millisecond, P90: 2 * time.Millisecond, P99: 3 * time.Millisecond, P999: 4500 * time.Microsecond,
 		}}),
 	}
--- a/api/services.go
+++ b/api/services.go
@@ -19,7 +19,7 @@
 			Requests:      f.Requests,
 			Refused:       f.Refused,
 			Failed:        f.Failed,
-			SentAway:      f.SentAway,
+			SentAway:      f.SpilledShare,
 			TargetSeconds: f.TargetSeconds,
 			Cost:          f.Cost,
 			FirstByteMs: &operators.Quantiles{
--- a/daemon/site.go
+++ b/daemon/site.go
@@ -109,7 +109,7 @@
 	// The last lines are waited for, but not for long.
 	defer func() { _ = sink.Sync() }()
 	go sink.Run(logging)
-	go lines.Tell(logging, r.log, sink, budget)
+	go lines.ReportMissing(logging, r.log, sink, budget)
 	go r.watchSettings(ctx, path)
 	if s.Listen.Callers != "" {
 		return r.runEntry(ctx)
@@ -118,7 +118,7 @@
 }
 
 // Missing implements lines.Counts.
-func (r *site) Missing() (dropped, leftOut uint64) { return r.sink.Dropped(), r.budget.LeftOut() }
+func (r *site) Missing() (dropped, leftOut uint64) { return r.sink.Dropped(), r.budget.Skipped() }
 
 // watchSettings reads the settings anew when the platform says that they changed. What
 // changes at run time are log lines only: addresses and seeds serve the start, and the
--- a/metrics/burn/burn_test.go
+++ b/metrics/burn/burn_test.go
@@ -89,7 +89,7 @@
 func checkRow(t *rapid.T, row Row, all []request, now time.Time) {
 	for i, w := range Windows {
 		length := fineSlot
-		if w == Longest {
+		if w == LongestWindow {
 			length = coarseSlot
 		}
 		var want Count
@@ -97,7 +97,7 @@
 			age := now.UnixNano()/int64(length) - q.at.UnixNano()/int64(length)
 			if age < int64(w/length) && (row.Region == "" || row.Region == q.region) {
 				want.Requests++
-				if q.event.Cause != Kept {
+				if q.event.Cause != Met {
 					want.Missed[q.event.Cause-1]++
 				}
 			}
@@ -110,7 +110,7 @@
 		if got.Requests != int64(want.Requests) || got.Missed != want.Misses() || math.Abs(got.Rate-rate) > 1e-6 {
 			t.Fatalf("%s %v: %+v, want %+v", row.Region, w, got, want)
 		}
-		if w == Longest && !reflect.DeepEqual(row.Causes, missesOf(want)) {
+		if w == LongestWindow && !reflect.DeepEqual(row.Causes, missesOf(want)) {
 			t.Fatalf("causes %v, want %+v", row.Causes, want)
 		}
 	}
@@ -170,7 +170,7 @@
 		h := NewHistory("i", "r", 1)
 		for ago := 359; ago >= 0; ago-- {
 			for i := range 100 {
-				cause := Kept
+				cause := Met
 				if i < c.missed(ago) {
 					cause = Refused
 				}
@@ -245,7 +245,7 @@
 // fullHistory has 36 services with 16 workspaces each, busy for six hours.
 func fullHistory(now time.Time) *History {
 	h := NewHistory("instance-1", "region-1", 1)
-	for ago := Longest; ago >= 0; ago -= fineSlot {
+	for ago := LongestWindow; ago >= 0; ago -= fineSlot {
 		for s := range 36 {
 			for i := range 2 * MaxWorkspaces {
 				h.Observe(now.Add(-ago), Event{fmt.Sprintf("service-%02d", s), fmt.Sprintf("workspace-%02d", i/2), Cause(i % 2)})
@@ -268,28 +268,28 @@
 // over, restarts, takes back; others restart all the time.
 // Cause: parts kept for the wrong instance, or without a bound.
 func TestANeighbourGivesBackWhatWasHandedOver(t *testing.T) {
-	var shelf Shelf
+	var shelf PeerParts
 	first := NewHistory("i", "r", 1)
 	first.Observe(start, Event{"s", "w", Late})
-	shelf.Keep(start, first.Snapshot(start))
+	shelf.Add(start, first.Snapshot(start))
 	for n := range uint64(3 * maxShelf) {
 		other := NewHistory(fmt.Sprint("other-", n%40), "r", n+1)
-		other.Observe(start, Event{"s", "w", Kept})
-		shelf.Keep(start, other.Snapshot(start.Add(-time.Second)))
+		other.Observe(start, Event{"s", "w", Met})
+		shelf.Add(start, other.Snapshot(start.Add(-time.Second)))
 	}
 	if n := len(shelf.All().Parts); n != maxShelf {
 		t.Fatalf("%d parts", n)
 	}
 	again := NewHistory("i", "r", 2)
-	again.Restore(shelf.Of("i"))
+	again.Restore(shelf.ForInstance("i"))
 	again.Restore(shelf.All())
 	now := start.Add(time.Minute)
-	again.Observe(now, Event{"s", "w", Kept})
+	again.Observe(now, Event{"s", "w", Met})
 	row := NewReport(again.Snapshot(now), []Objective{{Service: "s", Share: 0.9}}, now).Rows[0]
 	if w := row.Windows[fiveMinutes]; w.Requests != 2 || w.Missed != 1 {
 		t.Fatalf("%+v", w)
 	}
-	if shelf.Keep(start.Add(Longest+time.Minute), Snapshot{}); len(shelf.All().Parts) > 0 {
+	if shelf.Add(start.Add(LongestWindow+time.Minute), Snapshot{}); len(shelf.All().Parts) > 0 {
 		t.Fatal("parts are kept beyond the longest window")
 	}
 }
--- a/metrics/burn/cause.go
+++ b/metrics/burn/cause.go
@@ -17,7 +17,7 @@
 // Limit, SentAway, Refused, TargetLost, Late.
 const (
 	// Kept requests had a whole answer within the objective.
-	Kept Cause = iota
+	Met Cause = iota
 	// Refused requests were not run for lack of room, time or targets.
 	Refused
 	// Late requests were answered whole after the deadline or the objective.
@@ -25,7 +25,7 @@
 	// TargetLost requests failed after a target may have begun them.
 	TargetLost
 	// SentAway requests were passed on to another region and missed there.
-	SentAway
+	Spilled
 	// Limit requests exceeded the limit of their workspace.
 	Limit
 
@@ -34,7 +34,7 @@
 )
 
 // Causes of missed requests in the order of Count.Missed.
-var Causes = [misses]Cause{Refused, Late, TargetLost, SentAway, Limit}
+var Causes = [misses]Cause{Refused, Late, TargetLost, Spilled, Limit}
 
 var causeNames = [misses + 1]string{"kept", "refused", "late", "target_lost", "sent_away", "limit"}
 
--- a/metrics/burn/history.go
+++ b/metrics/burn/history.go
@@ -67,7 +67,7 @@
 		return
 	}
 	c := Count{Requests: 1}
-	if e.Cause != Kept {
+	if e.Cause != Met {
 		c.Missed[e.Cause-1] = 1
 	}
 	h.mu.Lock()
@@ -112,7 +112,7 @@
 		return nil
 	}
 	w := s.workspaces[e.Workspace]
-	if e.Cause == Kept {
+	if e.Cause == Met {
 		return w
 	}
 	s.age(now)
@@ -149,7 +149,7 @@
 		for _, w := range s.workspaces {
 			w.rank /= 2
 		}
-		if now.Sub(s.aged) > Longest {
+		if now.Sub(s.aged) > LongestWindow {
 			s.aged = now
 		}
 	}
@@ -160,7 +160,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.taken++
-	own := Part{Instance: h.instance, Region: h.region, Life: h.life, Sequence: h.taken, TakenMillis: now.UnixMilli()}
+	own := Part{Instance: h.instance, Region: h.region, Incarnation: h.life, Sequence: h.taken, TakenMillis: now.UnixMilli()}
 	for id, s := range h.services {
 		own.Services = append(own.Services, s.part(id, now))
 	}
@@ -187,7 +187,7 @@
 	defer h.mu.Unlock()
 	mine := Snapshot{Parts: h.earlier}
 	for _, p := range s.Parts {
-		if p.Instance == h.instance && p.Life < h.life {
+		if p.Instance == h.instance && p.Incarnation < h.life {
 			mine = Merge(mine, Snapshot{Parts: []Part{p}})
 		}
 	}
--- a/metrics/burn/report.go
+++ b/metrics/burn/report.go
@@ -8,7 +8,7 @@
 
 // Windows that burn is reported over: two short ones that show an outage at
 // once and see its end, and two long ones that show whether it matters.
-var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, Longest}
+var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, LongestWindow}
 
 // Places in Windows.
 const (
@@ -189,7 +189,7 @@
 // coarseCount is the sum over a window where only coarse slots are known. It
 // covers up to five minutes more.
 func (t *tally) coarseCount(list []Slot, window time.Duration) Count {
-	if window < Longest {
+	if window < LongestWindow {
 		window += coarseSlot
 	}
 	return sum(list, coarseSlot, window, t.now)
@@ -244,7 +244,7 @@
 func missesOf(c Count) []Miss {
 	var list []Miss
 	for _, cause := range Causes {
-		if n := c.By(cause); n > 0 {
+		if n := c.ByCause(cause); n > 0 {
 			list = append(list, Miss{Cause: cause.String(), Requests: n})
 		}
 	}
--- a/metrics/burn/shelf.go
+++ b/metrics/burn/shelf.go
@@ -22,14 +22,14 @@
 
 // Shelf keeps what other instances have handed over, until they ask for it after
 // a restart without a disk. It is safe for several goroutines.
-type Shelf struct {
+type PeerParts struct {
 	mu   sync.Mutex
 	kept Snapshot
 }
 
 // Keep takes in what another instance handed over. Beyond the bound the parts
 // that were taken longest ago go.
-func (s *Shelf) Keep(now time.Time, handed Snapshot) {
+func (s *PeerParts) Add(now time.Time, handed Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.kept = Merge(s.kept, handed).Since(now)
@@ -42,7 +42,7 @@
 }
 
 // Of is what is kept of an instance, for its Restore.
-func (s *Shelf) Of(instance string) Snapshot {
+func (s *PeerParts) ForInstance(instance string) Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out Snapshot
@@ -55,7 +55,7 @@
 }
 
 // All is what is kept of all, to be merged into a report.
-func (s *Shelf) All() Snapshot {
+func (s *PeerParts) All() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Snapshot{Parts: slices.Clone(s.kept.Parts)}
--- a/metrics/burn/slots.go
+++ b/metrics/burn/slots.go
@@ -8,9 +8,9 @@
 	fineSlots = int(time.Hour / fineSlot)
 	// coarseSlot and coarseSlots cover the longest window.
 	coarseSlot  = 5 * time.Minute
-	coarseSlots = int(Longest / coarseSlot)
+	coarseSlots = int(LongestWindow / coarseSlot)
 	// Longest is how far a History goes back.
-	Longest = 6 * time.Hour
+	LongestWindow = 6 * time.Hour
 )
 
 // Count counts requests; Missed is by cause, in the order of Causes.
@@ -29,8 +29,8 @@
 }
 
 // By is the number missed by a cause.
-func (c Count) By(cause Cause) int64 {
-	if cause == Kept {
+func (c Count) ByCause(cause Cause) int64 {
+	if cause == Met {
 		return int64(c.Requests) - c.Misses()
 	}
 	return int64(c.Missed[cause-1])
--- a/metrics/burn/snapshot.go
+++ b/metrics/burn/snapshot.go
@@ -35,7 +35,7 @@
 type Part struct {
 	Instance    string        `cbor:"1,keyasint"`
 	Region      string        `cbor:"2,keyasint"`
-	Life        uint64        `cbor:"3,keyasint"`
+	Incarnation uint64        `cbor:"3,keyasint"`
 	TakenMillis int64         `cbor:"4,keyasint"`
 	Services    []ServicePart `cbor:"5,keyasint,omitempty"`
 	Sequence    uint64        `cbor:"6,keyasint"`
@@ -65,7 +65,7 @@
 	slices.SortStableFunc(parts, func(x, y Part) int {
 		return cmp.Or(
 			cmp.Compare(x.Instance, y.Instance),
-			cmp.Compare(y.Life, x.Life),
+			cmp.Compare(y.Incarnation, x.Incarnation),
 			cmp.Compare(y.Sequence, x.Sequence),
 		)
 	})
@@ -75,7 +75,7 @@
 		switch {
 		case i == 0 || p.Instance != parts[i-1].Instance:
 			lives = 1
-		case p.Life == parts[i-1].Life:
+		case p.Incarnation == parts[i-1].Incarnation:
 			continue
 		default:
 			lives++
@@ -90,7 +90,7 @@
 // Since leaves out parts that were taken before t less the longest window: they
 // have nothing to say any more.
 func (s Snapshot) Since(t time.Time) Snapshot {
-	oldest := t.Add(-Longest).UnixMilli()
+	oldest := t.Add(-LongestWindow).UnixMilli()
 	fresh := func(p Part) bool { return p.TakenMillis >= oldest }
 	var kept Snapshot
 	for _, p := range s.Parts {
--- a/metrics/burn/windows_test.go
+++ b/metrics/burn/windows_test.go
@@ -22,7 +22,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "seconds")) * time.Second)
 			kept := rapid.Bool().Draw(t, "kept")
-			cause := Kept
+			cause := Met
 			if !kept {
 				cause = Late
 			}
@@ -32,7 +32,7 @@
 		report := NewReport(b.Snapshot(now), []Objective{{Service: "s", Share: 0.9}}, now)
 		for i, r := range report.Rows[0].Windows {
 			length := 30 * time.Second
-			if Windows[i] == Longest {
+			if Windows[i] == LongestWindow {
 				length = 5 * time.Minute
 			}
 			var requests, missed int64
--- a/metrics/lines/sink.go
+++ b/metrics/lines/sink.go
@@ -118,7 +118,7 @@
 }
 
 // LeftOut is the number of lines beyond the budget.
-func (b *Budget) LeftOut() uint64 { return b.state.leftOut.Load() }
+func (b *Budget) Skipped() uint64 { return b.state.leftOut.Load() }
 
 // Counts tells of missing lines.
 type Counts interface {
@@ -127,7 +127,7 @@
 }
 
 // Tell logs what was dropped and left out, whenever it has grown, until ctx ends.
-func Tell(ctx context.Context, log *zap.Logger, s *Sink, b *Budget) {
+func ReportMissing(ctx context.Context, log *zap.Logger, s *Sink, b *Budget) {
 	tick := time.NewTicker(tellInterval)
 	defer tick.Stop()
 	var dropped, leftOut uint64
@@ -137,7 +137,7 @@
 			return
 		case <-tick.C:
 		}
-		d, l := s.Dropped(), b.LeftOut()
+		d, l := s.Dropped(), b.Skipped()
 		if d != dropped || l != leftOut {
 			log.Info("log lines missing", zap.Uint64("dropped", d-dropped), zap.Uint64("left_out", l-leftOut))
 		}
--- a/metrics/lines/sink_test.go
+++ b/metrics/lines/sink_test.go
@@ -72,7 +72,7 @@
 		}
 		log.Debug("below the level")
 		So(strings.Count(buf.String(), "served"), ShouldEqual, 4)
-		So(b.LeftOut(), ShouldEqual, 6)
+		So(b.Skipped(), ShouldEqual, 6)
 		clock.at = clock.at.Add(time.Second)
 		log.Info("served")
 		So(strings.Count(buf.String(), "served"), ShouldEqual, 5)
--- a/metrics/served/observer.go
+++ b/metrics/served/observer.go
@@ -50,8 +50,8 @@
 		FirstByte: out.FirstByte,
 		Refused:   out.Code != "" && out.Verdict == verdict.NotRun,
 		Failed:    out.Code != "" && out.Verdict != verdict.NotRun,
-		SentAway:  out.SpillRegion != "",
-		Passed:    out.Peer != "",
+		Spilled:   out.SpillRegion != "",
+		Forwarded: out.Peer != "",
 	}
 	if out.Target != "" {
 		r.TargetSeconds = out.TargetTime.Seconds() * p.Share
@@ -66,13 +66,13 @@
 func CauseOf(out pipeline.Outcome) (cause burn.Cause, counts bool) {
 	switch {
 	case out.MetObjective:
-		return burn.Kept, true
+		return burn.Met, true
 	case out.Code == pipeline.CodeOverLimit:
 		return burn.Limit, true
 	case !out.CountsForObjective():
-		return burn.Kept, false
+		return burn.Met, false
 	case out.SpillRegion != "" || out.Code == pipeline.CodeRegionUnreached:
-		return burn.SentAway, true
+		return burn.Spilled, true
 	case out.Code == "":
 		return burn.Late, true
 	case out.Verdict == verdict.NotRun:
--- a/metrics/served/served_test.go
+++ b/metrics/served/served_test.go
@@ -24,18 +24,18 @@
 		cause  burn.Cause
 		counts bool
 	}{
-		{"kept", pipeline.Outcome{MetObjective: true}, burn.Kept, true},
-		{"kept elsewhere", pipeline.Outcome{MetObjective: true, SpillRegion: "bali"}, burn.Kept, true},
+		{"kept", pipeline.Outcome{MetObjective: true}, burn.Met, true},
+		{"kept elsewhere", pipeline.Outcome{MetObjective: true, SpillRegion: "bali"}, burn.Met, true},
 		{"late", pipeline.Outcome{Verdict: verdict.Ran}, burn.Late, true},
-		{"late elsewhere", pipeline.Outcome{Verdict: verdict.Ran, SpillRegion: "bali"}, burn.SentAway, true},
+		{"late elsewhere", pipeline.Outcome{Verdict: verdict.Ran, SpillRegion: "bali"}, burn.Spilled, true},
 		{"no room", pipeline.Outcome{Code: pipeline.CodeOverloaded}, burn.Refused, true},
 		{"out of time, not sent", pipeline.Outcome{Code: pipeline.CodeDeadline}, burn.Refused, true},
 		{"out of time, sent", pipeline.Outcome{Code: pipeline.CodeDeadline, Verdict: verdict.MayHaveRun}, burn.Late, true},
 		{"target died", pipeline.Outcome{Code: ports.CodeStreamCut, Verdict: verdict.MayHaveRun}, burn.TargetLost, true},
-		{"region unreached", pipeline.Outcome{Code: pipeline.CodeRegionUnreached}, burn.SentAway, true},
+		{"region unreached", pipeline.Outcome{Code: pipeline.CodeRegionUnreached}, burn.Spilled, true},
 		{"limit", pipeline.Outcome{Code: pipeline.CodeOverLimit}, burn.Limit, true},
-		{"wrong body", pipeline.Outcome{Code: pipeline.CodeBodyMalformed}, burn.Kept, false},
-		{"caller left", pipeline.Outcome{Code: pipeline.CodeCallerGone, Verdict: verdict.MayHaveRun}, burn.Kept, false},
+		{"wrong body", pipeline.Outcome{Code: pipeline.CodeBodyMalformed}, burn.Met, false},
+		{"caller left", pipeline.Outcome{Code: pipeline.CodeCallerGone, Verdict: verdict.MayHaveRun}, burn.Met, false},
 	} {
 		if cause, counts := CauseOf(c.out); cause != c.cause || counts != c.counts {
 			t.Errorf("%s: %v %v", c.name, cause, counts)
@@ -77,7 +77,7 @@
 			}
 			want.Requests++
 			want.Refused += count(r.out.Code != "")
-			want.SentAway += float64(count(r.out.SpillRegion != ""))
+			want.SpilledShare += float64(count(r.out.SpillRegion != ""))
 			if r.out.Target != "" {
 				want.TargetSeconds += 0.25
 				times = append(times, r.out.FirstByte)
@@ -85,7 +85,7 @@
 		}
 		got := o.Table.Figures(now)[0]
 		if got.Requests != want.Requests || got.Refused != want.Refused || got.TargetSeconds != want.TargetSeconds ||
-			got.Cost != 2*want.TargetSeconds || math.Abs(got.SentAway*float64(got.Requests)-want.SentAway) > 1e-9 {
+			got.Cost != 2*want.TargetSeconds || math.Abs(got.SpilledShare*float64(got.Requests)-want.SpilledShare) > 1e-9 {
 			t.Fatalf("%+v, want %+v", got, want)
 		}
 		slices.Sort(times)
--- a/metrics/served/table.go
+++ b/metrics/served/table.go
@@ -34,10 +34,10 @@
 	// FirstByte is zero if there was no answer.
 	FirstByte time.Duration
 	// Refused requests were not run; Failed ones may have run.
-	Refused, Failed, SentAway bool
+	Refused, Failed, Spilled bool
 	// Passed requests came from another instance, which counts them; only their
 	// cost is added here.
-	Passed bool
+	Forwarded bool
 	// TargetSeconds is the time that it held a share of a target; Cost weighs it.
 	TargetSeconds, Cost float64
 }
@@ -48,7 +48,7 @@
 	Window                    time.Duration
 	Requests, Refused, Failed uint64
 	// SentAway is a share of the requests, 0 to 1.
-	SentAway            float64
+	SpilledShare        float64
 	TargetSeconds, Cost float64
 	// Quantiles of the time to the first byte.
 	P50, P90, P99, P999 time.Duration
@@ -85,13 +85,13 @@
 	s := t.slotOf(r.Service, now)
 	s.targetSeconds += r.TargetSeconds
 	s.cost += r.Cost
-	if r.Passed {
+	if r.Forwarded {
 		return
 	}
 	s.requests++
 	s.refused += count(r.Refused)
 	s.failed += count(r.Failed)
-	s.sentAway += count(r.SentAway)
+	s.sentAway += count(r.Spilled)
 	if r.FirstByte > 0 {
 		_ = s.firstByte.RecordValue(int64(min(r.FirstByte, longest) / unit)) // within the bounds
 	}
@@ -175,7 +175,7 @@
 		all.Merge(s.firstByte)
 	}
 	if f.Requests > 0 {
-		f.SentAway = float64(sentAway) / float64(f.Requests)
+		f.SpilledShare = float64(sentAway) / float64(f.Requests)
 	}
 	quantile := func(q float64) time.Duration { return time.Duration(all.ValueAtQuantile(q)) * unit }
 	f.P50, f.P90, f.P99, f.P999 = quantile(50), quantile(90), quantile(99), quantile(99.9)
--- a/metrics/site.go
+++ b/metrics/site.go
@@ -8,75 +8,75 @@
 
 // Metrics of the instances of a site, beside those of the request path.
 var (
-	SitePassedOn       = Metric{"gullhaven_site_passed_on_total", Counter, "requests", "Requests that came from another region."}
-	SiteRefusals       = Metric{"gullhaven_site_refused_no_target_total", Counter, "requests", "Requests refused as no target was available."}
-	SiteNoView         = Metric{"gullhaven_site_refused_no_configuration_total", Counter, "requests", "Requests refused before a configuration was known."}
-	SiteLeaving        = Metric{"gullhaven_site_refused_leaving_total", Counter, "requests", "Streams refused as the instance is about to end."}
-	SiteKillers        = Metric{"gullhaven_site_refused_killer_total", Counter, "requests", "Requests refused that crash their targets."}
-	SiteOverloaded     = Metric{"gullhaven_site_refused_overloaded_total", Counter, "requests", "Requests refused as what waits in front of the best target takes longer than the route's aim."}
-	SiteUnknownKeys    = Metric{"gullhaven_site_refused_key_total", Counter, "requests", "Requests refused as they carried no key that a workspace holds."}
-	SiteNoHome         = Metric{"gullhaven_site_refused_no_home_total", Counter, "requests", "Requests refused as the homes of their route and workspace have no region in common."}
-	SiteOverLimit      = Metric{"gullhaven_site_refused_over_limit_total", Counter, "requests", "Requests refused as their workspace was over its limit."}
-	SiteOtherRefusals  = Metric{"gullhaven_site_refused_other_total", Counter, "requests", "Requests refused for other reasons: no route, malformed, too large, a peer that is behind."}
-	SiteRetriesDenied  = Metric{"gullhaven_site_retries_denied_total", Counter, "attempts", "Further sendings that the budget did not allow."}
-	SiteDecided        = Metric{"gullhaven_site_decided_elsewhere_total", Counter, "attempts", "Sendings whose target another instance chose."}
-	SiteInvalidSums    = Metric{"gullhaven_site_summaries_invalid_total", Counter, "summaries", "Summaries of other regions left out as their figures cannot be."}
-	SiteUntoldSums     = Metric{"gullhaven_site_summaries_untold_total", Counter, "summaries", "Summaries of other regions whose load was not known: they get requests only where there is no other place."}
-	SiteRegionsOut     = Metric{"gullhaven_site_regions_out_total", Counter, "regions", "Times that another region was left out as none of its instances could be reached."}
-	SiteChooseTime     = Metric{"gullhaven_site_choose_seconds", Histogram, "seconds", "Time to choose where to send, with asking another instance."}
-	SiteSendTime       = Metric{"gullhaven_site_send_seconds", Histogram, "seconds", "Time from sending to the head of the answer or the loss of it."}
-	SiteWaitRatio      = Metric{"gullhaven_site_wait_ratio", Histogram, "ratio", "Wait for the first event over the one that was expected, of requests to engines of the own region."}
-	SiteGapTime        = Metric{"gullhaven_site_event_gap_seconds", Histogram, "seconds", "Time between two events of a stream."}
-	SiteWholeTime      = Metric{"gullhaven_site_whole_seconds", Histogram, "seconds", "Time from the acceptance of a request to its end."}
-	SiteDials          = Metric{"gullhaven_site_connections_total", Counter, "connections", "New connections to targets."}
-	SiteTargets        = Metric{"gullhaven_site_targets", Gauge, "targets", "Targets of the region on the list."}
-	SiteTargetsOut     = Metric{"gullhaven_site_targets_out", Gauge, "targets", "Targets left out for a while as they were lost."}
-	SiteTargetsCold    = Metric{"gullhaven_site_targets_cold", Gauge, "targets", "Targets that bear only a few requests a second."}
-	SiteTargetsLimited = Metric{"gullhaven_site_targets_limited", Gauge, "targets", "Targets that name in their answers how many requests a second they take."}
-	SiteTargetsLeaving = Metric{"gullhaven_site_targets_draining", Gauge, "targets", "Targets that drain, or whose zone is evacuated."}
-	SiteVersion        = Metric{"gullhaven_site_version", Gauge, "version", "Version of the configuration in force, or accepted at a core instance; 0 for none."}
-	SiteHeard          = Metric{"gullhaven_site_version_heard", Gauge, "version", "Newest version that a core instance told this entry instance of; above the one in force it is on its way."}
-	SiteReportsFailed  = Metric{"gullhaven_site_reports_failed_total", Counter, "reports", "Reports to core instances that got no answer in time. Without answers the list of targets and the configuration grow old."}
-	SitePiecesLeft     = Metric{"gullhaven_site_pieces_left", Gauge, "pieces", "Pieces of the newest configuration that are still to come; 0 also while its list of pieces is."}
-	SitePieceBytes     = Metric{"gullhaven_site_piece_bytes_total", Counter, "bytes", "Bytes of pieces of configurations that came."}
-	SitePiecesFailed   = Metric{"gullhaven_site_pieces_failed_total", Counter, "questions", "Questions for a configuration that got no answer of use; another core instance was asked, for less."}
-	SiteListAge        = Metric{"gullhaven_site_list_age_milliseconds", Gauge, "milliseconds", "Age of the list of targets; negative if there is none."}
-	SiteEntries        = Metric{"gullhaven_site_entries", Gauge, "instances", "Entry instances known."}
-	SiteEntriesBehind  = Metric{"gullhaven_site_entries_behind", Gauge, "instances", "Entry instances that report to this core instance and lack what is accepted for over four seconds."}
-	SiteCores          = Metric{"gullhaven_site_cores", Gauge, "instances", "Core instances known."}
-	SiteLogRole        = Metric{"gullhaven_site_log_leads", Gauge, "bool", "1 at the leader of the log, else 0."}
-	SiteLogTerm        = Metric{"gullhaven_site_log_term", Gauge, "term", "Term of the log."}
-	SiteLogApplied     = Metric{"gullhaven_site_log_applied", Gauge, "entries", "Entries of the log applied."}
-	SiteLogBehind      = Metric{"gullhaven_site_log_behind", Gauge, "entries", "Entries committed and not applied."}
-	SiteLogVoters      = Metric{"gullhaven_site_log_voters", Gauge, "instances", "Voters of the group."}
-	SiteLinesDropped   = Metric{"gullhaven_site_log_lines_dropped_total", Counter, "lines", "Log lines dropped as their reader was too slow."}
-	SiteLinesLeftOut   = Metric{"gullhaven_site_log_lines_left_out_total", Counter, "lines", "Log lines of ordinary outcomes beyond their budget."}
+	SiteForwardedIn       = Metric{"gullhaven_site_passed_on_total", Counter, "requests", "Requests that came from another region."}
+	SiteNoTarget          = Metric{"gullhaven_site_refused_no_target_total", Counter, "requests", "Requests refused as no target was available."}
+	SiteNoConfiguration   = Metric{"gullhaven_site_refused_no_configuration_total", Counter, "requests", "Requests refused before a configuration was known."}
+	SiteLeaving           = Metric{"gullhaven_site_refused_leaving_total", Counter, "requests", "Streams refused as the instance is about to end."}
+	SitePoisonRequests    = Metric{"gullhaven_site_refused_killer_total", Counter, "requests", "Requests refused that crash their targets."}
+	SiteOverloaded        = Metric{"gullhaven_site_refused_overloaded_total", Counter, "requests", "Requests refused as what waits in front of the best target takes longer than the route's aim."}
+	SiteUnknownKeys       = Metric{"gullhaven_site_refused_key_total", Counter, "requests", "Requests refused as they carried no key that a workspace holds."}
+	SiteNoHomeRegion      = Metric{"gullhaven_site_refused_no_home_total", Counter, "requests", "Requests refused as the homes of their route and workspace have no region in common."}
+	SiteOverLimit         = Metric{"gullhaven_site_refused_over_limit_total", Counter, "requests", "Requests refused as their workspace was over its limit."}
+	SiteOtherRefusals     = Metric{"gullhaven_site_refused_other_total", Counter, "requests", "Requests refused for other reasons: no route, malformed, too large, a peer that is behind."}
+	SiteRetriesDenied     = Metric{"gullhaven_site_retries_denied_total", Counter, "attempts", "Further sendings that the budget did not allow."}
+	SiteOwnedElsewhere    = Metric{"gullhaven_site_decided_elsewhere_total", Counter, "attempts", "Sendings whose target another instance chose."}
+	SiteInvalidSummaries  = Metric{"gullhaven_site_summaries_invalid_total", Counter, "summaries", "Summaries of other regions left out as their figures cannot be."}
+	SiteUnknownSummaries  = Metric{"gullhaven_site_summaries_untold_total", Counter, "summaries", "Summaries of other regions whose load was not known: they get requests only where there is no other place."}
+	SiteRegionsUnreached  = Metric{"gullhaven_site_regions_out_total", Counter, "regions", "Times that another region was left out as none of its instances could be reached."}
+	SiteChooseTime        = Metric{"gullhaven_site_choose_seconds", Histogram, "seconds", "Time to choose where to send, with asking another instance."}
+	SiteSendTime          = Metric{"gullhaven_site_send_seconds", Histogram, "seconds", "Time from sending to the head of the answer or the loss of it."}
+	SiteWaitRatio         = Metric{"gullhaven_site_wait_ratio", Histogram, "ratio", "Wait for the first event over the one that was expected, of requests to engines of the own region."}
+	SiteEventGapTime      = Metric{"gullhaven_site_event_gap_seconds", Histogram, "seconds", "Time between two events of a stream."}
+	SiteRequestTime       = Metric{"gullhaven_site_whole_seconds", Histogram, "seconds", "Time from the acceptance of a request to its end."}
+	SiteDials             = Metric{"gullhaven_site_connections_total", Counter, "connections", "New connections to targets."}
+	SiteTargets           = Metric{"gullhaven_site_targets", Gauge, "targets", "Targets of the region on the list."}
+	SiteTargetsBackingOff = Metric{"gullhaven_site_targets_out", Gauge, "targets", "Targets left out for a while as they were lost."}
+	SiteTargetsCold       = Metric{"gullhaven_site_targets_cold", Gauge, "targets", "Targets that bear only a few requests a second."}
+	SiteTargetsLimited    = Metric{"gullhaven_site_targets_limited", Gauge, "targets", "Targets that name in their answers how many requests a second they take."}
+	SiteTargetsLeaving    = Metric{"gullhaven_site_targets_draining", Gauge, "targets", "Targets that drain, or whose zone is evacuated."}
+	SiteVersion           = Metric{"gullhaven_site_version", Gauge, "version", "Version of the configuration in force, or accepted at a core instance; 0 for none."}
+	SiteReceivedVersion   = Metric{"gullhaven_site_version_heard", Gauge, "version", "Newest version that a core instance told this entry instance of; above the one in force it is on its way."}
+	SiteReportsFailed     = Metric{"gullhaven_site_reports_failed_total", Counter, "reports", "Reports to core instances that got no answer in time. Without answers the list of targets and the configuration grow old."}
+	SitePiecesLeft        = Metric{"gullhaven_site_pieces_left", Gauge, "pieces", "Pieces of the newest configuration that are still to come; 0 also while its list of pieces is."}
+	SitePieceBytes        = Metric{"gullhaven_site_piece_bytes_total", Counter, "bytes", "Bytes of pieces of configurations that came."}
+	SitePiecesFailed      = Metric{"gullhaven_site_pieces_failed_total", Counter, "questions", "Questions for a configuration that got no answer of use; another core instance was asked, for less."}
+	SiteListAge           = Metric{"gullhaven_site_list_age_milliseconds", Gauge, "milliseconds", "Age of the list of targets; negative if there is none."}
+	SiteEntries           = Metric{"gullhaven_site_entries", Gauge, "instances", "Entry instances known."}
+	SiteEntriesBehind     = Metric{"gullhaven_site_entries_behind", Gauge, "instances", "Entry instances that report to this core instance and lack what is accepted for over four seconds."}
+	SiteCores             = Metric{"gullhaven_site_cores", Gauge, "instances", "Core instances known."}
+	SiteLogRole           = Metric{"gullhaven_site_log_leads", Gauge, "bool", "1 at the leader of the log, else 0."}
+	SiteLogTerm           = Metric{"gullhaven_site_log_term", Gauge, "term", "Term of the log."}
+	SiteLogApplied        = Metric{"gullhaven_site_log_applied", Gauge, "entries", "Entries of the log applied."}
+	SiteLogBehind         = Metric{"gullhaven_site_log_behind", Gauge, "entries", "Entries committed and not applied."}
+	SiteLogVoters         = Metric{"gullhaven_site_log_voters", Gauge, "instances", "Voters of the group."}
+	SiteLinesDropped      = Metric{"gullhaven_site_log_lines_dropped_total", Counter, "lines", "Log lines dropped as their reader was too slow."}
+	SiteLinesSkipped      = Metric{"gullhaven_site_log_lines_left_out_total", Counter, "lines", "Log lines of ordinary outcomes beyond their budget."}
 )
 
 // Site are the metrics that only instances of a site have, each once.
 var Site = []Metric{
-	SitePassedOn, SiteRefusals, SiteNoView, SiteLeaving, SiteKillers, SiteOverloaded, SiteUnknownKeys, SiteNoHome, SiteOverLimit, SiteOtherRefusals, SiteRetriesDenied, SiteDecided, SiteInvalidSums, SiteUntoldSums, SiteRegionsOut,
-	SiteChooseTime, SiteSendTime, SiteWaitRatio, SiteGapTime, SiteWholeTime, SiteDials, SiteTargets, SiteTargetsOut, SiteTargetsCold, SiteTargetsLimited,
-	SiteTargetsLeaving, SiteVersion, SiteHeard, SiteReportsFailed, SitePiecesLeft, SitePieceBytes, SitePiecesFailed, SiteListAge, SiteEntries, SiteEntriesBehind, SiteCores, SiteLogRole, SiteLogTerm, SiteLogApplied,
-	SiteLogBehind, SiteLogVoters, SiteLinesDropped, SiteLinesLeftOut,
+	SiteForwardedIn, SiteNoTarget, SiteNoConfiguration, SiteLeaving, SitePoisonRequests, SiteOverloaded, SiteUnknownKeys, SiteNoHomeRegion, SiteOverLimit, SiteOtherRefusals, SiteRetriesDenied, SiteOwnedElsewhere, SiteInvalidSummaries, SiteUnknownSummaries, SiteRegionsUnreached,
+	SiteChooseTime, SiteSendTime, SiteWaitRatio, SiteEventGapTime, SiteRequestTime, SiteDials, SiteTargets, SiteTargetsBackingOff, SiteTargetsCold, SiteTargetsLimited,
+	SiteTargetsLeaving, SiteVersion, SiteReceivedVersion, SiteReportsFailed, SitePiecesLeft, SitePieceBytes, SitePiecesFailed, SiteListAge, SiteEntries, SiteEntriesBehind, SiteCores, SiteLogRole, SiteLogTerm, SiteLogApplied,
+	SiteLogBehind, SiteLogVoters, SiteLinesDropped, SiteLinesSkipped,
 }
 
 // SiteEntry are the metrics of an entry instance.
 type SiteEntry struct {
 	*Set
-	PassedOn, RefusedNoTarget, RefusedNoView, RefusedLeaving, RefusedKiller, RefusedOverloaded, RefusedOther gometrics.Counter
-	RefusedKey, RefusedNoHome, RefusedLimit                                                                  gometrics.Counter
-	RetriesDenied, Decided, SummariesInvalid, SummariesUntold, RegionsOut, ReportsFailed                     gometrics.Counter
+	ForwardedIn, RefusedNoTarget, RefusedNoConfiguration, RefusedLeaving, RefusedPoison, RefusedOverloaded, RefusedOther gometrics.Counter
+	RefusedUnknownKey, RefusedNoHome, RefusedOverLimit                                                                   gometrics.Counter
+	RetriesDenied, OwnedElsewhere, SummariesInvalid, SummariesUnknown, RegionsUnreached, ReportsFailed                   gometrics.Counter
 	// WaitRatio tells how good choices can be: what they expect against what comes.
-	WaitRatio                                *Ratios
-	ChooseTime, SendTime, GapTime, WholeTime *Times
+	WaitRatio                                       *Ratios
+	ChooseTime, SendTime, EventGapTime, RequestTime *Times
 }
 
 // EntryState is what an entry instance shows of itself when its page is read.
 type EntryState struct {
-	InFlight, Dials, Targets, Out, Cold, Limited, Draining, Version, Heard, ListAge, Entries, Cores int64
-	LinesDropped, LinesLeftOut, PiecesLeft, PieceBytes, PiecesFailed                                int64
-	Links                                                                                           Links
+	InFlight, Dials, Targets, BackingOff, Cold, Limited, Draining, Version, ReceivedVersion, ListAge, Entries, Cores int64
+	LinesDropped, LinesSkipped, PiecesLeft, PieceBytes, PiecesFailed                                                 int64
+	Links                                                                                                            Links
 }
 
 // NewSiteEntry makes the metrics of an entry instance; read gives its state.
@@ -86,12 +86,12 @@
 	page.show(InFlight, func(e *EntryState) int64 { return e.InFlight })
 	page.show(SiteDials, func(e *EntryState) int64 { return e.Dials })
 	page.show(SiteTargets, func(e *EntryState) int64 { return e.Targets })
-	page.show(SiteTargetsOut, func(e *EntryState) int64 { return e.Out })
+	page.show(SiteTargetsBackingOff, func(e *EntryState) int64 { return e.BackingOff })
 	page.show(SiteTargetsCold, func(e *EntryState) int64 { return e.Cold })
 	page.show(SiteTargetsLimited, func(e *EntryState) int64 { return e.Limited })
 	page.show(SiteTargetsLeaving, func(e *EntryState) int64 { return e.Draining })
 	page.show(SiteVersion, func(e *EntryState) int64 { return e.Version })
-	page.show(SiteHeard, func(e *EntryState) int64 { return e.Heard })
+	page.show(SiteReceivedVersion, func(e *EntryState) int64 { return e.ReceivedVersion })
 	page.show(SitePiecesLeft, func(e *EntryState) int64 { return e.PiecesLeft })
 	page.show(SitePieceBytes, func(e *EntryState) int64 { return e.PieceBytes })
 	page.show(SitePiecesFailed, func(e *EntryState) int64 { return e.PiecesFailed })
@@ -99,25 +99,25 @@
 	page.show(SiteEntries, func(e *EntryState) int64 { return e.Entries })
 	page.show(SiteCores, func(e *EntryState) int64 { return e.Cores })
 	page.show(SiteLinesDropped, func(e *EntryState) int64 { return e.LinesDropped })
-	page.show(SiteLinesLeftOut, func(e *EntryState) int64 { return e.LinesLeftOut })
+	page.show(SiteLinesSkipped, func(e *EntryState) int64 { return e.LinesSkipped })
 	showLinks(page, func(e *EntryState) *Links { return &e.Links })
 	return &SiteEntry{
-		Set: s, PassedOn: s.Counter(SitePassedOn), RefusedNoTarget: s.Counter(SiteRefusals), RefusedNoView: s.Counter(SiteNoView),
-		RefusedLeaving: s.Counter(SiteLeaving), RefusedKiller: s.Counter(SiteKillers),
+		Set: s, ForwardedIn: s.Counter(SiteForwardedIn), RefusedNoTarget: s.Counter(SiteNoTarget), RefusedNoConfiguration: s.Counter(SiteNoConfiguration),
+		RefusedLeaving: s.Counter(SiteLeaving), RefusedPoison: s.Counter(SitePoisonRequests),
 		RefusedOverloaded: s.Counter(SiteOverloaded), RefusedOther: s.Counter(SiteOtherRefusals),
-		RefusedKey: s.Counter(SiteUnknownKeys), RefusedNoHome: s.Counter(SiteNoHome), RefusedLimit: s.Counter(SiteOverLimit),
-		RetriesDenied: s.Counter(SiteRetriesDenied), Decided: s.Counter(SiteDecided),
-		SummariesInvalid: s.Counter(SiteInvalidSums), SummariesUntold: s.Counter(SiteUntoldSums), RegionsOut: s.Counter(SiteRegionsOut), ReportsFailed: s.Counter(SiteReportsFailed),
-		ChooseTime: s.Times(SiteChooseTime), SendTime: s.Times(SiteSendTime), GapTime: s.Times(SiteGapTime), WaitRatio: s.Ratios(SiteWaitRatio), WholeTime: s.Times(SiteWholeTime),
+		RefusedUnknownKey: s.Counter(SiteUnknownKeys), RefusedNoHome: s.Counter(SiteNoHomeRegion), RefusedOverLimit: s.Counter(SiteOverLimit),
+		RetriesDenied: s.Counter(SiteRetriesDenied), OwnedElsewhere: s.Counter(SiteOwnedElsewhere),
+		SummariesInvalid: s.Counter(SiteInvalidSummaries), SummariesUnknown: s.Counter(SiteUnknownSummaries), RegionsUnreached: s.Counter(SiteRegionsUnreached), ReportsFailed: s.Counter(SiteReportsFailed),
+		ChooseTime: s.Times(SiteChooseTime), SendTime: s.Times(SiteSendTime), EventGapTime: s.Times(SiteEventGapTime), WaitRatio: s.Ratios(SiteWaitRatio), RequestTime: s.Times(SiteRequestTime),
 	}
 }
 
 // CoreState is what a core instance shows of itself when its page is read.
 type CoreState struct {
-	Leads                                                    bool
+	IsLeader                                                 bool
 	Term, Applied, Behind, Voters, Version, ListAge, Targets int64
 	Entries, EntriesBehind, Cores                            int64
-	Syncs, SyncedEntries, LinesDropped, LinesLeft            int64
+	Syncs, SyncedEntries, LinesDropped, LinesSkipped         int64
 	Links                                                    Links
 }
 
@@ -126,7 +126,7 @@
 	s := newEmptySet()
 	page := newPageState(s, read)
 	page.show(SiteLogRole, func(c *CoreState) int64 {
-		if c.Leads {
+		if c.IsLeader {
 			return 1
 		}
 		return 0
@@ -144,7 +144,7 @@
 	page.show(LogSyncs, func(c *CoreState) int64 { return c.Syncs })
 	page.show(LogSyncedEntries, func(c *CoreState) int64 { return c.SyncedEntries })
 	page.show(SiteLinesDropped, func(c *CoreState) int64 { return c.LinesDropped })
-	page.show(SiteLinesLeftOut, func(c *CoreState) int64 { return c.LinesLeft })
+	page.show(SiteLinesSkipped, func(c *CoreState) int64 { return c.LinesSkipped })
 	showLinks(page, func(c *CoreState) *Links { return &c.Links })
 	return s
 }
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -247,7 +247,7 @@
 func (i *Instance) shown() metrics.CoreState {
 	now, s := time.Now(), i.node.Status()
 	c := metrics.CoreState{
-		Leads: s.Core.Role == replog.Leader, Term: int64(s.Core.Term), Applied: int64(s.Applied),
+		IsLeader: s.Core.Role == replog.Leader, Term: int64(s.Core.Term), Applied: int64(s.Applied),
 		Behind: int64(s.Core.Commit) - int64(s.Applied), Voters: int64(len(s.Core.Config.Voters)),
 		Version: int64(i.accepted().Version), ListAge: -1, Entries: int64(len(i.board.Entries(now))),
 		Cores: int64(len(i.board.Cores(now))), Syncs: int64(s.Counters.Syncs), SyncedEntries: int64(s.Counters.SyncedEntries),
@@ -258,7 +258,7 @@
 	}
 	if i.o.Lines != nil {
 		dropped, leftOut := i.o.Lines.Missing()
-		c.LinesDropped, c.LinesLeft = int64(dropped), int64(leftOut)
+		c.LinesDropped, c.LinesSkipped = int64(dropped), int64(leftOut)
 	}
 	return c
 }
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -146,10 +146,10 @@
 	s := metrics.EntryState{InFlight: i.gateway.InFlight(), Dials: int64(i.targets.Dials()), ListAge: -1}
 	c := i.pool.Count(now)
 	s.Links = metrics.SumLinks(i.hub.Stats())
-	s.Targets, s.Out, s.Cold, s.Limited, s.Draining = int64(c.Targets), int64(c.BackingOff), int64(c.Cold), int64(c.Limited), int64(c.Draining)
+	s.Targets, s.BackingOff, s.Cold, s.Limited, s.Draining = int64(c.Targets), int64(c.BackingOff), int64(c.Cold), int64(c.Limited), int64(c.Draining)
 	if i.o.Lines != nil {
 		dropped, leftOut := i.o.Lines.Missing()
-		s.LinesDropped, s.LinesLeftOut = int64(dropped), int64(leftOut)
+		s.LinesDropped, s.LinesSkipped = int64(dropped), int64(leftOut)
 	}
 	if v := i.gateway.View(); v != nil {
 		s.Version = int64(v.Index.Table.Version)
@@ -161,7 +161,7 @@
 	}
 	s.Entries, s.Cores = int64(len(i.known.entries.Entries)+1), int64(len(i.known.cores))
 	if i.known.head != nil {
-		s.Heard = int64(i.known.head.Version)
+		s.ReceivedVersion = int64(i.known.head.Version)
 	}
 	left, transfers := i.fetcher.progress()
 	s.PiecesLeft, s.PieceBytes, s.PiecesFailed = int64(left), int64(transfers.Bytes), int64(transfers.Failed)
--- a/node/entry/update.go
+++ b/node/entry/update.go
@@ -155,7 +155,7 @@
 			continue
 		}
 		if s.LoadUnknown {
-			i.metrics.SummariesUntold.Inc(1)
+			i.metrics.SummariesUnknown.Inc(1)
 		}
 		key := exchange.RegionService{Region: s.Region, Service: s.Service}
 		v.Regions[key] = pick.RegionLoad{Targets: s.Targets, Slots: s.Slots, Load: pick.Load{
--- a/node/entry/update_test.go
+++ b/node/entry/update_test.go
@@ -114,7 +114,7 @@
 		So(good.Prefill, ShouldResemble, pick.PrefillSums{Tokens: 100, Millis: 3})
 		So(regions[exchange.RegionService{Region: "unknown", Service: "s"}].LoadUnknown, ShouldBeTrue)
 		So(i.metrics.SummariesInvalid.Count(), ShouldEqual, 2)
-		So(i.metrics.SummariesUntold.Count(), ShouldEqual, 1)
+		So(i.metrics.SummariesUnknown.Count(), ShouldEqual, 1)
 	})
 }
 
--- a/node/history.go
+++ b/node/history.go
@@ -38,7 +38,7 @@
 type history struct {
 	node  *Node
 	own   *burn.History
-	shelf *burn.Shelf
+	shelf *burn.PeerParts
 	inbox *ring.Ring[burn.Snapshot]
 }
 
@@ -46,7 +46,7 @@
 	h := &history{
 		node:  n,
 		own:   burn.NewHistory(n.s.Instance, n.s.Region, n.life()),
-		shelf: &burn.Shelf{},
+		shelf: &burn.PeerParts{},
 		inbox: ring.New[burn.Snapshot](historyRing),
 	}
 	n.hub.Handle(channelHistory, h.receive)
@@ -90,7 +90,7 @@
 }
 
 func (h *history) serveRecall(_ context.Context, from string, _ []byte) ([]byte, error) {
-	return h.shelf.Of(from).Encode(burn.HandoverBytes)
+	return h.shelf.ForInstance(from).Encode(burn.HandoverBytes)
 }
 
 // run takes the earlier history back, then keeps and hands over until ctx ends.
@@ -106,7 +106,7 @@
 			h.save()
 			return
 		case s := <-h.inbox.C():
-			h.shelf.Keep(time.Now(), s)
+			h.shelf.Add(time.Now(), s)
 		case <-recall.C:
 			h.recall(ctx)
 		case <-tick.C:
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -91,7 +91,7 @@
 	if q.g.o.GroupOwner != nil {
 		if d, ok := q.g.o.GroupOwner.Choose(q.ctx, c, q.call.ID, q.deadline.Sub(now)); ok {
 			if choice := q.g.o.Pool.PickAt(now, c, d.Target); choice != nil {
-				q.g.o.Metrics.Decided.Inc(1)
+				q.g.o.Metrics.OwnedElsewhere.Inc(1)
 				choice.Source, choice.Cost, choice.Wait, choice.QueueWait, choice.Tokens = d.Source, d.Cost, d.Wait, d.QueueWait, d.Tokens
 				return &destination{choice: choice, decision: d, owner: q.g.o.GroupOwner}
 			}
--- a/pipeline/exchange/finish.go
+++ b/pipeline/exchange/finish.go
@@ -88,17 +88,17 @@
 	case CodeNoTarget:
 		return m.RefusedNoTarget
 	case CodeNoView:
-		return m.RefusedNoView
+		return m.RefusedNoConfiguration
 	case CodeLeaving:
 		return m.RefusedLeaving
 	case CodePoison:
-		return m.RefusedKiller
+		return m.RefusedPoison
 	case CodeOverloaded:
 		return m.RefusedOverloaded
 	case CodeUnknownKey:
-		return m.RefusedKey
+		return m.RefusedUnknownKey
 	case CodeOverLimit:
-		return m.RefusedLimit
+		return m.RefusedOverLimit
 	case CodeNoHome:
 		return m.RefusedNoHome
 	}
--- a/pipeline/exchange/gateway.go
+++ b/pipeline/exchange/gateway.go
@@ -188,7 +188,7 @@
 // forward. It must not be reachable by callers.
 func (g *Gateway) ForwardedHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		g.o.Metrics.PassedOn.Inc(1)
+		g.o.Metrics.ForwardedIn.Inc(1)
 		p, err := readForwarded(r.Header)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
--- a/pipeline/exchange/regions_test.go
+++ b/pipeline/exchange/regions_test.go
@@ -214,8 +214,8 @@
 		view.Regions = map[exchange.RegionService]pick.RegionLoad{{Region: "r", Service: "s"}: {Targets: 1, Slots: 4}}
 		b.gateway.SetView(&view)
 		So(a.call("/safe/x", "").status, ShouldEqual, 503)
-		So(a.metrics.PassedOn.Count(), ShouldEqual, 0)
-		So(b.metrics.PassedOn.Count(), ShouldEqual, 1)
+		So(a.metrics.ForwardedIn.Count(), ShouldEqual, 0)
+		So(b.metrics.ForwardedIn.Count(), ShouldEqual, 1)
 	})
 	Convey("an instance with an older configuration does not decide", t, func() {
 		y := newTarget(t, "far", respond(200, "far"))
--- a/pipeline/exchange/relay.go
+++ b/pipeline/exchange/relay.go
@@ -141,7 +141,7 @@
 // recordGap records the time between two events.
 func (q *request) recordGap(gap time.Duration) {
 	q.longestGap = max(q.longestGap, gap)
-	q.g.o.Metrics.GapTime.Update(gap)
+	q.g.o.Metrics.EventGapTime.Update(gap)
 }
 
 // streamBroken records a stream that ended early and returns the result for the target.
--- a/pipeline/exchange/send.go
+++ b/pipeline/exchange/send.go
@@ -56,7 +56,7 @@
 	m, now := q.g.o.Metrics, time.Now()
 	m.Answered.Inc(1)
 	m.FirstByteTime.Update(q.firstByteAt.Sub(q.acceptedAt))
-	m.WholeTime.Update(now.Sub(q.acceptedAt))
+	m.RequestTime.Update(now.Sub(q.acceptedAt))
 	if q.g.o.PoisonRequests != nil {
 		q.g.o.PoisonRequests.ReportAnswer(&q.raw, q.lastTried)
 	}
@@ -167,7 +167,7 @@
 			// Another instance of the region may be reachable.
 			q.g.markUnreachable(time.Now(), peer.Address)
 			if q.g.reach.Failed(time.Now(), peer.Region) {
-				q.g.o.Metrics.RegionsOut.Inc(1)
+				q.g.o.Metrics.RegionsUnreached.Inc(1)
 				q.g.o.Log.Warn("region unreachable", zap.String("region", peer.Region), zap.Error(err))
 			}
 			delete(q.triedRegions, peer.Region)
