--- a/metrics/burn/burn_test.go
+++ b/metrics/burn/burn_test.go
@@ -15,50 +15,49 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// request is one observed request of the model.
+// request is one request observed in the test.
 type request struct {
 	at     time.Time
 	region string
 	event  Event
 }
 
-// Symptom: a report names another burn than the requests had, or counts them
-// twice after a restart. Events: requests of several instances, restarts,
-// snapshots that arrive late, twice and in any order. Cause: slots that are not
-// cleared, or a life counted in two parts.
+// Guards against a report with a wrong burn, or one that counts requests twice after a restart:
+// slots are not cleared, or an incarnation is counted in two parts. Requests at several
+// instances, restarts, and snapshots that arrive late, twice and in any order.
 func TestReportCountsEachRequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
 		regions := []string{"jatim", "jatim", "bali"}
-		lives := make([]*History, len(regions))
+		histories := make([]*History, len(regions))
 		for i, r := range regions {
-			lives[i] = NewHistory(fmt.Sprint("i", i), r, 1)
+			histories[i] = NewHistory(fmt.Sprint("i", i), r, 1)
 		}
 		var all []request
 		var sent []Snapshot
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "seconds")) * time.Second)
-			i := rapid.IntRange(0, len(lives)-1).Draw(t, "instance")
+			i := rapid.IntRange(0, len(histories)-1).Draw(t, "instance")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				sent = append(sent, lives[i].Snapshot(now))
+				sent = append(sent, histories[i].Snapshot(now))
 			case 1: // a restart, with the own snapshot taken back once or twice
-				saved := roundTrip(t, lives[i].Snapshot(now))
-				if lives[i].life > maxLives {
+				saved := roundTrip(t, histories[i].Snapshot(now))
+				if histories[i].incarnation > maxEarlierIncarnations {
 					continue
 				}
-				lives[i] = NewHistory(lives[i].instance, lives[i].region, lives[i].life+1)
+				histories[i] = NewHistory(histories[i].instance, histories[i].region, histories[i].incarnation+1)
 				for range rapid.IntRange(1, 2).Draw(t, "times") {
-					lives[i].Restore(saved)
+					histories[i].Restore(saved)
 				}
 			default:
-				e := Event{"s", rapid.SampledFrom([]string{"w1", "w2"}).Draw(t, "workspace"), Cause(rapid.IntRange(0, misses).Draw(t, "cause"))}
-				lives[i].Observe(now, e)
+				e := Event{"s", rapid.SampledFrom([]string{"w1", "w2"}).Draw(t, "workspace"), Cause(rapid.IntRange(0, causeCount).Draw(t, "cause"))}
+				histories[i].Observe(now, e)
 				all = append(all, request{now, regions[i], e})
 			}
 		}
 		var joined Snapshot
-		for _, h := range lives {
+		for _, h := range histories {
 			sent = append(sent, h.Snapshot(now))
 		}
 		for _, s := range rapid.Permutation(sent).Draw(t, "order") {
@@ -88,9 +87,9 @@
 // checkRow compares a row with a plain list of all requests.
 func checkRow(t *rapid.T, row Row, all []request, now time.Time) {
 	for i, w := range Windows {
-		length := fineSlot
+		length := fineSlotDuration
 		if w == LongestWindow {
-			length = coarseSlot
+			length = coarseSlotDuration
 		}
 		var want Count
 		for _, q := range all {
@@ -110,16 +109,16 @@
 		if got.Requests != int64(want.Requests) || got.Missed != want.Misses() || math.Abs(got.Rate-rate) > 1e-6 {
 			t.Fatalf("%s %v: %+v, want %+v", row.Region, w, got, want)
 		}
-		if w == LongestWindow && !reflect.DeepEqual(row.Causes, missesOf(want)) {
+		if w == LongestWindow && !reflect.DeepEqual(row.Causes, missesByCause(want)) {
 			t.Fatalf("causes %v, want %+v", row.Causes, want)
 		}
 	}
 }
 
-// Symptom: memory grows with the callers, or the workspace that burns is not
-// named. Events: 10,000 workspaces miss now and then, one misses a lot.
-// Cause: a history for each workspace, or a table that newcomers push it out of.
-func TestWorkspacesAreBoundedAndTheWorstIsNamed(t *testing.T) {
+// Guards against memory that grows with the number of workspaces, and against a report without
+// the workspace that burns: 10,000 workspaces have occasional misses and one has many. Each has
+// a history, or new ones push that one out of the table.
+func TestWorkspacesAreBoundedAndTheWorstIsListed(t *testing.T) {
 	h := NewHistory("i", "r", 1)
 	now := start
 	for i := range 30_000 {
@@ -191,8 +190,8 @@
 	return 0
 }
 
-// Symptom: a damaged file stands in reports, or a snapshot does not fit a
-// message. Cause: bytes taken unchecked, or sizes without a bound.
+// Guards against counts of a damaged file in reports, and against a snapshot that does not fit a
+// message: bytes are not checked, or sizes not bounded.
 func TestSnapshotsAreBoundedAndChecked(t *testing.T) {
 	h := fullHistory(start)
 	s := h.Snapshot(start)
@@ -218,13 +217,13 @@
 	if _, err := Decode(data); !errors.Is(err, ErrMalformed) {
 		t.Fatal("a part without a region: ", err)
 	}
-	for name, packed := range map[string][]byte{"unknown cause": {2, 1, 1 << misses}, "cut short": {2, 1}, "no number": {0x80}} {
+	for name, packed := range map[string][]byte{"unknown cause": {2, 1, 1 << causeCount}, "cut short": {2, 1}, "no number": {0x80}} {
 		if err := new(Slots).UnmarshalBinary(packed); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	long := Slots{}
-	for i := range fineSlots + 1 {
+	for i := range fineSlotCount + 1 {
 		long = append(long, Slot{Number: int64(i)})
 	}
 	if data, err = (Snapshot{Parts: []Part{{Instance: "i", Region: "r", Services: []ServicePart{{Fine: long}}}}}).Encode(1 << 20); err != nil {
@@ -242,10 +241,11 @@
 	}
 }
 
-// fullHistory has 36 services with 16 workspaces each, busy for six hours.
+// fullHistory returns a history of 36 services with 16 workspaces each, with requests in all
+// slots of six hours.
 func fullHistory(now time.Time) *History {
 	h := NewHistory("instance-1", "region-1", 1)
-	for ago := LongestWindow; ago >= 0; ago -= fineSlot {
+	for ago := LongestWindow; ago >= 0; ago -= fineSlotDuration {
 		for s := range 36 {
 			for i := range 2 * MaxWorkspaces {
 				h.Observe(now.Add(-ago), Event{fmt.Sprintf("service-%02d", s), fmt.Sprintf("workspace-%02d", i/2), Cause(i % 2)})
@@ -255,7 +255,7 @@
 	return h
 }
 
-// BenchmarkObserve is the cost of one request in the history.
+// BenchmarkObserve measures the cost of one request in the history.
 func BenchmarkObserve(b *testing.B) {
 	h := NewHistory("i", "r", 1)
 	for i := 0; b.Loop(); i++ {
@@ -263,33 +263,33 @@
 	}
 }
 
-// Symptom: burn begins at zero after an instance without a disk restarted, or a
-// neighbour's memory grows with the restarts of others. Events: an instance hands
-// over, restarts, takes back; others restart all the time.
-// Cause: parts kept for the wrong instance, or without a bound.
-func TestANeighbourGivesBackWhatWasHandedOver(t *testing.T) {
-	var shelf PeerParts
+// Guards against a burn that starts at zero after the restart of an instance without a disk, and
+// against memory of a peer that grows with the restarts of others: parts are kept for the wrong
+// instance or without a bound. An instance hands over, restarts and restores; others restart all
+// the time.
+func TestPeerPartsRestoreARestartedInstance(t *testing.T) {
+	var peers PeerParts
 	first := NewHistory("i", "r", 1)
 	first.Observe(start, Event{"s", "w", Late})
-	shelf.Add(start, first.Snapshot(start))
-	for n := range uint64(3 * maxShelf) {
+	peers.Add(start, first.Snapshot(start))
+	for n := range uint64(3 * maxPeerParts) {
 		other := NewHistory(fmt.Sprint("other-", n%40), "r", n+1)
 		other.Observe(start, Event{"s", "w", Met})
-		shelf.Add(start, other.Snapshot(start.Add(-time.Second)))
+		peers.Add(start, other.Snapshot(start.Add(-time.Second)))
 	}
-	if n := len(shelf.All().Parts); n != maxShelf {
+	if n := len(peers.All().Parts); n != maxPeerParts {
 		t.Fatalf("%d parts", n)
 	}
 	again := NewHistory("i", "r", 2)
-	again.Restore(shelf.ForInstance("i"))
-	again.Restore(shelf.All())
+	again.Restore(peers.ForInstance("i"))
+	again.Restore(peers.All())
 	now := start.Add(time.Minute)
 	again.Observe(now, Event{"s", "w", Met})
 	row := NewReport(again.Snapshot(now), []Objective{{Service: "s", Share: 0.9}}, now).Rows[0]
 	if w := row.Windows[fiveMinutes]; w.Requests != 2 || w.Missed != 1 {
 		t.Fatalf("%+v", w)
 	}
-	if shelf.Add(start.Add(LongestWindow+time.Minute), Snapshot{}); len(shelf.All().Parts) > 0 {
+	if peers.Add(start.Add(LongestWindow+time.Minute), Snapshot{}); len(peers.All().Parts) > 0 {
 		t.Fatal("parts are kept beyond the longest window")
 	}
 }
--- a/metrics/burn/history.go
+++ b/metrics/burn/history.go
@@ -10,17 +10,17 @@
 const (
 	// maxServices bounds the services of a History; a bundle has some 36.
 	maxServices = 128
-	// MaxWorkspaces is how many workspaces of each service have a history of
-	// their own: those with the most missed requests.
+	// MaxWorkspaces is the number of workspaces of each service with a history of their own:
+	// those with the most missed requests.
 	MaxWorkspaces = 16
-	// rankHalfLife makes the workspaces that miss now outrank those of before.
+	// rankHalfLife makes workspaces with recent misses outrank those with earlier ones.
 	rankHalfLife = time.Hour
-	// maxLives is how many earlier lives of an instance are kept. An instance
-	// that restarts more often in six hours loses the oldest ones' counts.
-	maxLives = 8
+	// maxEarlierIncarnations bounds the earlier incarnations of an instance in a snapshot. An
+	// instance that restarts more often in six hours loses the oldest ones' counts.
+	maxEarlierIncarnations = 8
 )
 
-// Other stands for the services beyond the bound.
+// Other is the id under which services beyond the bound are counted.
 const Other = "(other)"
 
 // Event is the end of one request.
@@ -29,41 +29,40 @@
 	Cause              Cause
 }
 
-// History is what one instance has seen: about 12 KB for each service and 3 KB
-// for each of its workspaces in the table. It is safe for several goroutines.
+// History holds what one instance has observed, in about 12 KB for each service and 3 KB for
+// each workspace in the table. It is safe for concurrent use.
 type History struct {
 	instance, region string
-	life             uint64
+	incarnation      uint64
 
 	mu       sync.Mutex
 	services map[string]*service
 	earlier  []Part
-	taken    uint64
+	sequence uint64
 }
 
 // service is the history of one service.
 type service struct {
 	fine, coarse *slots
 	workspaces   map[string]*workspace
-	aged         time.Time
+	decayedAt    time.Time
 }
 
-// workspace is the history of one workspace. rank estimates its misses.
+// workspace is the history of one workspace. rank estimates its recent misses.
 type workspace struct {
 	coarse *slots
 	rank   float64
 }
 
-// NewHistory makes an empty History of an instance. life numbers the starts of
-// the instance; it rises with each.
-func NewHistory(instance, region string, life uint64) *History {
-	return &History{instance: instance, region: region, life: life, services: map[string]*service{}}
+// NewHistory returns an empty History of an instance. incarnation must increase with each start
+// of the instance.
+func NewHistory(instance, region string, incarnation uint64) *History {
+	return &History{instance: instance, region: region, incarnation: incarnation, services: map[string]*service{}}
 }
 
-// Observe takes the end of one request. A request whose service is not known
-// says nothing of a service.
+// Observe records the end of one request. A request with an unknown service is not counted.
 func (h *History) Observe(now time.Time, e Event) {
-	if e.Service == "" || int(e.Cause) > misses {
+	if e.Service == "" || int(e.Cause) > causeCount {
 		return
 	}
 	c := Count{Requests: 1}
@@ -91,22 +90,22 @@
 		}
 	}
 	s = &service{
-		fine:       newSlots(fineSlot, fineSlots),
-		coarse:     newSlots(coarseSlot, coarseSlots),
+		fine:       newSlots(fineSlotDuration, fineSlotCount),
+		coarse:     newSlots(coarseSlotDuration, coarseSlotCount),
 		workspaces: map[string]*workspace{},
-		aged:       now,
+		decayedAt:  now,
 	}
 	h.services[id] = s
 	return s
 }
 
-// workspace finds the history of a workspace, or nil if it has none.
+// workspace returns the history of a workspace, or nil if it has none.
 //
-// With 10,000 workspaces a history for each would take hundreds of megabytes.
-// The table holds those that miss most, by the space-saving algorithm: a
-// newcomer takes the place and the rank of the least. So a workspace with more
-// than one in MaxWorkspaces of the misses is in the table, however many others
-// miss now and then. What leaves the table stays in the service's counts.
+// With 10,000 workspaces a history for each would take hundreds of megabytes. The table holds
+// those with the most misses, by the space-saving algorithm: a new one replaces the one with the
+// lowest rank and takes over its rank. A workspace with more than one in MaxWorkspaces of the
+// misses is therefore in the table, whatever the number of others with occasional misses. An
+// evicted workspace still counts in the service.
 func (s *service) workspace(now time.Time, e Event) *workspace {
 	if e.Workspace == "" {
 		return nil
@@ -115,52 +114,52 @@
 	if e.Cause == Met {
 		return w
 	}
-	s.age(now)
+	s.decayRanks(now)
 	if w == nil {
-		w = &workspace{coarse: newSlots(coarseSlot, coarseSlots), rank: s.makeRoom()}
+		w = &workspace{coarse: newSlots(coarseSlotDuration, coarseSlotCount), rank: s.evictLowest()}
 		s.workspaces[e.Workspace] = w
 	}
 	w.rank++
 	return w
 }
 
-// makeRoom removes the workspace of the least rank from a full table; of equal
-// ones that with the smallest id. It returns that rank.
-func (s *service) makeRoom() float64 {
+// evictLowest removes the workspace with the lowest rank from a full table, of equal ones that
+// with the smallest id. It returns that rank, or 0 if the table is not full.
+func (s *service) evictLowest() float64 {
 	if len(s.workspaces) < MaxWorkspaces {
 		return 0
 	}
-	least := ""
+	lowest := ""
 	for id, w := range s.workspaces {
-		l := s.workspaces[least]
-		if l == nil || w.rank < l.rank || w.rank == l.rank && id < least {
-			least = id
+		l := s.workspaces[lowest]
+		if l == nil || w.rank < l.rank || w.rank == l.rank && id < lowest {
+			lowest = id
 		}
 	}
-	rank := s.workspaces[least].rank
-	delete(s.workspaces, least)
+	rank := s.workspaces[lowest].rank
+	delete(s.workspaces, lowest)
 	return rank
 }
 
-// age halves all ranks for each half-life that passed.
-func (s *service) age(now time.Time) {
-	for now.Sub(s.aged) >= rankHalfLife {
-		s.aged = s.aged.Add(rankHalfLife)
+// decayRanks halves all ranks for each half-life that has passed.
+func (s *service) decayRanks(now time.Time) {
+	for now.Sub(s.decayedAt) >= rankHalfLife {
+		s.decayedAt = s.decayedAt.Add(rankHalfLife)
 		for _, w := range s.workspaces {
 			w.rank /= 2
 		}
-		if now.Sub(s.aged) > LongestWindow {
-			s.aged = now
+		if now.Sub(s.decayedAt) > LongestWindow {
+			s.decayedAt = now
 		}
 	}
 }
 
-// Snapshot is the history now, with that of earlier lives.
+// Snapshot returns the history up to now, with that of earlier incarnations.
 func (h *History) Snapshot(now time.Time) Snapshot {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.taken++
-	own := Part{Instance: h.instance, Region: h.region, Incarnation: h.life, Sequence: h.taken, TakenMillis: now.UnixMilli()}
+	h.sequence++
+	own := Part{Instance: h.instance, Region: h.region, Incarnation: h.incarnation, Sequence: h.sequence, TakenMillis: now.UnixMilli()}
 	for id, s := range h.services {
 		own.Services = append(own.Services, s.part(id, now))
 	}
@@ -169,9 +168,9 @@
 }
 
 func (s *service) part(id string, now time.Time) ServicePart {
-	p := ServicePart{Service: id, Fine: s.fine.held(now), Coarse: s.coarse.held(now)}
+	p := ServicePart{Service: id, Fine: s.fine.recent(now), Coarse: s.coarse.recent(now)}
 	for name, w := range s.workspaces {
-		if held := w.coarse.held(now); len(held) > 0 {
+		if held := w.coarse.recent(now); len(held) > 0 {
 			p.Workspaces = append(p.Workspaces, WorkspacePart{Workspace: name, Slots: held})
 		}
 	}
@@ -179,17 +178,17 @@
 	return p
 }
 
-// Restore takes back what earlier lives of this instance have seen, from a disk
-// or from others that were handed it. Parts of other instances and of this life
-// are left out, so that what comes back twice, or late, counts once.
+// Restore loads the history of earlier incarnations of this instance, from its disk or from
+// other instances. Parts of other instances and of this incarnation are ignored, so that parts
+// that come twice or late count once.
 func (h *History) Restore(s Snapshot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	mine := Snapshot{Parts: h.earlier}
+	own := Snapshot{Parts: h.earlier}
 	for _, p := range s.Parts {
-		if p.Instance == h.instance && p.Incarnation < h.life {
-			mine = Merge(mine, Snapshot{Parts: []Part{p}})
+		if p.Instance == h.instance && p.Incarnation < h.incarnation {
+			own = Merge(own, Snapshot{Parts: []Part{p}})
 		}
 	}
-	h.earlier = mine.Parts
+	h.earlier = own.Parts
 }
--- a/metrics/burn/pack.go
+++ b/metrics/burn/pack.go
@@ -7,13 +7,13 @@
 	"github.com/juju/errors"
 )
 
-// Slots are slots of one length. They travel as a byte string of variable
-// integers: for each slot the step of its number, its requests, a mask of the
-// causes that have counts, and those counts; some five bytes in place of
-// sixteen, since what neighbours are handed counts against their link budget.
+// Slots has slots of one duration. They are encoded as a byte string of variable-length
+// integers: for each slot the difference of its number to the one before, its requests, a mask
+// of the causes with counts, and those counts. This takes some five bytes instead of sixteen;
+// the size counts against the link budget of the instances that get the snapshot.
 type Slots []Slot
 
-// MarshalBinary packs slots in the order of their numbers.
+// MarshalBinary encodes the slots in the order of their numbers.
 func (s Slots) MarshalBinary() ([]byte, error) {
 	list := slices.SortedFunc(slices.Values(s), func(x, y Slot) int { return int(x.Number - y.Number) })
 	var data []byte
@@ -27,7 +27,7 @@
 	return data, nil
 }
 
-func appendMissed(data []byte, missed [misses]uint32) []byte {
+func appendMissed(data []byte, missed [causeCount]uint32) []byte {
 	mask := byte(0)
 	for i, m := range missed {
 		if m > 0 {
@@ -43,10 +43,10 @@
 	return data
 }
 
-// UnmarshalBinary is the reverse of MarshalBinary. The error is ErrMalformed.
+// UnmarshalBinary decodes the result of MarshalBinary. The error is ErrMalformed.
 func (s *Slots) UnmarshalBinary(data []byte) error {
 	*s = nil
-	r := unpacker{data: data}
+	r := slotReader{data: data}
 	number := int64(0)
 	for len(r.data) > 0 && !r.bad {
 		number += r.step()
@@ -65,38 +65,38 @@
 	return nil
 }
 
-// unpacker reads from data until something is wrong.
-type unpacker struct {
+// slotReader decodes data up to the first error, which sets bad.
+type slotReader struct {
 	data []byte
 	bad  bool
 }
 
-func (r *unpacker) step() int64 {
+func (r *slotReader) step() int64 {
 	v, n := binary.Varint(r.data)
 	r.skip(n)
 	return v
 }
 
-func (r *unpacker) count() uint32 {
+func (r *slotReader) count() uint32 {
 	v, n := binary.Uvarint(r.data)
 	r.skip(n)
 	r.bad = r.bad || v > 1<<32-1
 	return uint32(v)
 }
 
-func (r *unpacker) mask() byte {
+func (r *slotReader) mask() byte {
 	if len(r.data) == 0 {
 		r.bad = true
 		return 0
 	}
 	m := r.data[0]
 	r.data = r.data[1:]
-	r.bad = r.bad || m >= 1<<misses
+	r.bad = r.bad || m >= 1<<causeCount
 	return m
 }
 
-// skip takes n bytes; a number that ended early or is too long has n <= 0.
-func (r *unpacker) skip(n int) {
+// skip removes n bytes. n <= 0 means a number that is truncated or too long.
+func (r *slotReader) skip(n int) {
 	if n <= 0 {
 		r.bad, r.data = true, nil
 		return
--- a/metrics/burn/report.go
+++ b/metrics/burn/report.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Windows that burn is reported over: two short ones that show an outage at
-// once and see its end, and two long ones that show whether it matters.
+// Windows that burn is reported over: two short ones that detect an outage and its end fast, and
+// two long ones that show whether it is significant.
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, LongestWindow}
 
-// Places in Windows.
+// Indexes in Windows.
 const (
 	fiveMinutes = iota
 	halfHour
@@ -23,66 +23,64 @@
 	FastRate = 14.4
 	// SlowRate over six hours uses up 5% of a month's budget.
 	SlowRate = 6
-	// minMisses keeps a single missed request of a quiet service from an alarm.
+	// minMisses prevents an alarm for a single missed request of a service with little load.
 	minMisses = 2
-	// minBudget stands for the budget of an objective that allows no miss.
+	// minBudget is the budget of an objective that allows no miss.
 	minBudget = 1e-6
 )
 
-// Verdict is what the windows together say.
+// Verdict is the rating of the burn over all windows.
 type Verdict string
 
-// Verdicts. A verdict needs a long window, which says that it matters, and a
-// short one, which says that it still goes on.
+// Verdicts. Slow and Fast need a long window, which shows that the burn is significant, and a
+// short one, which shows that it continues.
 const (
 	// Idle services had no requests in the longest window.
 	Idle Verdict = "idle"
-	// Fine services burn less than both bounds.
+	// Fine services burn at less than both rates.
 	Fine Verdict = "ok"
-	// Slow burn: SlowRate over six hours and half an hour. Look into it today.
+	// Slow burn: SlowRate over six hours and half an hour. Needs attention within the day.
 	Slow Verdict = "slow"
-	// Fast burn: FastRate over an hour and five minutes. Act now.
+	// Fast burn: FastRate over an hour and five minutes. Needs immediate action.
 	Fast Verdict = "fast"
 )
 
-// Objective is that of a service in the bundle.
+// Objective is the objective of a service in the bundle.
 type Objective struct {
 	Service          string  `json:"service"`
 	Share            float64 `json:"share"`
 	FirstTokenMillis float64 `json:"first_token_ms"`
 }
 
-// Window is what one window shows.
+// Window is the burn in one window.
 type Window struct {
 	Seconds  float64 `json:"window_s"`
 	Requests int64   `json:"requests"`
 	Missed   int64   `json:"missed"`
-	// Rate is the share missed by the share that the objective allows to be
-	// missed; at 1 the budget is used up exactly. It is 0 without requests.
+	// Rate is the share missed divided by the share that the objective allows to be missed; at
+	// 1 exactly the budget is used up. It is 0 without requests.
 	Rate float64 `json:"rate"`
 }
 
-// Miss is the number of requests missed by one cause.
+// Miss is the number of requests missed through one cause.
 type Miss struct {
 	Cause    string `json:"cause"`
 	Requests int64  `json:"requests"`
 }
 
-// Point is a slot of five minutes for a plot.
+// Point is a slot of five minutes in a plot.
 type Point struct {
 	At       time.Time `json:"at"`
 	Requests int64     `json:"requests"`
 	Rate     float64   `json:"rate"`
-	// Missed are in the order of Causes.
-	Missed [misses]int64 `json:"missed"`
+	// Missed is in the order of Causes.
+	Missed [causeCount]int64 `json:"missed"`
 }
 
-// Row is the burn of a service: of all regions, of one, or of one workspace
-// there.
+// Row is the burn of a service in all regions, in one region, or of one workspace in a region.
 type Row struct {
 	Service string `json:"service"`
-	// Region is empty for all; it is the region of the instances that saw the
-	// requests.
+	// Region is empty for all; it is the region of the instances that served the requests.
 	Region string `json:"region,omitempty"`
 	// Workspace is empty for all, and Rest for those without a history.
 	Workspace string   `json:"workspace,omitempty"`
@@ -90,14 +88,14 @@
 	Windows   []Window `json:"windows"`
 	// Causes of the misses in the longest window, the most frequent first.
 	Causes []Miss `json:"causes,omitempty"`
-	// Points are given for whole regions and services.
+	// Points are set in rows of whole regions and services.
 	Points []Point `json:"points,omitempty"`
 }
 
-// Rest stands for all workspaces that have no history of their own.
+// Rest is the id of all workspaces without a history of their own.
 const Rest = "(rest)"
 
-// Report is the burn of all services that have an objective.
+// Report is the burn of all services with an objective.
 type Report struct {
 	At         time.Time   `json:"at"`
 	Instances  []string    `json:"instances"`
@@ -105,8 +103,8 @@
 	Rows       []Row       `json:"rows"`
 }
 
-// NewReport reads the burn from a joined snapshot. A service without an
-// objective is left out.
+// NewReport computes the burn from a joined snapshot. Services without an objective are not in
+// the report.
 func NewReport(s Snapshot, objectives []Objective, now time.Time) Report {
 	r := Report{At: now, Objectives: objectives, Instances: []string{}, Rows: []Row{}}
 	for _, p := range s.Parts {
@@ -122,8 +120,8 @@
 	return r
 }
 
-// serviceRows are the rows of one service: its whole, then each region followed
-// by its workspaces.
+// serviceRows returns the rows of one service: all regions, then each region followed by its
+// workspaces.
 func serviceRows(s Snapshot, o Objective, now time.Time) []Row {
 	whole := newTally(o, now)
 	regions := map[string]*tally{}
@@ -135,12 +133,12 @@
 			if regions[p.Region] == nil {
 				regions[p.Region] = newTally(o, now)
 			}
-			whole.take(sp)
-			regions[p.Region].take(sp)
+			whole.add(sp)
+			regions[p.Region].add(sp)
 		}
 	}
 	rows := []Row{whole.row()}
-	for _, name := range sorted(regions) {
+	for _, name := range sortedKeys(regions) {
 		row := regions[name].row()
 		row.Region = name
 		rows = append(rows, row)
@@ -149,7 +147,7 @@
 	return rows
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for n := range m {
 		names = append(names, n)
@@ -158,7 +156,7 @@
 	return names
 }
 
-// tally gathers the slots of several parts.
+// tally collects the slots of several parts.
 type tally struct {
 	objective    Objective
 	now          time.Time
@@ -170,7 +168,7 @@
 	return &tally{objective: o, now: now, workspaces: map[string][]Slot{}}
 }
 
-func (t *tally) take(p ServicePart) {
+func (t *tally) add(p ServicePart) {
 	t.fine = append(t.fine, p.Fine...)
 	t.coarse = append(t.coarse, p.Coarse...)
 	for _, w := range p.Workspaces {
@@ -178,21 +176,21 @@
 	}
 }
 
-// count is the sum over a window; all but the longest are in the fine slots.
+// count returns the sum over a window; all but the longest are covered by the fine slots.
 func (t *tally) count(window time.Duration) Count {
-	if window > time.Duration(fineSlots)*fineSlot {
-		return sum(t.coarse, coarseSlot, window, t.now)
+	if window > time.Duration(fineSlotCount)*fineSlotDuration {
+		return sum(t.coarse, coarseSlotDuration, window, t.now)
 	}
-	return sum(t.fine, fineSlot, window, t.now)
+	return sum(t.fine, fineSlotDuration, window, t.now)
 }
 
-// coarseCount is the sum over a window where only coarse slots are known. It
-// covers up to five minutes more.
+// coarseCount returns the sum over a window from coarse slots only. It covers up to five minutes
+// more.
 func (t *tally) coarseCount(list []Slot, window time.Duration) Count {
 	if window < LongestWindow {
-		window += coarseSlot
+		window += coarseSlotDuration
 	}
-	return sum(list, coarseSlot, window, t.now)
+	return sum(list, coarseSlotDuration, window, t.now)
 }
 
 func (t *tally) row() Row {
@@ -200,20 +198,20 @@
 	for i, w := range Windows {
 		counts[i] = t.count(w)
 	}
-	row := t.rowOf(counts)
+	row := t.rowFromCounts(counts)
 	row.Points = t.points()
 	return row
 }
 
-// rowOf makes a row from the counts of each window.
-func (t *tally) rowOf(counts []Count) Row {
-	row := Row{Service: t.objective.Service, Causes: missesOf(counts[sixHours])}
+// rowFromCounts returns a row with the counts of each window.
+func (t *tally) rowFromCounts(counts []Count) Row {
+	row := Row{Service: t.objective.Service, Causes: missesByCause(counts[sixHours])}
 	for i, c := range counts {
 		row.Windows = append(row.Windows, Window{
 			Seconds: Windows[i].Seconds(), Requests: int64(c.Requests), Missed: c.Misses(), Rate: t.rate(c),
 		})
 	}
-	row.Verdict = verdictOf(row.Windows)
+	row.Verdict = verdictFor(row.Windows)
 	return row
 }
 
@@ -224,24 +222,24 @@
 	return float64(c.Misses()) / float64(c.Requests) / max(1-t.objective.Share, minBudget)
 }
 
-// verdictOf compares the windows with the bounds.
-func verdictOf(w []Window) Verdict {
-	burns := func(long, short int, bound float64) bool {
+// verdictFor rates the windows.
+func verdictFor(w []Window) Verdict {
+	exceeds := func(long, short int, bound float64) bool {
 		return w[long].Rate >= bound && w[short].Rate >= bound && w[long].Missed >= minMisses
 	}
 	switch {
 	case w[sixHours].Requests == 0:
 		return Idle
-	case burns(oneHour, fiveMinutes, FastRate):
+	case exceeds(oneHour, fiveMinutes, FastRate):
 		return Fast
-	case burns(sixHours, halfHour, SlowRate):
+	case exceeds(sixHours, halfHour, SlowRate):
 		return Slow
 	default:
 		return Fine
 	}
 }
 
-func missesOf(c Count) []Miss {
+func missesByCause(c Count) []Miss {
 	var list []Miss
 	for _, cause := range Causes {
 		if n := c.ByCause(cause); n > 0 {
@@ -252,13 +250,13 @@
 	return list
 }
 
-// points are the five-minute slots of the longest window.
+// points returns the five-minute slots of the longest window.
 func (t *tally) points() []Point {
-	last := t.now.UnixNano() / int64(coarseSlot)
+	last := t.now.UnixNano() / int64(coarseSlotDuration)
 	var list []Point
-	for number := last - int64(coarseSlots) + 1; number <= last; number++ {
-		at := time.Unix(0, number*int64(coarseSlot)).UTC()
-		c := sum(t.coarse, coarseSlot, coarseSlot, at)
+	for number := last - int64(coarseSlotCount) + 1; number <= last; number++ {
+		at := time.Unix(0, number*int64(coarseSlotDuration)).UTC()
+		c := sum(t.coarse, coarseSlotDuration, coarseSlotDuration, at)
 		p := Point{At: at, Requests: int64(c.Requests), Rate: t.rate(c)}
 		for i, m := range c.Missed {
 			p.Missed[i] = int64(m)
@@ -268,22 +266,22 @@
 	return list
 }
 
-// workspaceRows are those of the workspaces with the most misses, and the rest.
-// A workspace that is in the table of one instance only is missing from the
-// counts of the others, so its row is a lower bound.
+// workspaceRows returns the rows of the workspaces with the most misses, and of the rest. A
+// workspace may be in the table of some instances only; the counts of the others lack it, so its
+// row is a lower bound.
 func (t *tally) workspaceRows(region string) []Row {
 	var rows []Row
 	rest := make([]Count, len(Windows))
 	for i, w := range Windows {
 		rest[i] = t.coarseCount(t.coarse, w)
 	}
-	for _, name := range sorted(t.workspaces) {
+	for _, name := range sortedKeys(t.workspaces) {
 		counts := make([]Count, len(Windows))
 		for i, w := range Windows {
 			counts[i] = t.coarseCount(t.workspaces[name], w)
 			rest[i] = rest[i].minus(counts[i])
 		}
-		row := t.rowOf(counts)
+		row := t.rowFromCounts(counts)
 		row.Region, row.Workspace = region, name
 		rows = append(rows, row)
 	}
@@ -297,7 +295,7 @@
 		}
 		rows = rows[:MaxWorkspaces]
 	}
-	last := t.rowOf(rest)
+	last := t.rowFromCounts(rest)
 	last.Region, last.Workspace = region, Rest
 	return append(rows, last)
 }
--- a/metrics/burn/slots.go
+++ b/metrics/burn/slots.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// fineSlot and fineSlots cover the windows up to an hour.
-	fineSlot  = 30 * time.Second
-	fineSlots = int(time.Hour / fineSlot)
-	// coarseSlot and coarseSlots cover the longest window.
-	coarseSlot  = 5 * time.Minute
-	coarseSlots = int(LongestWindow / coarseSlot)
-	// Longest is how far a History goes back.
+	// fineSlotDuration and fineSlotCount cover the windows up to an hour.
+	fineSlotDuration = 30 * time.Second
+	fineSlotCount    = int(time.Hour / fineSlotDuration)
+	// coarseSlotDuration and coarseSlotCount cover the longest window.
+	coarseSlotDuration = 5 * time.Minute
+	coarseSlotCount    = int(LongestWindow / coarseSlotDuration)
+	// LongestWindow is how far a History goes back.
 	LongestWindow = 6 * time.Hour
 )
 
-// Count counts requests; Missed is by cause, in the order of Causes.
+// Count counts requests. Missed is by cause, in the order of Causes.
 type Count struct {
 	Requests uint32
-	Missed   [misses]uint32
+	Missed   [causeCount]uint32
 }
 
-// Misses are the missed requests of all causes.
+// Misses returns the number of missed requests of all causes.
 func (c Count) Misses() int64 {
 	var n int64
 	for _, m := range c.Missed {
@@ -28,7 +28,7 @@
 	return n
 }
 
-// By is the number missed by a cause.
+// ByCause returns the number of requests missed through a cause; for Met, the number not missed.
 func (c Count) ByCause(cause Cause) int64 {
 	if cause == Met {
 		return int64(c.Requests) - c.Misses()
@@ -36,7 +36,7 @@
 	return int64(c.Missed[cause-1])
 }
 
-// plus is the sum.
+// plus returns the sum.
 func (c Count) plus(o Count) Count {
 	c.Requests += o.Requests
 	for i := range c.Missed {
@@ -45,7 +45,7 @@
 	return c
 }
 
-// minus is the difference; what would fall below zero stays zero.
+// minus returns the difference, with 0 instead of negative counts.
 func (c Count) minus(o Count) Count {
 	c.Requests -= min(c.Requests, o.Requests)
 	for i := range c.Missed {
@@ -54,26 +54,26 @@
 	return c
 }
 
-// Slot is the count of a short time; Number counts such times since 1970.
+// Slot is the count in a short span of time. Number is the number of such spans since 1970.
 type Slot struct {
 	Number int64
 	Count  Count
 }
 
-// slots is a ring; a slot belongs to the time whose number it carries.
+// slots is a ring of slots, each of the time given by its number.
 type slots struct {
-	length time.Duration
-	ring   []Slot
+	duration time.Duration
+	ring     []Slot
 }
 
 func newSlots(length time.Duration, n int) *slots {
-	return &slots{length: length, ring: make([]Slot, n)}
+	return &slots{duration: length, ring: make([]Slot, n)}
 }
 
-func (s *slots) number(t time.Time) int64 { return t.UnixNano() / int64(s.length) }
+func (s *slots) number(t time.Time) int64 { return t.UnixNano() / int64(s.duration) }
 
-// add counts into the slot of a number. If the clock was set back, the place
-// holds a later time, and what is added is left out.
+// add adds to the slot of a number. If the clock was set back, the ring may hold a later slot at
+// its position; the count is dropped then.
 func (s *slots) add(number int64, c Count) {
 	slot := &s.ring[number%int64(len(s.ring))]
 	if slot.Number > number {
@@ -85,8 +85,8 @@
 	slot.Count = slot.Count.plus(c)
 }
 
-// held are the slots that have counts and are not older than the ring.
-func (s *slots) held(now time.Time) Slots {
+// recent returns the slots that have counts and are not older than the ring.
+func (s *slots) recent(now time.Time) Slots {
 	oldest := s.number(now) - int64(len(s.ring))
 	var list Slots
 	for _, slot := range s.ring {
@@ -97,8 +97,8 @@
 	return list
 }
 
-// sum counts the slots that overlap the window before now. Slots of the
-// future, by a clock that runs ahead, are left out.
+// sum adds up the slots that overlap the window before now. Slots of the future, from a clock
+// that is ahead, are ignored.
 func sum(list []Slot, length, window time.Duration, now time.Time) Count {
 	last := now.UnixNano() / int64(length)
 	oldest := last - int64((window+length-1)/length)
--- a/metrics/burn/snapshot.go
+++ b/metrics/burn/snapshot.go
@@ -11,27 +11,27 @@
 
 // Errors of encoded snapshots.
 const (
-	// ErrMalformed marks bytes that are no snapshot.
+	// ErrMalformed marks bytes that are not a valid snapshot.
 	ErrMalformed = errors.ConstError("malformed burn snapshot")
-	// ErrTooLarge marks a snapshot that does not fit its bound even without the
-	// workspaces. Send its parts one by one then.
+	// ErrTooLarge marks a snapshot above its size limit even without workspaces. Its parts
+	// should be sent one by one then.
 	ErrTooLarge = errors.ConstError("burn snapshot too large")
 )
 
 // maxParts bounds the parts of a decoded snapshot.
 const maxParts = 8192
 
-// Snapshot is what several lives of several instances have seen, a Part each,
-// in the order of instances and lives.
+// Snapshot has the observations of several incarnations of several instances, a Part each,
+// ordered by instance and incarnation.
 type Snapshot struct {
 	_     struct{} `cbor:",toarray"`
 	Parts []Part
 }
 
-// Part is what one life of an instance has seen. Of two parts of one life the
-// one with the higher Sequence holds all that the other one does, but for what
-// fell out of the windows. A time could not order them: clocks are set back,
-// and two parts can be taken within a millisecond.
+// Part has the observations of one incarnation of an instance. Of two parts of one incarnation
+// the one with the higher Sequence includes the other, except for what is older than the
+// windows. A time could not order them: clocks are set back, and two parts can be taken within a
+// millisecond.
 type Part struct {
 	Instance    string        `cbor:"1,keyasint"`
 	Region      string        `cbor:"2,keyasint"`
@@ -41,8 +41,8 @@
 	Sequence    uint64        `cbor:"6,keyasint"`
 }
 
-// ServicePart is what concerns one service, in slots of half a minute over an
-// hour and of five minutes over six hours.
+// ServicePart has the counts of one service, in slots of half a minute over an hour and of five
+// minutes over six hours.
 type ServicePart struct {
 	Service    string          `cbor:"1,keyasint"`
 	Fine       Slots           `cbor:"2,keyasint,omitempty"`
@@ -50,16 +50,15 @@
 	Workspaces []WorkspacePart `cbor:"4,keyasint,omitempty"`
 }
 
-// WorkspacePart is what concerns one workspace of a service, in slots of five
-// minutes.
+// WorkspacePart has the counts of one workspace of a service, in slots of five minutes.
 type WorkspacePart struct {
 	Workspace string `cbor:"1,keyasint"`
 	Slots     Slots  `cbor:"2,keyasint"`
 }
 
-// Merge joins two snapshots: of each life of each instance the last part,
-// and of each instance the last lives. It is commutative, associative and
-// idempotent, so that snapshots may travel any way, late and twice.
+// Merge joins two snapshots: it keeps the newest part of each incarnation, and the newest
+// incarnations of each instance. It is commutative, associative and idempotent, so that
+// snapshots may come in any order, late and twice.
 func Merge(a, b Snapshot) Snapshot {
 	parts := slices.Concat(a.Parts, b.Parts)
 	slices.SortStableFunc(parts, func(x, y Part) int {
@@ -70,25 +69,25 @@
 		)
 	})
 	var kept []Part
-	lives := 0
+	incarnations := 0
 	for i, p := range parts {
 		switch {
 		case i == 0 || p.Instance != parts[i-1].Instance:
-			lives = 1
+			incarnations = 1
 		case p.Incarnation == parts[i-1].Incarnation:
 			continue
 		default:
-			lives++
+			incarnations++
 		}
-		if lives <= maxLives+1 {
+		if incarnations <= maxEarlierIncarnations+1 {
 			kept = append(kept, p)
 		}
 	}
 	return Snapshot{Parts: kept}
 }
 
-// Since leaves out parts that were taken before t less the longest window: they
-// have nothing to say any more.
+// Since returns the parts taken after t minus the longest window; the others have no counts in
+// it.
 func (s Snapshot) Since(t time.Time) Snapshot {
 	oldest := t.Add(-LongestWindow).UnixMilli()
 	fresh := func(p Part) bool { return p.TakenMillis >= oldest }
@@ -101,45 +100,44 @@
 	return kept
 }
 
-// Encode writes a snapshot as CBOR of at most maxBytes. Workspaces with the
-// fewest misses are left out until it fits; their requests still count in the
-// service. The error is ErrTooLarge.
+// Encode encodes a snapshot as CBOR of at most maxBytes. Workspaces with the fewest misses are
+// removed until it fits; their requests still count in the service. The error is ErrTooLarge.
 func (s Snapshot) Encode(maxBytes int) ([]byte, error) {
-	for most := MaxWorkspaces; ; most /= 2 {
-		data, err := cbor.Marshal(s.withWorkspaces(most))
+	for maxWorkspaces := MaxWorkspaces; ; maxWorkspaces /= 2 {
+		data, err := cbor.Marshal(s.withWorkspaces(maxWorkspaces))
 		if err != nil {
 			return nil, err
 		}
 		if len(data) <= maxBytes {
 			return data, nil
 		}
-		if most == 0 {
+		if maxWorkspaces == 0 {
 			return nil, errors.Annotatef(ErrTooLarge, "%d bytes, bound %d", len(data), maxBytes)
 		}
 	}
 }
 
-// withWorkspaces is a copy with at most so many workspaces of each service.
-func (s Snapshot) withWorkspaces(most int) Snapshot {
+// withWorkspaces returns a copy with at most maxCount workspaces of each service.
+func (s Snapshot) withWorkspaces(maxCount int) Snapshot {
 	out := Snapshot{Parts: slices.Clone(s.Parts)}
 	for i := range out.Parts {
 		services := slices.Clone(out.Parts[i].Services)
 		for j := range services {
-			services[j].Workspaces = worst(services[j].Workspaces, most)
+			services[j].Workspaces = mostMissed(services[j].Workspaces, maxCount)
 		}
 		out.Parts[i].Services = services
 	}
 	return out
 }
 
-// worst are the workspaces with the most misses.
-func worst(list []WorkspacePart, most int) []WorkspacePart {
-	if len(list) <= most {
+// mostMissed returns the workspaces with the most misses.
+func mostMissed(list []WorkspacePart, maxCount int) []WorkspacePart {
+	if len(list) <= maxCount {
 		return list
 	}
 	list = slices.Clone(list)
 	slices.SortStableFunc(list, func(x, y WorkspacePart) int { return cmp.Compare(y.missed(), x.missed()) })
-	return list[:most]
+	return list[:maxCount]
 }
 
 func (w WorkspacePart) missed() int64 {
@@ -150,7 +148,7 @@
 	return n
 }
 
-// decoder bounds what a peer or a damaged file can make this instance hold.
+// decoder bounds the memory that data of a peer or a damaged file can take.
 var decoder = mustDecoder()
 
 func mustDecoder() cbor.DecMode {
@@ -161,7 +159,7 @@
 	return mode
 }
 
-// Decode reads what Encode wrote. The error is ErrMalformed.
+// Decode decodes the result of Encode. The error is ErrMalformed.
 func Decode(data []byte) (Snapshot, error) {
 	var s Snapshot
 	if err := decoder.Unmarshal(data, &s); err != nil {
@@ -175,28 +173,28 @@
 	return s, nil
 }
 
-// check refuses parts that no History makes: counts from a damaged file would
-// else stand in reports for six hours.
+// check rejects parts that no History makes: counts from a damaged file would otherwise be in
+// reports for six hours.
 func (p Part) check() error {
-	// A region without a name would stand in reports as all regions.
+	// A region without a name would be reported as all regions.
 	if p.Instance == "" || p.Region == "" || len(p.Services) > maxServices+1 {
 		return errors.Annotatef(ErrMalformed, "part of %q with %d services", p.Instance, len(p.Services))
 	}
 	for _, s := range p.Services {
-		ok := len(s.Fine) <= fineSlots && len(s.Coarse) <= coarseSlots && len(s.Workspaces) <= MaxWorkspaces
+		ok := len(s.Fine) <= fineSlotCount && len(s.Coarse) <= coarseSlotCount && len(s.Workspaces) <= MaxWorkspaces
 		lists := []Slots{s.Fine, s.Coarse}
 		for _, w := range s.Workspaces {
-			ok = ok && len(w.Slots) <= coarseSlots
+			ok = ok && len(w.Slots) <= coarseSlotCount
 			lists = append(lists, w.Slots)
 		}
-		if !ok || slices.ContainsFunc(lists, impossible) {
+		if !ok || slices.ContainsFunc(lists, hasInvalidSlot) {
 			return errors.Annotatef(ErrMalformed, "service %q of %q", s.Service, p.Instance)
 		}
 	}
 	return nil
 }
 
-func impossible(list Slots) bool {
+func hasInvalidSlot(list Slots) bool {
 	return slices.ContainsFunc(list, func(s Slot) bool {
 		return s.Number < 0 || s.Count.Misses() > int64(s.Count.Requests)
 	})
--- a/metrics/burn/windows_test.go
+++ b/metrics/burn/windows_test.go
@@ -10,7 +10,7 @@
 	_ "github.com/gullhaven/gullhaven/coord/fixedseed"
 )
 
-// Burn against a plain list of all requests.
+// Compares the burn with a plain list of all requests.
 func TestBurnCountsEachWindow(t *testing.T) {
 	type request struct {
 		at   time.Time
--- a/metrics/control.go
+++ b/metrics/control.go
@@ -1,7 +1,7 @@
 package metrics
 
-// Control is what the host reads of the control plane, all since the start of
-// the instance where it counts.
+// Control has the values of the control plane's metrics; counters are since the
+// start of the instance.
 type Control struct {
 	LinkConnections      int64
 	LinkMessagesSent     int64
@@ -50,10 +50,10 @@
 	OrdersFailed         int64
 }
 
-// controlMetric is a metric and its place in Control.
+// controlMetric is a metric and its field of Control.
 type controlMetric struct {
 	metric Metric
-	value  func(*Control) int64
+	read   func(*Control) int64
 }
 
 var controlMetrics = []controlMetric{
@@ -104,8 +104,8 @@
 	{OrdersFailed, func(c *Control) int64 { return c.OrdersFailed }},
 }
 
-// RegisterControl registers the metrics of the control plane. read is called
-// once for each page, by the goroutine that writes it.
+// RegisterControl registers the metrics of the control plane. read is called once
+// for each page, by the goroutine that writes it.
 func (s *Set) RegisterControl(read func() Control) {
 	s.mu.Lock()
 	s.readControl = read
@@ -113,15 +113,15 @@
 	for _, m := range controlMetrics {
 		s.Gauge(m.metric, func() int64 {
 			if c := s.control.Load(); c != nil {
-				return m.value(c)
+				return m.read(c)
 			}
 			return 0
 		})
 	}
 }
 
-// refresh reads the control plane for the page that is about to be written.
-func (s *Set) refresh() {
+// readState reads the state for the page that is about to be written.
+func (s *Set) readState() {
 	s.mu.Lock()
 	read := s.readControl
 	s.mu.Unlock()
--- a/metrics/histogram.go
+++ b/metrics/histogram.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// histogram counts values in fixed buckets. The samples of go-metrics keep a random part
-// of the values under a lock, whose quantiles can't be summed over instances; buckets can,
-// and cost two atomic additions.
+// histogram counts values in fixed buckets. Buckets can be summed over instances and cost two
+// atomic additions. The histograms of go-metrics keep a random sample of the values under a
+// lock, and their quantiles can't be summed.
 type histogram struct {
-	// bounds are the upper ends of the buckets but the last.
+	// bounds are the upper bounds of all buckets but the last.
 	bounds  []float64
 	buckets []atomic.Int64
-	// nanos is the sum of the values, in thousand millionths.
-	nanos atomic.Int64
+	// sumNanos is the sum of the values in billionths.
+	sumNanos atomic.Int64
 }
 
 func newHistogram(bounds []float64) *histogram {
@@ -23,10 +23,10 @@
 
 func (h *histogram) update(value float64, nanos int64) {
 	h.buckets[sort.SearchFloat64s(h.bounds, value)].Add(1)
-	h.nanos.Add(nanos)
+	h.sumNanos.Add(nanos)
 }
 
-// Count is the number of values taken.
+// Count returns the number of values.
 func (h *histogram) Count() int64 {
 	var n int64
 	for i := range h.buckets {
@@ -35,24 +35,23 @@
 	return n
 }
 
-// timeBounds are in seconds.
-var timeBounds = []float64{
+var timeBoundsSeconds = []float64{
 	0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60,
 }
 
-// Times is a histogram of times.
+// Times is a histogram of durations.
 type Times struct{ *histogram }
 
-// Update takes one time.
+// Update adds one duration.
 func (t *Times) Update(d time.Duration) { t.update(d.Seconds(), int64(d)) }
 
-// ratioBounds lie evenly around 1, where both are alike, by factors.
+// ratioBounds are spread evenly around 1 on a logarithmic scale.
 var ratioBounds = []float64{0.05, 0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 1.2, 1.4, 2, 3, 5, 10, 20}
 
 // Ratios is a histogram of ratios.
 type Ratios struct{ *histogram }
 
-// Update takes one ratio.
+// Update adds one ratio.
 func (r *Ratios) Update(ratio float64) {
 	const nano = 1e9
 	r.update(ratio, int64(ratio*nano))
--- a/metrics/lines/sink.go
+++ b/metrics/lines/sink.go
@@ -1,8 +1,8 @@
-// Package lines writes log lines without ever blocking who logs.
+// Package lines writes log lines without ever blocking the logging goroutine.
 //
-// A Sink takes lines into a bounded ring that one goroutine drains; what finds the ring
-// full is dropped and counted. A Budget lets so many lines a second of ordinary outcomes
-// through and counts the others. Both counts come as lines of their own.
+// A Sink puts lines into a bounded ring that one goroutine writes out; lines that find the
+// ring full are dropped and counted. A Budget limits the lines a second of ordinary outcomes
+// and counts the others. Both counts are logged.
 package lines
 
 import (
@@ -18,46 +18,47 @@
 )
 
 const (
-	// ringLines bounds the lines that wait for the writer: 0.6 MB of common ones.
+	// ringLines bounds the lines that wait for the writer: 0.6 MB of typical lines.
 	ringLines = 2048
-	// tellInterval is the time between two lines with counts.
-	tellInterval = time.Second
-	// flushTime bounds the wait for the last lines at the end of the process.
-	flushTime = 200 * time.Millisecond
+	// reportInterval is the time between two lines with counts.
+	reportInterval = time.Second
+	// flushTimeout bounds the wait for the last lines at the end of the process.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// Sink is a zapcore.WriteSyncer before a writer that may stall.
+// Sink is a zapcore.WriteSyncer in front of a writer that may stall. It is safe for
+// concurrent use.
 type Sink struct {
 	lines *ring.Ring[[]byte]
 	out   io.Writer
-	// written counts lines that the writer has taken.
+	// written counts lines given to the writer.
 	written atomic.Uint64
 }
 
-// NewSink makes a Sink; Run drains it.
+// NewSink returns a Sink. Run must be called to write its lines.
 func NewSink(out io.Writer) *Sink {
 	return &Sink{lines: ring.New[[]byte](ringLines), out: out}
 }
 
-// Write takes a line. It never blocks and never fails.
+// Write queues a line. It never blocks and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
-	// zap uses its buffer again.
+	// zap reuses its buffer.
 	s.lines.TryPush(append([]byte(nil), line...))
 	return len(line), nil
 }
 
-// Sync waits a short while for the lines that were taken before.
+// Sync waits up to flushTimeout until the lines queued before it are written.
 func (s *Sink) Sync() error {
 	target := s.lines.Stats().Pushed
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for end := time.Now().Add(flushTime); s.written.Load() < target && time.Now().Before(end); {
+	for end := time.Now().Add(flushTimeout); s.written.Load() < target && time.Now().Before(end); {
 		<-tick.C
 	}
 	return nil
 }
 
-// Dropped is the number of lines that found the ring full.
+// Dropped returns the number of lines that found the ring full.
 func (s *Sink) Dropped() uint64 { return s.lines.Stats().Refused }
 
 // Run writes lines until ctx ends. A writer that stalls stalls only this goroutine.
@@ -67,13 +68,13 @@
 		if err != nil {
 			return
 		}
-		// A line that cannot be written has nowhere to be told; it counts as taken.
+		// A failed write cannot be logged; the line counts as written.
 		_, _ = s.out.Write(line)
 		s.written.Add(1)
 	}
 }
 
-// Budget is a core that lets a bounded number of lines a second through.
+// Budget is a zapcore.Core that passes a bounded number of lines a second.
 type Budget struct {
 	zapcore.Core
 	perSecond int64
@@ -81,56 +82,57 @@
 }
 
 type budgetState struct {
-	second  atomic.Int64
-	used    atomic.Int64
-	leftOut atomic.Uint64
+	second   atomic.Int64
+	inSecond atomic.Int64
+	skipped  atomic.Uint64
 }
 
-// NewBudget wraps a core.
+// NewBudget returns a Budget of perSecond lines a second in front of core.
 func NewBudget(core zapcore.Core, perSecond int) *Budget {
 	return &Budget{Core: core, perSecond: int64(perSecond), state: &budgetState{}}
 }
 
-// With keeps the budget for loggers with fields.
+// With returns a Budget with fields that shares the count of lines.
 func (b *Budget) With(fields []zapcore.Field) zapcore.Core {
 	return &Budget{Core: b.Core.With(fields), perSecond: b.perSecond, state: b.state}
 }
 
-// Check lets a line through as long as the second's budget lasts.
+// Check passes a line if the budget of the second is not used up.
 func (b *Budget) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if !b.Enabled(e.Level) {
 		return c
 	}
-	if !b.state.take(e.Time.Unix(), b.perSecond) {
-		b.state.leftOut.Add(1)
+	if !b.state.allow(e.Time.Unix(), b.perSecond) {
+		b.state.skipped.Add(1)
 		return c
 	}
 	return c.AddCore(e, b.Core)
 }
 
-// take counts a line in. Two goroutines at the turn of a second may let a line too many
-// through, which matters to nobody.
-func (s *budgetState) take(second, most int64) bool {
+// allow counts a line and reports whether it is within the budget. Two goroutines at the start
+// of a second may pass a line too many, which does no harm.
+func (s *budgetState) allow(second, perSecond int64) bool {
 	if s.second.Swap(second) != second {
-		s.used.Store(0)
+		s.inSecond.Store(0)
 	}
-	return s.used.Add(1) <= most
+	return s.inSecond.Add(1) <= perSecond
 }
 
-// LeftOut is the number of lines beyond the budget.
-func (b *Budget) Skipped() uint64 { return b.state.leftOut.Load() }
+// Skipped returns the number of lines beyond the budget.
+func (b *Budget) Skipped() uint64 { return b.state.skipped.Load() }
 
-// Counts tells of missing lines.
+// Counts reports missing lines.
 type Counts interface {
-	// Missing is how many lines were dropped and left out.
-	Missing() (dropped, leftOut uint64)
+	// Missing returns the number of lines dropped by the Sink and skipped by the Budget.
+	Missing() (dropped, skipped uint64)
 }
 
-// Tell logs what was dropped and left out, whenever it has grown, until ctx ends.
+// ReportMissing logs the number of new dropped and skipped lines, if any, each reportInterval
+// until ctx ends.
 func ReportMissing(ctx context.Context, log *zap.Logger, s *Sink, b *Budget) {
-	tick := time.NewTicker(tellInterval)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
-	var dropped, leftOut uint64
+	var dropped, skipped uint64
 	for {
 		select {
 		case <-ctx.Done():
@@ -138,9 +140,9 @@
 		case <-tick.C:
 		}
 		d, l := s.Dropped(), b.Skipped()
-		if d != dropped || l != leftOut {
-			log.Info("log lines missing", zap.Uint64("dropped", d-dropped), zap.Uint64("left_out", l-leftOut))
+		if d != dropped || l != skipped {
+			log.Info("log lines missing", zap.Uint64("dropped", d-dropped), zap.Uint64("left_out", l-skipped))
 		}
-		dropped, leftOut = d, l
+		dropped, skipped = d, l
 	}
 }
--- a/metrics/lines/sink_test.go
+++ b/metrics/lines/sink_test.go
@@ -15,26 +15,25 @@
 	"github.com/gullhaven/gullhaven/metrics/lines"
 )
 
-// stalled blocks until it is released.
-type stalled struct {
+// stalledWriter blocks until release is closed.
+type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	buf     bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-// Symptom: requests hang while nobody reads the standard output.
-// Events: the reader of the log stalls; many lines are logged; it reads on.
-// Cause: who logs waits for the reader.
-func TestStalledReaderDelaysNobody(t *testing.T) {
+// Guards against requests that hang while nothing reads the standard output: the reader of the
+// log stalls, many lines are logged, and it continues.
+func TestStalledReaderDoesNotDelayLogging(t *testing.T) {
 	Convey("five thousand lines without a reader", t, func() {
-		out := &stalled{release: make(chan struct{})}
+		out := &stalledWriter{release: make(chan struct{})}
 		sink := lines.NewSink(out)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -56,16 +55,16 @@
 				return
 			}
 		}
-		t.Error("lines that were taken are missing")
+		t.Error("lines that were queued are missing")
 	})
 }
 
-func TestBudgetCountsWhatItLeavesOut(t *testing.T) {
+func TestBudgetCountsSkippedLines(t *testing.T) {
 	Convey("ten ordinary lines in a second of four", t, func() {
 		var buf bytes.Buffer
 		core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&buf), zap.InfoLevel)
 		b := lines.NewBudget(core, 4)
-		clock := fixed{at: time.Unix(1000, 0)}
+		clock := fixedClock{at: time.Unix(1000, 0)}
 		log := zap.New(b, zap.WithClock(&clock)).With(zap.String("instance", "i"))
 		for range 10 {
 			log.Info("served")
@@ -79,9 +78,9 @@
 	})
 }
 
-// fixed is a clock that stands.
-type fixed struct{ at time.Time }
+// fixedClock is a clock that is set by the test.
+type fixedClock struct{ at time.Time }
 
-func (f *fixed) Now() time.Time { return f.at }
+func (f *fixedClock) Now() time.Time { return f.at }
 
-func (f *fixed) NewTicker(d time.Duration) *time.Ticker { return time.NewTicker(d) }
+func (f *fixedClock) NewTicker(d time.Duration) *time.Ticker { return time.NewTicker(d) }
--- a/metrics/links.go
+++ b/metrics/links.go
@@ -2,15 +2,16 @@
 
 import "github.com/gullhaven/gullhaven/coord/link"
 
-// Links are the sums over the links to other instances since the start.
+// Links has the sums over the links to other instances since the start.
 type Links struct {
 	Sent, SentBytes, Received, ReceivedBytes int64
-	// Refused were turned away before they were sent, Dropped taken and not written, and
-	// Overflow received and not handled. Late answers came when nobody waited any more.
+	// Refused messages were rejected before they were queued, Dropped ones queued and not
+	// written, Overflow ones received and not handled. Late answers came after the timeout of
+	// their request.
 	Refused, Dropped, Overflow, Late, PingTimeouts int64
 }
 
-// SumLinks sums up the channels of a hub.
+// SumLinks returns the sums over the channels of a hub.
 func SumLinks(s link.Stats) Links {
 	l := Links{Late: int64(s.LateAnswers), PingTimeouts: int64(s.PingTimeouts)}
 	for _, c := range s.Channels {
@@ -25,14 +26,14 @@
 	return l
 }
 
-// showLinks shows the sums on a page: many bytes and late answers tell of transfers that
-// are begun again and again.
-func showLinks[T any](page *pageState[T], links func(*T) *Links) {
-	page.show(LinkMessagesSent, func(t *T) int64 { return links(t).Sent })
-	page.show(LinkBytesSent, func(t *T) int64 { return links(t).SentBytes })
-	page.show(LinkMessagesReceived, func(t *T) int64 { return links(t).Received })
-	page.show(LinkBytesReceived, func(t *T) int64 { return links(t).ReceivedBytes })
-	page.show(LinkDropped, func(t *T) int64 { return links(t).Dropped })
-	page.show(LinkLateAnswers, func(t *T) int64 { return links(t).Late })
-	page.show(LinkPingTimeouts, func(t *T) int64 { return links(t).PingTimeouts })
+// registerLinks registers the metrics of the links. Many bytes together with late answers mean
+// that transfers are restarted repeatedly.
+func registerLinks[T any](page *pageState[T], links func(*T) *Links) {
+	page.gauge(LinkMessagesSent, func(t *T) int64 { return links(t).Sent })
+	page.gauge(LinkBytesSent, func(t *T) int64 { return links(t).SentBytes })
+	page.gauge(LinkMessagesReceived, func(t *T) int64 { return links(t).Received })
+	page.gauge(LinkBytesReceived, func(t *T) int64 { return links(t).ReceivedBytes })
+	page.gauge(LinkDropped, func(t *T) int64 { return links(t).Dropped })
+	page.gauge(LinkLateAnswers, func(t *T) int64 { return links(t).Late })
+	page.gauge(LinkPingTimeouts, func(t *T) int64 { return links(t).PingTimeouts })
 }
--- a/metrics/names.go
+++ b/metrics/names.go
@@ -1,17 +1,17 @@
-// Package metrics holds the counters of an instance, each with its name, unit
-// and meaning in one place, and writes them in the text form that scrapers read.
+// Package metrics holds the metrics of an instance with their names, units and
+// meanings, and writes them in the Prometheus text format.
 package metrics
 
 import "slices"
 
-// Kind tells how a metric moves.
+// Kind is the type of a metric.
 type Kind string
 
 // Kinds of metrics.
 const (
-	// Counter only rises.
+	// Counter only increases.
 	Counter Kind = "counter"
-	// Gauge rises and falls.
+	// Gauge can increase and decrease.
 	Gauge Kind = "gauge"
 	// Histogram counts values in buckets.
 	Histogram Kind = "histogram"
@@ -56,7 +56,7 @@
 	AnswerTime       = Metric{"gullhaven_answer_seconds", Histogram, "seconds", "Time from arrival to the end of the answer."}
 )
 
-// Metrics of the control plane; the host hands their values in a Control.
+// Metrics of the control plane, with their values in Control.
 var (
 	LinkConnections      = Metric{"gullhaven_link_connections", Gauge, "connections", "Connections to other instances open now."}
 	LinkMessagesSent     = Metric{"gullhaven_link_messages_sent_total", Counter, "messages", "Messages sent to other instances, calls and answers among them."}
@@ -105,10 +105,10 @@
 	OrdersFailed         = Metric{"gullhaven_orders_failed_total", Counter, "orders", "Orders that were refused, expired, or ended without an answer."}
 )
 
-// All are all metrics, each once.
+// All has all metrics, each once.
 var All = slices.Concat(Instance, Site)
 
-// Instance are the metrics of an instance of the product's own interface, each once.
+// Instance has the metrics of an instance with the product's own interface, each once.
 var Instance = []Metric{
 	Requests, InFlight, Answered, Refused, FailedMayHaveRun, FailedRan, CutAnswers,
 	CallersGone, Attempts, Retries, Hedges, Resumes, MovedStreams, FailedMoves, LateAnswers, Duplicates, Reordered,
--- a/metrics/names_test.go
+++ b/metrics/names_test.go
@@ -13,29 +13,29 @@
 // row is a line of the tables in docs/METRICS.md.
 var row = regexp.MustCompile("(?m)^\\| `(gullhaven_[a-z_]+)` \\| (\\w+) \\| (\\w+) \\| (.+) \\|$")
 
-// Symptom: a reader looks up a metric that no instance has, or finds none of one
-// that it has. Cause: the page and the code changed apart.
+// Guards against a page that describes a metric that no instance has, or lacks one: the page
+// and the code are changed separately.
 func TestThePageNamesAllMetricsAndNoOther(t *testing.T) {
 	page, err := os.ReadFile("../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []Metric
+	var onPage []Metric
 	for _, m := range row.FindAllStringSubmatch(string(page), -1) {
-		told = append(told, Metric{m[1], Kind(m[2]), m[3], m[4]})
+		onPage = append(onPage, Metric{m[1], Kind(m[2]), m[3], m[4]})
 	}
 	for _, m := range All {
-		if !slices.Contains(told, m) {
+		if !slices.Contains(onPage, m) {
 			t.Errorf("not on the page as it is in the code: %+v", m)
 		}
 	}
-	for _, m := range told {
+	for _, m := range onPage {
 		if !slices.Contains(All, m) {
 			t.Errorf("on the page only: %+v", m)
 		}
 	}
-	if len(told) != len(All) {
-		t.Errorf("%d rows for %d metrics", len(told), len(All))
+	if len(onPage) != len(All) {
+		t.Errorf("%d rows for %d metrics", len(onPage), len(All))
 	}
 	for _, name := range regexp.MustCompile("gullhaven_[a-z_]+").FindAllString(string(page), -1) {
 		known := func(m Metric) bool { return strings.HasPrefix(m.Name, name) }
@@ -45,8 +45,8 @@
 	}
 }
 
-// Symptom: a metric has a name and a page but stays out of what is scraped, or
-// shows another one's value. Cause: a list that was not extended.
+// Guards against a metric that is documented but not written, or has another one's value: a
+// list was not extended.
 func TestAllMetricsAreWritten(t *testing.T) {
 	source, err := os.ReadFile("names.go")
 	if err != nil {
--- a/metrics/page.go
+++ b/metrics/page.go
@@ -10,15 +10,15 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// contentType is the text exposition format, version 0.0.4.
+// contentType is that of the Prometheus text exposition format, version 0.0.4.
 const contentType = "text/plain; version=0.0.4; charset=utf-8"
 
 // WritePage writes all metrics, sorted by name.
 func (s *Set) WritePage(w io.Writer) error {
-	s.refresh()
+	s.readState()
 	s.mu.Lock()
-	names := make([]string, 0, len(s.known))
-	for n := range s.known {
+	names := make([]string, 0, len(s.metrics))
+	for n := range s.metrics {
 		names = append(names, n)
 	}
 	s.mu.Unlock()
@@ -33,7 +33,7 @@
 
 func (s *Set) write(w io.Writer, name string) error {
 	s.mu.Lock()
-	m, histogram := s.known[name], s.histograms[name]
+	m, histogram := s.metrics[name], s.histograms[name]
 	s.mu.Unlock()
 	if _, err := fmt.Fprintf(w, "# HELP %s %s Unit: %s.\n# TYPE %s %s\n", name, m.Meaning, m.Unit, name, m.Kind); err != nil {
 		return err
@@ -64,7 +64,7 @@
 			return err
 		}
 	}
-	total := float64(h.nanos.Load()) / 1e9
+	total := float64(h.sumNanos.Load()) / 1e9
 	_, err := fmt.Fprintf(w, "%s_sum %g\n%s_count %d\n", name, total, name, sum)
 	return err
 }
--- a/metrics/served/observer.go
+++ b/metrics/served/observer.go
@@ -1,6 +1,5 @@
-// Package served gathers what operators ask of each service from the ends of
-// its requests: cost, tail latency, share sent away, and what burns its error
-// budget.
+// Package served aggregates the finished requests of each service for operators:
+// cost, tail latency, share spilled, and what burns the error budget.
 package served
 
 import (
@@ -12,39 +11,39 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// Price is what a second of one request at a target weighs.
+// Price is the cost of one request at a target.
 type Price struct {
-	// Share of the target that one request holds: one by its slots.
+	// Share of the target that one request uses: 1 / its number of slots.
 	Share float64
 	// PerSecond is the target's cost_per_second.
 	PerSecond float64
 }
 
-// Observer is a pipeline.Observer. It never blocks but for a short lock.
+// Observer is a pipeline.Observer. It blocks only for short locks.
 type Observer struct {
-	// Table and Burn take what is observed; both are required.
+	// Table and Burn record the requests; both are required.
 	Table *Table
 	Burn  *burn.History
-	// Price of a target; zero for one that is not known.
+	// Price returns the price of a target, zero for an unknown one; required.
 	Price func(route.TargetID) Price
 	// Now is the clock; required.
 	Now func() time.Time
 }
 
-// Observe takes the end of one request.
+// Observe records the end of one request.
 func (o *Observer) Observe(out pipeline.Outcome) {
 	now := o.Now()
-	o.Table.Observe(now, requestOf(out, o.Price(out.Target)))
-	// A request passed on by another instance is counted there; only what it
-	// cost is known here.
+	o.Table.Observe(now, toRequest(out, o.Price(out.Target)))
+	// A request forwarded by another instance is counted there; only its cost is
+	// known here.
 	if cause, counts := CauseOf(out); counts && out.Peer == "" {
 		o.Burn.Observe(now, burn.Event{Service: out.Service, Workspace: out.Workspace, Cause: cause})
 	}
 }
 
-// requestOf is an outcome as the Table counts it. The time at all targets that
-// it was sent to is priced as that of the last one.
-func requestOf(out pipeline.Outcome, p Price) Request {
+// toRequest converts an outcome for the Table. The time at all targets that it was
+// sent to is priced as that of the last one.
+func toRequest(out pipeline.Outcome, p Price) Request {
 	r := Request{
 		Service:   out.Service,
 		FirstByte: out.FirstByte,
@@ -60,9 +59,9 @@
 	return r
 }
 
-// CauseOf says why a request missed its objective, and whether it counts at
-// all: one that failed by its caller's own doing says nothing of the service,
-// except that the limits of workspaces are shown as a cause of their own.
+// CauseOf returns why a request missed its objective, and whether it counts at all:
+// a request that failed through its caller's fault does not count, except that the
+// limits of workspaces are a cause of their own.
 func CauseOf(out pipeline.Outcome) (cause burn.Cause, counts bool) {
 	switch {
 	case out.MetObjective:
--- a/metrics/served/served_test.go
+++ b/metrics/served/served_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Symptom: figures of an hour ago stand in the status, or a request is missing.
-// Cause: a slot that is not emptied, or emptied too soon.
+// Guards against figures of an hour ago in the status, or missing requests: a slot is not
+// cleared, or cleared too early.
 func TestFiguresAreThoseOfTheWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
@@ -76,8 +76,8 @@
 				continue
 			}
 			want.Requests++
-			want.Refused += count(r.out.Code != "")
-			want.SpilledShare += float64(count(r.out.SpillRegion != ""))
+			want.Refused += boolCount(r.out.Code != "")
+			want.SpilledShare += float64(boolCount(r.out.SpillRegion != ""))
 			if r.out.Target != "" {
 				want.TargetSeconds += 0.25
 				times = append(times, r.out.FirstByte)
@@ -109,8 +109,8 @@
 	}
 }
 
-// BenchmarkObserve is the cost of one request; B/service is the memory that a
-// service takes with a full window.
+// BenchmarkObserve measures the cost of one request; B/service is the memory of a service
+// with a full window.
 func BenchmarkObserve(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
 	o := &Observer{Table: NewTable(now), Burn: burn.NewHistory("i", "r", 1), Now: func() time.Time { return now }}
--- a/metrics/set.go
+++ b/metrics/set.go
@@ -11,11 +11,11 @@
 type Set struct {
 	registry   gometrics.Registry
 	mu         sync.Mutex
-	known      map[string]Metric
+	metrics    map[string]Metric
 	histograms map[string]*histogram
 	times      map[string]*Times
 	ratios     map[string]*Ratios
-	// control is what readControl gave for the page that is being written.
+	// control is the result of readControl for the page that is being written.
 	readControl func() Control
 	control     atomic.Pointer[Control]
 	// onPage, if set, is called before each page.
@@ -30,7 +30,7 @@
 	FirstByteTime, AnswerTime                                      *Times
 }
 
-// NewSet makes a registry with all metrics of the request path at zero.
+// NewSet returns a Set with all metrics of the request path at zero.
 func NewSet() *Set {
 	s := newEmptySet()
 	s.Requests = s.Counter(Requests)
@@ -63,40 +63,40 @@
 }
 
 func newEmptySet() *Set {
-	return &Set{registry: gometrics.NewRegistry(), known: map[string]Metric{}, histograms: map[string]*histogram{},
+	return &Set{registry: gometrics.NewRegistry(), metrics: map[string]Metric{}, histograms: map[string]*histogram{},
 		times: map[string]*Times{}, ratios: map[string]*Ratios{}}
 }
 
-// Counter registers a counter, or returns the one registered by this name.
+// Counter registers a counter, or returns the registered one with this name.
 func (s *Set) Counter(m Metric) gometrics.Counter {
 	s.describe(m)
 	return gometrics.GetOrRegisterCounter(m.Name, s.registry)
 }
 
-// Gauge registers a metric that is read when the page is.
+// Gauge registers a metric; read is called for each page.
 func (s *Set) Gauge(m Metric, read func() int64) {
 	s.describe(m)
 	_ = s.registry.Register(m.Name, gometrics.NewFunctionalGauge(read))
 }
 
-// Times registers a histogram of times.
+// Times registers a histogram of durations, or returns the registered one with this name.
 func (s *Set) Times(m Metric) *Times {
-	return registered(s, m, s.times, func() (*Times, *histogram) {
-		h := newHistogram(timeBounds)
+	return getOrRegister(s, m, s.times, func() (*Times, *histogram) {
+		h := newHistogram(timeBoundsSeconds)
 		return &Times{h}, h
 	})
 }
 
-// Ratios registers a histogram of ratios.
+// Ratios registers a histogram of ratios, or returns the registered one with this name.
 func (s *Set) Ratios(m Metric) *Ratios {
-	return registered(s, m, s.ratios, func() (*Ratios, *histogram) {
+	return getOrRegister(s, m, s.ratios, func() (*Ratios, *histogram) {
 		h := newHistogram(ratioBounds)
 		return &Ratios{h}, h
 	})
 }
 
-// registered returns the histogram of this name, made if there is none.
-func registered[T any](s *Set, m Metric, known map[string]T, make func() (T, *histogram)) T {
+// getOrRegister returns the histogram with this name, and makes it if there is none.
+func getOrRegister[T any](s *Set, m Metric, known map[string]T, make func() (T, *histogram)) T {
 	s.describe(m)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,5 +111,5 @@
 func (s *Set) describe(m Metric) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.known[m.Name] = m
+	s.metrics[m.Name] = m
 }
--- a/metrics/site.go
+++ b/metrics/site.go
@@ -6,7 +6,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Metrics of the instances of a site, beside those of the request path.
+// Metrics of the instances of a site, in addition to those of the request path.
 var (
 	SiteForwardedIn       = Metric{"gullhaven_site_passed_on_total", Counter, "requests", "Requests that came from another region."}
 	SiteNoTarget          = Metric{"gullhaven_site_refused_no_target_total", Counter, "requests", "Requests refused as no target was available."}
@@ -53,7 +53,7 @@
 	SiteLinesSkipped      = Metric{"gullhaven_site_log_lines_left_out_total", Counter, "lines", "Log lines of ordinary outcomes beyond their budget."}
 )
 
-// Site are the metrics that only instances of a site have, each once.
+// Site has the metrics that only instances of a site have, each once.
 var Site = []Metric{
 	SiteForwardedIn, SiteNoTarget, SiteNoConfiguration, SiteLeaving, SitePoisonRequests, SiteOverloaded, SiteUnknownKeys, SiteNoHomeRegion, SiteOverLimit, SiteOtherRefusals, SiteRetriesDenied, SiteOwnedElsewhere, SiteInvalidSummaries, SiteUnknownSummaries, SiteRegionsUnreached,
 	SiteChooseTime, SiteSendTime, SiteWaitRatio, SiteEventGapTime, SiteRequestTime, SiteDials, SiteTargets, SiteTargetsBackingOff, SiteTargetsCold, SiteTargetsLimited,
@@ -61,46 +61,46 @@
 	SiteLogBehind, SiteLogVoters, SiteLinesDropped, SiteLinesSkipped,
 }
 
-// SiteEntry are the metrics of an entry instance.
+// SiteEntry has the metrics of an entry instance.
 type SiteEntry struct {
 	*Set
 	ForwardedIn, RefusedNoTarget, RefusedNoConfiguration, RefusedLeaving, RefusedPoison, RefusedOverloaded, RefusedOther gometrics.Counter
 	RefusedUnknownKey, RefusedNoHome, RefusedOverLimit                                                                   gometrics.Counter
 	RetriesDenied, OwnedElsewhere, SummariesInvalid, SummariesUnknown, RegionsUnreached, ReportsFailed                   gometrics.Counter
-	// WaitRatio tells how good choices can be: what they expect against what comes.
+	// WaitRatio is the actual wait over the expected wait, which shows the quality of choices.
 	WaitRatio                                       *Ratios
 	ChooseTime, SendTime, EventGapTime, RequestTime *Times
 }
 
-// EntryState is what an entry instance shows of itself when its page is read.
+// EntryState has the values that are read from an entry instance for each page.
 type EntryState struct {
 	InFlight, Dials, Targets, BackingOff, Cold, Limited, Draining, Version, ReceivedVersion, ListAge, Entries, Cores int64
 	LinesDropped, LinesSkipped, PiecesLeft, PieceBytes, PiecesFailed                                                 int64
 	Links                                                                                                            Links
 }
 
-// NewSiteEntry makes the metrics of an entry instance; read gives its state.
+// NewSiteEntry returns the metrics of an entry instance; read is called once for each page.
 func NewSiteEntry(read func() EntryState) *SiteEntry {
 	s := NewSet()
 	page := newPageState(s, read)
-	page.show(InFlight, func(e *EntryState) int64 { return e.InFlight })
-	page.show(SiteDials, func(e *EntryState) int64 { return e.Dials })
-	page.show(SiteTargets, func(e *EntryState) int64 { return e.Targets })
-	page.show(SiteTargetsBackingOff, func(e *EntryState) int64 { return e.BackingOff })
-	page.show(SiteTargetsCold, func(e *EntryState) int64 { return e.Cold })
-	page.show(SiteTargetsLimited, func(e *EntryState) int64 { return e.Limited })
-	page.show(SiteTargetsLeaving, func(e *EntryState) int64 { return e.Draining })
-	page.show(SiteVersion, func(e *EntryState) int64 { return e.Version })
-	page.show(SiteReceivedVersion, func(e *EntryState) int64 { return e.ReceivedVersion })
-	page.show(SitePiecesLeft, func(e *EntryState) int64 { return e.PiecesLeft })
-	page.show(SitePieceBytes, func(e *EntryState) int64 { return e.PieceBytes })
-	page.show(SitePiecesFailed, func(e *EntryState) int64 { return e.PiecesFailed })
-	page.show(SiteListAge, func(e *EntryState) int64 { return e.ListAge })
-	page.show(SiteEntries, func(e *EntryState) int64 { return e.Entries })
-	page.show(SiteCores, func(e *EntryState) int64 { return e.Cores })
-	page.show(SiteLinesDropped, func(e *EntryState) int64 { return e.LinesDropped })
-	page.show(SiteLinesSkipped, func(e *EntryState) int64 { return e.LinesSkipped })
-	showLinks(page, func(e *EntryState) *Links { return &e.Links })
+	page.gauge(InFlight, func(e *EntryState) int64 { return e.InFlight })
+	page.gauge(SiteDials, func(e *EntryState) int64 { return e.Dials })
+	page.gauge(SiteTargets, func(e *EntryState) int64 { return e.Targets })
+	page.gauge(SiteTargetsBackingOff, func(e *EntryState) int64 { return e.BackingOff })
+	page.gauge(SiteTargetsCold, func(e *EntryState) int64 { return e.Cold })
+	page.gauge(SiteTargetsLimited, func(e *EntryState) int64 { return e.Limited })
+	page.gauge(SiteTargetsLeaving, func(e *EntryState) int64 { return e.Draining })
+	page.gauge(SiteVersion, func(e *EntryState) int64 { return e.Version })
+	page.gauge(SiteReceivedVersion, func(e *EntryState) int64 { return e.ReceivedVersion })
+	page.gauge(SitePiecesLeft, func(e *EntryState) int64 { return e.PiecesLeft })
+	page.gauge(SitePieceBytes, func(e *EntryState) int64 { return e.PieceBytes })
+	page.gauge(SitePiecesFailed, func(e *EntryState) int64 { return e.PiecesFailed })
+	page.gauge(SiteListAge, func(e *EntryState) int64 { return e.ListAge })
+	page.gauge(SiteEntries, func(e *EntryState) int64 { return e.Entries })
+	page.gauge(SiteCores, func(e *EntryState) int64 { return e.Cores })
+	page.gauge(SiteLinesDropped, func(e *EntryState) int64 { return e.LinesDropped })
+	page.gauge(SiteLinesSkipped, func(e *EntryState) int64 { return e.LinesSkipped })
+	registerLinks(page, func(e *EntryState) *Links { return &e.Links })
 	return &SiteEntry{
 		Set: s, ForwardedIn: s.Counter(SiteForwardedIn), RefusedNoTarget: s.Counter(SiteNoTarget), RefusedNoConfiguration: s.Counter(SiteNoConfiguration),
 		RefusedLeaving: s.Counter(SiteLeaving), RefusedPoison: s.Counter(SitePoisonRequests),
@@ -112,7 +112,7 @@
 	}
 }
 
-// CoreState is what a core instance shows of itself when its page is read.
+// CoreState has the values that are read from a core instance for each page.
 type CoreState struct {
 	IsLeader                                                 bool
 	Term, Applied, Behind, Voters, Version, ListAge, Targets int64
@@ -121,35 +121,35 @@
 	Links                                                    Links
 }
 
-// NewSiteCore makes the metrics of a core instance; read gives its state.
+// NewSiteCore returns the metrics of a core instance; read is called once for each page.
 func NewSiteCore(read func() CoreState) *Set {
 	s := newEmptySet()
 	page := newPageState(s, read)
-	page.show(SiteLogRole, func(c *CoreState) int64 {
+	page.gauge(SiteLogRole, func(c *CoreState) int64 {
 		if c.IsLeader {
 			return 1
 		}
 		return 0
 	})
-	page.show(SiteLogTerm, func(c *CoreState) int64 { return c.Term })
-	page.show(SiteLogApplied, func(c *CoreState) int64 { return c.Applied })
-	page.show(SiteLogBehind, func(c *CoreState) int64 { return c.Behind })
-	page.show(SiteLogVoters, func(c *CoreState) int64 { return c.Voters })
-	page.show(SiteVersion, func(c *CoreState) int64 { return c.Version })
-	page.show(SiteListAge, func(c *CoreState) int64 { return c.ListAge })
-	page.show(SiteTargets, func(c *CoreState) int64 { return c.Targets })
-	page.show(SiteEntries, func(c *CoreState) int64 { return c.Entries })
-	page.show(SiteEntriesBehind, func(c *CoreState) int64 { return c.EntriesBehind })
-	page.show(SiteCores, func(c *CoreState) int64 { return c.Cores })
-	page.show(LogSyncs, func(c *CoreState) int64 { return c.Syncs })
-	page.show(LogSyncedEntries, func(c *CoreState) int64 { return c.SyncedEntries })
-	page.show(SiteLinesDropped, func(c *CoreState) int64 { return c.LinesDropped })
-	page.show(SiteLinesSkipped, func(c *CoreState) int64 { return c.LinesSkipped })
-	showLinks(page, func(c *CoreState) *Links { return &c.Links })
+	page.gauge(SiteLogTerm, func(c *CoreState) int64 { return c.Term })
+	page.gauge(SiteLogApplied, func(c *CoreState) int64 { return c.Applied })
+	page.gauge(SiteLogBehind, func(c *CoreState) int64 { return c.Behind })
+	page.gauge(SiteLogVoters, func(c *CoreState) int64 { return c.Voters })
+	page.gauge(SiteVersion, func(c *CoreState) int64 { return c.Version })
+	page.gauge(SiteListAge, func(c *CoreState) int64 { return c.ListAge })
+	page.gauge(SiteTargets, func(c *CoreState) int64 { return c.Targets })
+	page.gauge(SiteEntries, func(c *CoreState) int64 { return c.Entries })
+	page.gauge(SiteEntriesBehind, func(c *CoreState) int64 { return c.EntriesBehind })
+	page.gauge(SiteCores, func(c *CoreState) int64 { return c.Cores })
+	page.gauge(LogSyncs, func(c *CoreState) int64 { return c.Syncs })
+	page.gauge(LogSyncedEntries, func(c *CoreState) int64 { return c.SyncedEntries })
+	page.gauge(SiteLinesDropped, func(c *CoreState) int64 { return c.LinesDropped })
+	page.gauge(SiteLinesSkipped, func(c *CoreState) int64 { return c.LinesSkipped })
+	registerLinks(page, func(c *CoreState) *Links { return &c.Links })
 	return s
 }
 
-// pageState shows parts of one state that is read once for each page.
+// pageState registers gauges for the fields of one state, which is read once for each page.
 type pageState[T any] struct {
 	set  *Set
 	mu   sync.Mutex
@@ -167,10 +167,10 @@
 	return p
 }
 
-func (p *pageState[T]) show(m Metric, part func(*T) int64) {
+func (p *pageState[T]) gauge(m Metric, read func(*T) int64) {
 	p.set.Gauge(m, func() int64 {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return part(&p.last)
+		return read(&p.last)
 	})
 }
