--- a/daemon/dev.go
+++ b/daemon/dev.go
@@ -25,28 +25,27 @@
 
 // Embedded defaults of --dev.
 const (
-	devInstance  = "dev-1"
-	devRegion    = "dev"
-	devZone      = "dev-a"
-	devCallers   = "127.0.0.1:8080"
-	devInstances = "127.0.0.1:8081"
-	devOperators = "127.0.0.1:8082"
-	devEngine    = "127.0.0.1:8091"
-	devEcho      = "127.0.0.1:8092"
-	devOrders    = "127.0.0.1:8093"
-	devKey       = "dev-key"
-	devOperator  = "dev"
-	devValidity  = 30 * 24 * time.Hour
-	devRollTime  = 20 * time.Second
+	devInstance    = "dev-1"
+	devRegion      = "dev"
+	devZone        = "dev-a"
+	devCallers     = "127.0.0.1:8080"
+	devInstances   = "127.0.0.1:8081"
+	devOperators   = "127.0.0.1:8082"
+	devEngine      = "127.0.0.1:8091"
+	devEcho        = "127.0.0.1:8092"
+	devOrders      = "127.0.0.1:8093"
+	devKey         = "dev-key"
+	devOperator    = "dev"
+	devValidity    = 30 * 24 * time.Hour
+	devRollTimeout = 20 * time.Second
 )
 
-// devEngineConfig is the engine with what the embedded bundle wants loaded.
+// devEngineConfig is the engine with the model of the embedded bundle loaded.
 var devEngineConfig = standin.EngineConfig{
 	ID: "engine-1", PerToken: 5 * time.Millisecond, Slots: 16, Model: "dev-model", Version: "v1", Role: string(bundle.RoleBoth),
 }
 
-// devBundle is what --dev rolls; the operator's and the workspace's keys are
-// filled in.
+// devBundle is the bundle of --dev, without the operator's and the workspaces' keys.
 //
 //go:embed dev.json
 var devBundle []byte
@@ -64,14 +63,14 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	targets, cancel := context.WithCancel(context.Background())
-	var s serving
+	var s standinSet
 	defer s.wg.Wait()
 	defer cancel()
-	if err := s.engine(targets, devEngine, devEngineConfig); err != nil {
+	if err := s.startEngine(targets, devEngine, devEngineConfig); err != nil {
 		return err
 	}
 	for _, address := range []string{devEcho, devOrders} {
-		if err := s.plain(targets, address); err != nil {
+		if err := s.startPlain(targets, address); err != nil {
 			return err
 		}
 	}
@@ -95,9 +94,9 @@
 	if err := n.Start(); err != nil {
 		return err
 	}
-	signed, err := devSigned(operator, private)
+	signed, err := signDevBundle(operator, private)
 	if err == nil {
-		err = rollDev(ctx, n, signed)
+		err = rollDevBundle(ctx, n, signed)
 	}
 	if err != nil {
 		n.Stop()
@@ -105,10 +104,10 @@
 	}
 	printReady(out)
 	<-ctx.Done()
-	return stop(n, log)
+	return stopNode(n, log)
 }
 
-// devInstanceKey makes an authority for this run and issues the one key.
+// devInstanceKey creates an authority for this run and issues the instance's key.
 func devInstanceKey() (*keys.Key, error) {
 	authority, err := keys.NewAuthority("dev", time.Now(), devValidity)
 	if err != nil {
@@ -133,8 +132,8 @@
 	return s
 }
 
-// devSigned completes and signs the embedded bundle.
-func devSigned(operator bundle.Operator, key ed25519.PrivateKey) ([]byte, error) {
+// signDevBundle completes and signs the embedded bundle.
+func signDevBundle(operator bundle.Operator, key ed25519.PrivateKey) ([]byte, error) {
 	b, err := bundle.Decode(devBundle)
 	if err != nil {
 		return nil, err
@@ -157,20 +156,20 @@
 	})
 }
 
-// rollDev rolls the bundle and waits until it is in force.
-func rollDev(ctx context.Context, n *node.Node, signed []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, devRollTime)
+// rollDevBundle rolls the bundle and waits until it is in force.
+func rollDevBundle(ctx context.Context, n *node.Node, signed []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, devRollTimeout)
 	defer cancel()
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	var err error
 	for n.Ready() != nil {
-		// The group has no leader at first; sending the same bytes again is safe.
+		// The group has no leader at first; rolling the same bytes again is safe.
 		_, err = n.Roll(ctx, signed)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return fmt.Errorf("the embedded bundle is not in force after %v: %w", devRollTime, err)
+			return fmt.Errorf("the embedded bundle is not in force after %v: %w", devRollTimeout, err)
 		}
 	}
 	return nil
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -13,7 +13,7 @@
 	"github.com/gullhaven/gullhaven/settings"
 )
 
-// runInstance runs the instance of a settings file until ctx ends.
+// runInstance runs the instance of a settings file until ctx ends, or checks the settings.
 func runInstance(ctx context.Context, o options, out, errOut io.Writer) error {
 	s, err := settings.Load(o.Settings)
 	if err != nil {
@@ -44,11 +44,11 @@
 	}
 	log.Info("started", zap.String("callers", s.Listen.Callers), zap.String("operators", s.Listen.Operators))
 	<-ctx.Done()
-	return stop(n, log)
+	return stopNode(n, log)
 }
 
-// stop ends an instance gracefully. Requests that were cut off are an error.
-func stop(n *node.Node, log *zap.Logger) error {
+// stopNode stops an instance gracefully. Requests that are cut off are an error.
+func stopNode(n *node.Node, log *zap.Logger) error {
 	log.Info("leaving")
 	cut := n.Stop()
 	if cut > 0 {
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -19,8 +19,8 @@
 const (
 	// ExitOK is a graceful end or a passed check.
 	ExitOK = 0
-	// ExitFailed is wrong settings, an address in use, a damaged disk, or
-	// requests cut off at the end.
+	// ExitFailed is wrong settings, an address in use, a damaged disk, or requests
+	// cut off at the end.
 	ExitFailed = 1
 	// ExitUsage is a wrong command line.
 	ExitUsage = 2
@@ -72,7 +72,7 @@
 	}
 }
 
-// run parses the command line and runs what it asks for until ctx ends.
+// run parses the command line and runs its command until ctx ends.
 func run(ctx context.Context, args []string, out, errOut io.Writer) error {
 	var o options
 	parser := flags.NewNamedParser("gullhavend", flags.HelpFlag|flags.PassDoubleDash)
@@ -82,7 +82,7 @@
 		return err
 	}
 	standins := &standinOptions{}
-	command, err := parser.AddCommand("standin", "Run stand-ins of targets", "Runs stand-in engines and plain services until it is ended.", standins)
+	standinCommand, err := parser.AddCommand("standin", "Run stand-ins of targets", "Runs stand-in engines and plain services until it is ended.", standins)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		return fmt.Errorf("%w: unknown argument %q", errUsage, rest[0])
 	}
 	switch {
-	case parser.Active == command:
+	case parser.Active == standinCommand:
 		return standins.run(ctx, out)
 	case parser.Active == siteCommand:
 		return site.run(ctx, out)
@@ -112,7 +112,7 @@
 	}
 }
 
-// newLogger writes JSON lines to w from a level on.
+// newLogger returns a logger that writes JSON lines of at least a level to w.
 func newLogger(w io.Writer, level string) (*zap.Logger, error) {
 	core, err := newLogCore(w, level)
 	if err != nil {
--- a/daemon/site.go
+++ b/daemon/site.go
@@ -35,42 +35,42 @@
 }
 
 const (
-	// memoryShare is the part of an instance's memory at which the collector works
-	// harder; the rest is for stacks, the runtime and what the kernel holds.
-	memoryShare = 0.5
-	// collectPercent is how much the heap may grow between collections: the heaps
-	// are a few MB, and memory is dearer than the collector's time.
-	collectPercent = 50
-	// leaveMargin is taken off the grace time for the last closing.
-	leaveMargin = 900 * time.Millisecond
-	// leastLeaving is how long a leaving entry instance serves at least: all callers
-	// have forgotten it by then, see platform.DirectoryCall.
-	leastLeaving = 3 * time.Second
-	// leaveTick is the time between two looks at the requests in progress.
-	leaveTick = 100 * time.Millisecond
-	// headerTime and callerIdle bound a caller's connection: above what any
-	// configuration lets callers rely on.
-	headerTime = 6 * time.Second
-	callerIdle = 75 * time.Second
-	// peerIdle is how long other instances may keep a connection; they close first.
-	peerIdle = 60 * time.Second
-	// ordinaryLines is how many lines a second tell of answered requests; each costs
-	// about 5 microseconds of a core.
-	ordinaryLines = 20
-	// platformTime bounds one call to the platform.
-	platformTime = 2 * time.Second
+	// gcMemoryShare is the share of an instance's memory near which the garbage collector works
+	// harder; the rest is for stacks, the runtime and memory of the kernel.
+	gcMemoryShare = 0.5
+	// gcPercent is the growth of the heap between collections: the heaps are a few MB, and
+	// memory costs more than the collector's time.
+	gcPercent = 50
+	// shutdownMargin is subtracted from the grace period, for closing the servers.
+	shutdownMargin = 900 * time.Millisecond
+	// minDrainTime is the minimum time that a leaving entry instance serves: by then all
+	// callers have dropped it, see platform.DirectoryHandler.
+	minDrainTime = 3 * time.Second
+	// drainPollInterval is the time between two checks of the requests in progress.
+	drainPollInterval = 100 * time.Millisecond
+	// headerTimeout and callerIdleTimeout bound a caller's connection. They are above what any
+	// configuration allows callers to rely on.
+	headerTimeout     = 6 * time.Second
+	callerIdleTimeout = 75 * time.Second
+	// peerIdleTimeout bounds idle connections of other instances, which close them before.
+	peerIdleTimeout = 60 * time.Second
+	// accessLinesPerSecond bounds the log lines of answered requests; each costs about 5
+	// microseconds of a core.
+	accessLinesPerSecond = 20
+	// platformTimeout bounds a call to the platform.
+	platformTimeout = 2 * time.Second
 )
 
 // site runs one instance of a site.
 type site struct {
 	s   *settings.Site
 	log *zap.Logger
-	// ordinary takes lines of requests that were answered, within a budget.
-	ordinary *zap.Logger
-	sink     *lines.Sink
-	budget   *lines.Budget
-	servers  []*http.Server
-	failed   chan error
+	// accessLog logs answered requests, within a budget.
+	accessLog *zap.Logger
+	sink      *lines.Sink
+	budget    *lines.Budget
+	servers   []*http.Server
+	serveErr  chan error
 }
 
 func (o *siteOptions) run(ctx context.Context, out io.Writer) error {
@@ -94,22 +94,22 @@
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * gcMemoryShare))
 	}
-	named := zap.String("instance", s.Instance)
-	budget := lines.NewBudget(core, ordinaryLines)
+	instanceField := zap.String("instance", s.Instance)
+	budget := lines.NewBudget(core, accessLinesPerSecond)
 	r := &site{
-		s: s, log: zap.New(core).With(named), ordinary: zap.New(budget).With(named), sink: sink, budget: budget,
-		failed: make(chan error, 1),
+		s: s, log: zap.New(core).With(instanceField), accessLog: zap.New(budget).With(instanceField), sink: sink, budget: budget,
+		serveErr: make(chan error, 1),
 	}
-	logging, end := context.WithCancel(context.Background())
-	defer end()
-	// The last lines are waited for, but not for long.
+	logCtx, stopLog := context.WithCancel(context.Background())
+	defer stopLog()
+	// The wait for the last lines is bounded.
 	defer func() { _ = sink.Sync() }()
-	go sink.Run(logging)
-	go lines.ReportMissing(logging, r.log, sink, budget)
+	go sink.Run(logCtx)
+	go lines.ReportMissing(logCtx, r.log, sink, budget)
 	go r.watchSettings(ctx, path)
 	if s.Listen.Callers != "" {
 		return r.runEntry(ctx)
@@ -118,11 +118,11 @@
 }
 
 // Missing implements lines.Counts.
-func (r *site) Missing() (dropped, leftOut uint64) { return r.sink.Dropped(), r.budget.Skipped() }
+func (r *site) Missing() (dropped, skipped uint64) { return r.sink.Dropped(), r.budget.Skipped() }
 
-// watchSettings reads the settings anew when the platform says that they changed. What
-// changes at run time are log lines only: addresses and seeds serve the start, and the
-// group itself tells of its members.
+// watchSettings reads and checks the settings again on SIGHUP, with which the platform
+// announces a change. It only logs the result: addresses and seeds are used at the start,
+// and the members come from the group itself.
 func (r *site) watchSettings(ctx context.Context, path string) {
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
@@ -152,7 +152,7 @@
 		Tolerance: quota.Tolerance{
 			Window: s.LimitTolerance.Window(), Share: s.LimitTolerance.Share, Units: s.LimitTolerance.Units,
 		},
-		Log: r.log, AccessLog: r.ordinary, Lines: r,
+		Log: r.log, AccessLog: r.accessLog, Lines: r,
 	})
 	if err != nil {
 		return err
@@ -170,32 +170,32 @@
 	r.log.Info("started", zap.String("callers", s.Listen.Callers))
 	select {
 	case <-ctx.Done():
-	case err := <-r.failed:
+	case err := <-r.serveErr:
 		return err
 	}
 	r.log.Info("leaving", zap.Int64("in_progress", i.Gateway().InFlight()))
 	i.Drain()
-	r.awaitEnd(i.Gateway())
+	r.awaitDrained(i.Gateway())
 	cut := i.Gateway().InFlight()
-	r.close(leaveMargin / 3)
+	r.closeServers(shutdownMargin / 3)
 	i.Stop()
 	r.log.Info("ended", zap.Int64("cut", cut))
 	return nil
 }
 
-// awaitEnd waits until no request is in progress, after the least time, or until the
-// grace time is nearly over.
-func (r *site) awaitEnd(g *exchange.Gateway) {
+// awaitDrained waits for minDrainTime and until no request is in progress, but no longer than
+// the grace period without shutdownMargin.
+func (r *site) awaitDrained(g *exchange.Gateway) {
 	began := time.Now()
-	tick := time.NewTicker(leaveTick)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	last := r.s.Grace() - leaveMargin
+	limit := r.s.Grace() - shutdownMargin
 	for range tick.C {
 		spent := time.Since(began)
-		if spent >= leastLeaving {
-			g.RefuseStreams(began.Add(last))
+		if spent >= minDrainTime {
+			g.RefuseStreams(began.Add(limit))
 		}
-		if spent >= last || spent >= min(leastLeaving, last) && g.InFlight() == 0 {
+		if spent >= limit || spent >= min(minDrainTime, limit) && g.InFlight() == 0 {
 			return
 		}
 	}
@@ -203,7 +203,7 @@
 
 func (r *site) runCore(ctx context.Context) error {
 	s := r.s
-	list := &platform.List{Address: s.InstanceList, Regions: s.Regions, Client: &http.Client{Timeout: platformTime}, Log: r.log}
+	list := &platform.List{Address: s.InstanceList, Regions: s.Regions, Client: &http.Client{Timeout: platformTimeout}, Log: r.log}
 	i, err := control.New(control.Options{
 		Self:       feed.Core{ID: s.Listen.Instances, Region: s.Region, Zone: s.Zone},
 		Regions:    s.RegionNames(),
@@ -232,16 +232,16 @@
 	case <-ctx.Done():
 	case <-i.Ended():
 		return errors.New("the log has ended")
-	case err := <-r.failed:
+	case err := <-r.serveErr:
 		return err
 	}
 	r.log.Info("leaving")
 	err = i.Stop()
-	r.close(leaveMargin / 3)
+	r.closeServers(shutdownMargin / 3)
 	return err
 }
 
-// listen serves each handler on its address; those without an address are left out.
+// listen serves each handler on its address; an empty address is skipped.
 func (r *site) listen(handlers map[string]http.Handler) error {
 	for address, h := range handlers {
 		if address == "" {
@@ -252,17 +252,17 @@
 			return err
 		}
 		server := &http.Server{
-			Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: callerIdle, ErrorLog: zap.NewStdLog(r.log),
+			Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, ErrorLog: zap.NewStdLog(r.log),
 		}
 		if address == r.s.Listen.BindInstances() {
-			server.IdleTimeout = peerIdle
+			server.IdleTimeout = peerIdleTimeout
 			server.ConnState = tuneLink
 		}
 		r.servers = append(r.servers, server)
 		go func() {
 			if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 				select {
-				case r.failed <- err:
+				case r.serveErr <- err:
 				default:
 				}
 			}
@@ -271,19 +271,19 @@
 	return nil
 }
 
-// tuneLink has the kernel give up silent connections of other instances.
+// tuneLink makes the kernel close connections of other instances that are silent.
 func tuneLink(c net.Conn, s http.ConnState) {
 	link.TuneConn(c, s)
 	if tcp, ok := c.(*net.TCPConn); ok && s == http.StateNew {
-		// Without it a cut shows by the pings of the link.
+		// If it fails, a lost connection is still detected by the pings of the link.
 		_ = rawhttp.DetectDeadPeer(tcp, rawhttp.DefaultAckTimeout)
 	}
 }
 
-// close ends the servers together: what is idle at once, the rest after a while by
-// force. One after the other they could take longer than the grace time.
-func (r *site) close(wait time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+// closeServers shuts down all servers in parallel: idle connections at once, the others when
+// they are idle or after the timeout. In sequence this could exceed the grace period.
+func (r *site) closeServers(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, s := range r.servers {
--- a/daemon/standin.go
+++ b/daemon/standin.go
@@ -24,8 +24,8 @@
 	PerToken time.Duration `long:"per-token" default:"2ms" description:"Time that an engine takes for a token"`
 }
 
-// serving is a set of stand-ins that run together.
-type serving struct {
+// standinSet is a set of running stand-ins and the errors with which they ended.
+type standinSet struct {
 	wg   sync.WaitGroup
 	mu   sync.Mutex
 	errs []error
@@ -33,7 +33,7 @@
 
 // run serves the stand-ins until ctx ends.
 func (o *standinOptions) run(ctx context.Context, out io.Writer) error {
-	engines, plain, err := o.targets()
+	engines, plain, err := o.loadTargets()
 	if err != nil {
 		return err
 	}
@@ -42,14 +42,14 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var s serving
+	var s standinSet
 	for _, cfg := range engines {
-		if err := s.engine(ctx, cfg.ID, cfg); err != nil {
+		if err := s.startEngine(ctx, cfg.ID, cfg); err != nil {
 			return err
 		}
 	}
 	for _, address := range plain {
-		if err := s.plain(ctx, address); err != nil {
+		if err := s.startPlain(ctx, address); err != nil {
 			return err
 		}
 	}
@@ -58,14 +58,14 @@
 	return errors.Join(s.errs...)
 }
 
-// targets are the engines, whose ids are their addresses, and the addresses of
+// loadTargets returns the engines, whose ids are their addresses, and the addresses of
 // plain services.
-func (o *standinOptions) targets() ([]standin.EngineConfig, []string, error) {
+func (o *standinOptions) loadTargets() ([]standin.EngineConfig, []string, error) {
 	var engines []standin.EngineConfig
-	for _, address := range split(o.Engines) {
+	for _, address := range splitList(o.Engines) {
 		engines = append(engines, standin.EngineConfig{ID: address, PerToken: o.PerToken})
 	}
-	plain := split(o.Plain)
+	plain := splitList(o.Plain)
 	if o.Bundle == "" {
 		return engines, plain, nil
 	}
@@ -77,12 +77,13 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", o.Bundle, err)
 	}
-	more, morePlain := o.targetsOf(b)
-	return append(engines, more...), append(plain, morePlain...), nil
+	bundleEngines, bundlePlain := o.bundleTargets(b)
+	return append(engines, bundleEngines...), append(plain, bundlePlain...), nil
 }
 
-// targetsOf are the targets of a bundle, with what their services need loaded.
-func (o *standinOptions) targetsOf(b *bundle.Bundle) (engines []standin.EngineConfig, plain []string) {
+// bundleTargets returns the targets of a bundle; engines have the models of their services
+// loaded.
+func (o *standinOptions) bundleTargets(b *bundle.Bundle) (engines []standin.EngineConfig, plain []string) {
 	services := map[string]bundle.Service{}
 	for _, s := range b.Services {
 		services[s.ID] = s
@@ -103,12 +104,12 @@
 	return engines, plain
 }
 
-func split(list string) []string {
+func splitList(list string) []string {
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' })
 }
 
-// engine listens on an address and serves an engine there.
-func (s *serving) engine(ctx context.Context, address string, cfg standin.EngineConfig) error {
+// startEngine listens on an address and serves an engine.
+func (s *standinSet) startEngine(ctx context.Context, address string, cfg standin.EngineConfig) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// plain listens on an address and serves a plain service there.
-func (s *serving) plain(ctx context.Context, address string) error {
+// startPlain listens on an address and serves a plain service.
+func (s *standinSet) startPlain(ctx context.Context, address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -127,7 +128,7 @@
 	return nil
 }
 
-func (s *serving) start(serve func() error) {
+func (s *standinSet) start(serve func() error) {
 	s.wg.Go(func() {
 		err := serve()
 		s.mu.Lock()
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -32,7 +32,7 @@
 func TestCheckNamesPaths(t *testing.T) {
 	cases := []struct {
 		path, message string
-		spoil         func(*settings.Settings)
+		breakSetting  func(*settings.Settings)
 	}{
 		{"instance", "", func(s *settings.Settings) { s.Instance, s.Voters[0].ID = "a b", "a-b"; s.Voter, s.DataDir = false, "" }},
 		{"region", "", func(s *settings.Settings) { s.Region, s.Voter, s.Voters[0].ID = "", false, "other" }},
@@ -63,7 +63,7 @@
 	for _, c := range cases {
 		convey.Convey("One fault is named at "+c.path, t, func() {
 			s := sample()
-			c.spoil(s)
+			c.breakSetting(s)
 			problems := load(t, s)
 			convey.So(problems, convey.ShouldHaveLength, 1)
 			convey.So(problems[0].Path, convey.ShouldEqual, c.path)
--- a/settings/site_test.go
+++ b/settings/site_test.go
@@ -21,10 +21,10 @@
 		"instance": "core-1", "region": "r", "zone": "z", "regions": map[string]string{"z": "r"}, "listen": listen,
 		"seeds": []string{"10.0.0.1:80", "10.0.0.2:80"}, "data_dir": "/data", "instance_list": "10.0.0.9:80", "later": 1,
 	}
-	for name, held := range map[string]map[string]any{"": all, "listen.": listen} {
-		for field := range held {
+	for name, fields := range map[string]map[string]any{"": all, "listen.": listen} {
+		for field := range fields {
 			if key == name+field && value == nil {
-				delete(held, field)
+				delete(fields, field)
 			}
 		}
 	}
