--- a/daemon/site.go
+++ b/daemon/site.go
@@ -133,7 +133,7 @@
 		case <-changed:
 		}
 		if _, err := settings.LoadSite(path); err != nil {
-			r.log.Error("changed settings are not in order, the old ones stay", zap.Error(err))
+			r.log.Error("changed settings are invalid, the old ones stay in use", zap.Error(err))
 			continue
 		}
 		r.log.Info("settings read again")
