--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -219,11 +219,11 @@
 // addresses, and the network between the instances is private.
 func LinkOptions(self string, urgent ...string) link.Options {
 	return link.Options{
-		Plain:       self,
-		Address:     func(id string) (string, bool) { return id, true },
-		Urgent:      append(urgent, channelGroup),
-		MaxMessage:  maxMessage,
-		DialTimeout: time.Second,
+		PlaintextID:    self,
+		Address:        func(id string) (string, bool) { return id, true },
+		UrgentChannels: append(urgent, channelGroup),
+		MaxMessage:     maxMessage,
+		DialTimeout:    time.Second,
 		// Two round trips between regions and some; TCP would send a lost first packet again
 		// after a second, as where core instances come back a moment later than entry
 		// instances after a loss of power of all.
@@ -232,8 +232,8 @@
 		PingTimeout:    700 * time.Millisecond,
 		// All processes may start at the same moment after a loss of power: whoever
 		// finds the other end not listening yet asks again soon.
-		BackoffCeil: 200 * time.Millisecond,
-		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		MaxBackoff: 200 * time.Millisecond,
+		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
@@ -298,7 +298,7 @@
 		if !p.Voter || !p.CaughtUp {
 			continue
 		}
-		if err := i.node.Transfer(ctx, p.Member.ID); err != nil {
+		if err := i.node.TransferLeader(ctx, p.Member.ID); err != nil {
 			i.log.Warn("leadership was not handed over", zap.String("to", p.Member.ID), zap.Error(err))
 			continue
 		}
@@ -336,7 +336,7 @@
 
 // Ended is closed when the log has failed; the process should end then, so that
 // it is started anew on its disk.
-func (i *Instance) Ended() <-chan struct{} { return i.node.Ended() }
+func (i *Instance) Ended() <-chan struct{} { return i.node.Done() }
 
 // watchNode logs changes of the leader and the failure of the log.
 func (i *Instance) watchNode(ctx context.Context) {
@@ -347,7 +347,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-i.node.Ended():
+		case <-i.node.Done():
 			i.log.Error("the log has ended", zap.Error(i.node.Status().Err))
 			return
 		case <-tick.C:
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -164,7 +164,7 @@
 		s.ReceivedVersion = int64(i.known.head.Version)
 	}
 	left, transfers := i.fetcher.progress()
-	s.PiecesLeft, s.PieceBytes, s.PiecesFailed = int64(left), int64(transfers.Bytes), int64(transfers.Failed)
+	s.PiecesLeft, s.PieceBytes, s.PiecesFailed = int64(left), int64(transfers.Bytes), int64(transfers.FailedFetches)
 	return s
 }
 
