--- a/daemon/site.go
+++ b/daemon/site.go
@@ -177,7 +177,7 @@
 	i.Drain()
 	r.awaitDrained(i.Gateway())
 	cut := i.Gateway().InFlight()
-	r.closeServers(shutdownMargin / 3)
+	r.close(shutdownMargin / 3)
 	i.Stop()
 	r.log.Info("ended", zap.Int64("cut", cut))
 	return nil
@@ -237,7 +237,7 @@
 	}
 	r.log.Info("leaving")
 	err = i.Stop()
-	r.closeServers(shutdownMargin / 3)
+	r.close(shutdownMargin / 3)
 	return err
 }
 
@@ -280,9 +280,9 @@
 	}
 }
 
-// closeServers shuts down all servers in parallel: idle connections at once, the others when
+// close shuts down all servers in parallel: idle connections at once, the others when
 // they are idle or after the timeout. In sequence this could exceed the grace period.
-func (r *site) closeServers(timeout time.Duration) {
+func (r *site) close(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var wg sync.WaitGroup
