--- a/metrics/burn/burn_test.go
+++ b/metrics/burn/burn_test.go
@@ -41,7 +41,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				sent = append(sent, histories[i].Snapshot(now))
-			case 1: // a restart, with the own snapshot taken back once or twice
+			case 1: // a restart, with the own snapshot restored once or twice
 				saved := roundTrip(t, histories[i].Snapshot(now))
 				if histories[i].incarnation > maxEarlierIncarnations {
 					continue
--- a/metrics/names_test.go
+++ b/metrics/names_test.go
@@ -40,7 +40,7 @@
 	for _, name := range regexp.MustCompile("gullhaven_[a-z_]+").FindAllString(string(page), -1) {
 		known := func(m Metric) bool { return strings.HasPrefix(m.Name, name) }
 		if !slices.ContainsFunc(All, known) {
-			t.Errorf("the text speaks of %s", name)
+			t.Errorf("the text names an unknown metric, %s", name)
 		}
 	}
 }
--- a/ports/rawhttp/client_test.go
+++ b/ports/rawhttp/client_test.go
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestKeptConnectionsAreUsedAgain(t *testing.T) {
+func TestIdleConnectionsAreReused(t *testing.T) {
 	Convey("a healthy target", t, func() {
 		s := serve(t, func(c net.Conn, r *http.Request) bool { answer(c, ok2); return true })
 		c := rawhttp.NewClient(rawhttp.Options{})
@@ -215,7 +215,7 @@
 	})
 }
 
-func TestRequestIsWrittenAsItCame(t *testing.T) {
+func TestRequestIsWrittenUnchanged(t *testing.T) {
 	Convey("a request with a body", t, func() {
 		seen := make(chan string, 1)
 		s := serve(t, func(c net.Conn, r *http.Request) bool {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -113,7 +113,7 @@
 // Bootstrap has the trusted operators before the first bundle; afterwards those of the
 // bundle in force count.
 type Bootstrap struct {
-	// Operators who may sign version 1.
+	// Operators that may sign version 1.
 	Operators []bundle.Operator `json:"operators"`
 	// SignOffs is the number of signatures required; default 1.
 	SignOffs int `json:"sign_offs"`
--- a/settings/site.go
+++ b/settings/site.go
@@ -23,7 +23,7 @@
 	// Region and Zone are its location. No default.
 	Region string `json:"region"`
 	Zone   string `json:"zone"`
-	// Regions gives the region of each availability zone. No default.
+	// Regions maps each availability zone to its region. No default.
 	Regions map[string]string `json:"regions"`
 	Listen  SiteAddresses     `json:"listen"`
 	// Seeds are the operators' addresses of core instances, IP:port. Their addresses for
--- a/settings/site_test.go
+++ b/settings/site_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestSiteSettings(t *testing.T) {
-	Convey("defaults and what is derived; unknown fields are ignored", t, func() {
+	Convey("defaults and derived values; unknown fields are ignored", t, func() {
 		s, err := settings.LoadSite(coreSettings(t, "", nil))
 		So(err, ShouldBeNil)
 		So(s.Grace(), ShouldEqual, 8*time.Second)
@@ -73,7 +73,7 @@
 			So(err, ShouldNotBeNil)
 		})
 	}
-	Convey("a file that is not there, and one that is not JSON", t, func() {
+	Convey("a missing file, and one that is not JSON", t, func() {
 		_, err := settings.LoadSite(filepath.Join(t.TempDir(), "none"))
 		So(err, ShouldNotBeNil)
 		path := filepath.Join(t.TempDir(), "settings.json")
