--- a/operate/cli/capacity.go
+++ b/operate/cli/capacity.go
@@ -22,7 +22,7 @@
 With --check the exit code is 1 if a budget is exceeded.
 
 Example: gullhaven capacity --instances 720 --targets 1400 --requests 7600`,
-	New: func(env *Env) flags.Commander { return newCapacity(env) },
+	New: func(env *Env) flags.Commander { return newCapacityCommand(env) },
 })
 
 // capacityCommand is the command `capacity`.
@@ -50,13 +50,13 @@
 	Check         bool     `long:"check" description:"exit with 1 if a budget is exceeded"`
 }
 
-// newCapacity has the planned size as its defaults.
-func newCapacity(env *Env) *capacityCommand {
+// newCapacityCommand makes the command with the planned size as defaults.
+func newCapacityCommand(env *Env) *capacityCommand {
 	s := capacity.Planned()
 	return &capacityCommand{
 		env: env, Instances: s.Instances, Targets: s.Targets, Accelerators: s.Accelerators, Requests: s.Requests,
 		Tokens: s.Tokens, Workspaces: s.Workspaces, Models: s.Models, Regions: s.Regions, Zones: s.Zones,
-		Changes: s.Changes, Skew: s.Skew, Once: s.Once, ClaimLifetime: s.ClaimLifetime, Voters: s.Voters,
+		Changes: s.Changes, Skew: s.Skew, Once: s.AtMostOnceShare, ClaimLifetime: s.ClaimLifetime, Voters: s.Voters,
 	}
 }
 
@@ -64,7 +64,7 @@
 	s := capacity.Size{
 		Instances: c.Instances, Targets: c.Targets, Accelerators: c.Accelerators, Requests: c.Requests,
 		Tokens: c.Tokens, Workspaces: c.Workspaces, Models: c.Models, Regions: c.Regions, Zones: c.Zones,
-		Changes: c.Changes, Skew: c.Skew, Once: c.Once, ClaimLifetime: c.ClaimLifetime, Voters: c.Voters,
+		Changes: c.Changes, Skew: c.Skew, AtMostOnceShare: c.Once, ClaimLifetime: c.ClaimLifetime, Voters: c.Voters,
 	}
 	if c.Times == 1 {
 		return s
@@ -72,7 +72,7 @@
 	return s.Times(c.Times)
 }
 
-// Execute prints the table.
+// Execute prints what the options ask for: the table, the slopes or a comparison.
 func (c *capacityCommand) Execute([]string) error {
 	if c.Slopes {
 		return c.listSlopes()
@@ -91,16 +91,16 @@
 	if err := c.write(report); err != nil {
 		return err
 	}
-	if c.Check && exceeded(report) {
+	if c.Check && overBudget(report) {
 		return ErrRefused
 	}
 	return nil
 }
 
 func (c *capacityCommand) compareReports() error {
-	var reports []*capacity.Play
+	var reports []*capacity.Run
 	for _, path := range c.Reports {
-		m, err := capacity.ReadPlay(path)
+		m, err := capacity.ReadRun(path)
 		if err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 	if c.JSON {
 		return json.NewEncoder(c.env.Out).Encode(reports)
 	}
-	return capacity.ComparePlays(c.env.Out, reports)
+	return capacity.CompareRuns(c.env.Out, reports)
 }
 
 func (c *capacityCommand) write(report *capacity.Report) error {
@@ -123,13 +123,13 @@
 	}
 }
 
-func exceeded(r *capacity.Report) bool {
+func overBudget(r *capacity.Report) bool {
 	for _, role := range r.Roles {
 		if len(role.Over) > 0 {
 			return true
 		}
 	}
-	return r.Change.Whole > capacity.BudgetChange || r.SetAside > capacity.BudgetSetAside || r.ClaimTime > 0
+	return r.Change.Whole > capacity.BudgetChange || r.SetAside > capacity.BudgetSetAside || r.ClaimTableFullAfter > 0
 }
 
 func (c *capacityCommand) listSlopes() error {
