--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -249,7 +249,7 @@
 func (i *Instance) coreState() metrics.CoreState {
 	now, s := time.Now(), i.node.Status()
 	c := metrics.CoreState{
-		Leads: s.Core.Role == replog.Leader, Term: int64(s.Core.Term), Applied: int64(s.Applied),
+		IsLeader: s.Core.Role == replog.Leader, Term: int64(s.Core.Term), Applied: int64(s.Applied),
 		Behind: int64(s.Core.Commit) - int64(s.Applied), Voters: int64(len(s.Core.Config.Voters)),
 		Version: int64(i.accepted().Version), ListAge: -1, Entries: int64(len(i.store.Entries(now))),
 		Cores: int64(len(i.store.Cores(now))), Syncs: int64(s.Counters.Syncs), SyncedEntries: int64(s.Counters.SyncedEntries),
@@ -260,7 +260,7 @@
 	}
 	if i.o.Lines != nil {
 		dropped, leftOut := i.o.Lines.Missing()
-		c.LinesDropped, c.LinesLeft = int64(dropped), int64(leftOut)
+		c.LinesDropped, c.LinesSkipped = int64(dropped), int64(leftOut)
 	}
 	return c
 }
--- a/node/history.go
+++ b/node/history.go
@@ -38,7 +38,7 @@
 type history struct {
 	node       *Node
 	own        *burn.History
-	handedOver *burn.Shelf
+	handedOver *burn.PeerParts
 	inbox      *ring.Ring[burn.Snapshot]
 }
 
@@ -46,7 +46,7 @@
 	h := &history{
 		node:       n,
 		own:        burn.NewHistory(n.s.Instance, n.s.Region, n.incarnation()),
-		handedOver: &burn.Shelf{},
+		handedOver: &burn.PeerParts{},
 		inbox:      ring.New[burn.Snapshot](historyInboxSize),
 	}
 	n.hub.Handle(channelHistory, h.receive)
@@ -91,7 +91,7 @@
 }
 
 func (h *history) serveRecall(_ context.Context, from string, _ []byte) ([]byte, error) {
-	return h.handedOver.Of(from).Encode(burn.HandoverBytes)
+	return h.handedOver.ForInstance(from).Encode(burn.HandoverBytes)
 }
 
 // run restores the earlier history, then saves and hands it over until ctx ends.
@@ -107,7 +107,7 @@
 			h.save()
 			return
 		case s := <-h.inbox.C():
-			h.handedOver.Keep(time.Now(), s)
+			h.handedOver.Add(time.Now(), s)
 		case <-recall.C:
 			h.recall(ctx)
 		case <-tick.C:
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -91,7 +91,7 @@
 	if q.g.o.GroupOwner != nil {
 		if d, ok := q.g.o.GroupOwner.Choose(q.ctx, c, q.call.ID, q.deadline.Sub(now)); ok {
 			if choice := q.g.o.Pool.PickAt(now, c, d.Target); choice != nil {
-				q.g.o.Metrics.Decided.Inc(1)
+				q.g.o.Metrics.OwnedElsewhere.Inc(1)
 				choice.Source, choice.Cost, choice.Wait, choice.QueueWait, choice.Tokens = d.Source, d.Cost, d.Wait, d.QueueWait, d.Tokens
 				return &destination{choice: choice, decision: d, owner: q.g.o.GroupOwner}
 			}
@@ -117,7 +117,7 @@
 	if offer == nil {
 		return nil
 	}
-	address := place.ChooseInstance(q.g.o.Self, q.reachablePeers(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
+	address := place.ChooseInstance(q.g.o.Self, q.reachablePeers(now, offer.Region), q.g.o.Peers.HasIdle, q.g.uniform())
 	return &destination{peer: Peer{Address: address, Region: offer.Region}, waitMs: offer.Wait()}
 }
 
--- a/ports/sequence_test.go
+++ b/ports/sequence_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a caller reads chunks twice, in a wrong order, or another's.
-// Events: chunks come doubled, swapped within a window, mixed with another
-// attempt's, or one is missing.
-// Cause: passing on in the order of arrival.
+// Guards against a caller that reads chunks twice, in a wrong order, or of another
+// attempt: chunks come duplicated, swapped within a window, mixed with another
+// attempt's, or one is missing, and are relayed in the order of arrival.
 func TestSequencerDeliversEachChunkOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "chunks")
@@ -34,11 +33,11 @@
 		s := NewSequencer("a", uint64(after))
 		for _, i := range arrivals {
 			if rapid.Bool().Draw(t, "foreign") {
-				if ready, _ := s.Take([]byte("b"), s.Next(), []byte("x")); ready {
+				if ready, _ := s.Accept([]byte("b"), s.Next(), []byte("x")); ready {
 					t.Fatal("a foreign chunk was delivered")
 				}
 			}
-			ready, err := s.Take([]byte("a"), uint64(i), fmt.Append(nil, i))
+			ready, err := s.Accept([]byte("a"), uint64(i), fmt.Append(nil, i))
 			if err != nil {
 				if missing == 0 {
 					t.Fatalf("gap with none missing: %v", err)
@@ -48,7 +47,7 @@
 			if ready {
 				got = append(got, fmt.Sprint(i))
 			}
-			for data, ok := s.Held(); ok; data, ok = s.Held() {
+			for data, ok := s.TakeHeld(); ok; data, ok = s.TakeHeld() {
 				got = append(got, string(data))
 			}
 		}
--- a/settings/site_test.go
+++ b/settings/site_test.go
@@ -12,7 +12,8 @@
 	"github.com/gullhaven/gullhaven/settings"
 )
 
-// coreSettings are those of a core instance, with one value changed; nil leaves it out.
+// coreSettings writes the settings of a core instance to a file, with one value changed or, if
+// nil, left out, and returns its path.
 func coreSettings(t *testing.T, key string, value any) string {
 	t.Helper()
 	listen := map[string]any{"operators": "10.0.0.1:80", "instances": "10.0.0.1:90"}
@@ -20,10 +21,10 @@
 		"instance": "core-1", "region": "r", "zone": "z", "regions": map[string]string{"z": "r"}, "listen": listen,
 		"seeds": []string{"10.0.0.1:80", "10.0.0.2:80"}, "data_dir": "/data", "instance_list": "10.0.0.9:80", "later": 1,
 	}
-	for name, held := range map[string]map[string]any{"": all, "listen.": listen} {
-		for field := range held {
+	for name, fields := range map[string]map[string]any{"": all, "listen.": listen} {
+		for field := range fields {
 			if key == name+field && value == nil {
-				delete(held, field)
+				delete(fields, field)
 			}
 		}
 	}
@@ -46,7 +47,7 @@
 }
 
 func TestSiteSettings(t *testing.T) {
-	Convey("defaults and what is derived; unknown fields are ignored", t, func() {
+	Convey("defaults and derived values; unknown fields are ignored", t, func() {
 		s, err := settings.LoadSite(coreSettings(t, "", nil))
 		So(err, ShouldBeNil)
 		So(s.Grace(), ShouldEqual, 8*time.Second)
@@ -55,7 +56,7 @@
 		So(s.Listen.BindInstances(), ShouldEqual, "10.0.0.1:90")
 		So(s.FirstStart, ShouldBeFalse)
 	})
-	Convey("an instance may listen elsewhere than where others reach it", t, func() {
+	Convey("the listen address may differ from the one for others", t, func() {
 		s, err := settings.LoadSite(coreSettings(t, "listen.instances_bind", "127.0.0.1:91"))
 		So(err, ShouldBeNil)
 		So(s.Listen.BindInstances(), ShouldEqual, "127.0.0.1:91")
@@ -72,7 +73,7 @@
 			So(err, ShouldNotBeNil)
 		})
 	}
-	Convey("a file that is not there, and one that is not JSON", t, func() {
+	Convey("a missing file, and one that is not JSON", t, func() {
 		_, err := settings.LoadSite(filepath.Join(t.TempDir(), "none"))
 		So(err, ShouldNotBeNil)
 		path := filepath.Join(t.TempDir(), "settings.json")
