--- a/node/entry/fetch.go
+++ b/node/entry/fetch.go
@@ -40,7 +40,8 @@
 	// wake has a buffer of one: there may be something to request.
 	wake chan struct{}
 
-	// The fields below are used by the goroutine that runs fetch.
+	// The fields below are written by the goroutine that runs fetch, with mu held. Others need mu to
+	// read them.
 
 	// frame holds the pieces around the routes, and groups the routes, of the active configuration.
 	frame  map[pieces.Digest][]byte
@@ -54,8 +55,8 @@
 	return f
 }
 
-// hasPiece is called by the transfer under mu, and by the fetch goroutine, which writes what it
-// reads.
+// hasPiece reports whether the active configuration contains a piece. f.mu must be held, except in
+// the goroutine that runs fetch.
 func (f *fetcher) hasPiece(d pieces.Digest) bool { return f.groups[d] != nil || f.frame[d] != nil }
 
 // want requests the document of a state that a core instance has reported.
--- a/node/entry/follow.go
+++ b/node/entry/follow.go
@@ -30,7 +30,7 @@
 	// instance.
 	reportTimeout = 700 * time.Millisecond
 	// compareInterval is the time between two reports to a second core instance: the followed one
-	// may be cut off from the others without knowing it yet.
+	// may be partitioned from the others without having detected it yet.
 	compareInterval = 1500 * time.Millisecond
 	// probeWait is how long a core instance may hold a probe back while it has neither a state nor
 	// a leader.
--- a/node/entry/poison.go
+++ b/node/entry/poison.go
@@ -34,7 +34,7 @@
 // a day.
 const poisonTTL = 10 * time.Minute
 
-// maxPending bounds the entries of one report.
+// maxPending bounds the entries that wait for the next report; the oldest are dropped.
 const maxPending = 256
 
 func newPoisonRequests(log *zap.Logger) *poisonRequests {
--- a/node/feed/aggregate.go
+++ b/node/feed/aggregate.go
@@ -214,9 +214,9 @@
 
 // loadKnown reports whether the load of a region is known.
 //
-// Without it, if the core instances of a region are cut off and its entry instances are not, its
-// targets would be listed without loads. The region would look idle, and all others would forward
-// requests to it.
+// Without it, if the core instances of a region are partitioned and its entry instances are not,
+// its targets would be listed without loads. The region would look idle, and all others would
+// forward requests to it.
 func (st *Store) loadKnown(agg *aggregate, region string) bool {
 	return region == st.self.Region || agg.at.Sub(st.regionSums[region].receivedAt) < CoreTTL
 }
--- a/node/feed/feed_test.go
+++ b/node/feed/feed_test.go
@@ -79,8 +79,8 @@
 
 // Guards against requests bound to two regions that are sent to the third one, which must forward
 // all of them: all entry instances of a region leave at once, its callers ask the directory, and it
-// names all other regions equally, or, as some unused route of the host is bound elsewhere, only
-// one that all routes allow.
+// names all other regions equally, or only one that all routes allow, because some unused route of
+// the host is bound elsewhere.
 func TestDirectoryPrefersHomeRegions(t *testing.T) {
 	entries := []feed.Entry{
 		{Region: "a", CallerAddress: "a1"}, {Region: "b", CallerAddress: "b1", Ready: true}, {Region: "c", CallerAddress: "c1", Ready: true},
@@ -98,8 +98,8 @@
 
 // Guards against refusing a tenth of the requests of a route with home regions during a planned
 // restart of all entry instances, two seconds apart: those of both home regions leave at the same
-// time, those of the third region are back, and the directory gives these to all callers, as it
-// takes a leaving instance for gone, though it accepts requests for 3 s.
+// time, those of the third region are back, and the directory gives these to all callers,
+// because it treats a leaving instance as removed, though it accepts requests for 3 s.
 func TestDirectoryNamesLeavingInstances(t *testing.T) {
 	leaving := func(region, callers string) feed.Entry {
 		return feed.Entry{Region: region, CallerAddress: callers, Leaving: true}
--- a/node/feed/store.go
+++ b/node/feed/store.go
@@ -186,7 +186,8 @@
 }
 
 // comparisonMinAge is how old the last report of an entry instance must be for a core instance that
-// it does not follow to forward its brief report: the followed one may be cut off from the others.
+// it does not follow to forward its brief report: the followed one may be partitioned from the
+// others.
 const comparisonMinAge = 1500 * time.Millisecond
 
 // AddComparison stores the brief report of an entry instance that follows another core instance,
--- a/node/feed/suspects.go
+++ b/node/feed/suspects.go
@@ -15,8 +15,8 @@
 	maxSuspects = 512
 )
 
-// suspectRecord is forwarded for suspectTTL; if direct, that is reported here by an entry instance,
-// to other core instances too.
+// suspectRecord is sent to entry instances for suspectTTL. If an entry instance reported it here
+// (direct), it is sent to other core instances too.
 type suspectRecord struct {
 	entry      suspect.Entry
 	receivedAt time.Time
