--- a/node/claims.go
+++ b/node/claims.go
@@ -74,8 +74,8 @@
 }
 
 // observe records a member's incarnation. An earlier one has ended once a later one is seen. A
-// member that only seems dead is not reported: if it was cut off it still runs what it claimed,
-// and would be refused every claim afterwards.
+// member that only seems dead is not reported: if it is partitioned it still runs what it
+// claimed, and would be refused every claim afterwards.
 func (k *claimKeeper) observe(m membership.Member) {
 	start := members.DecodeMeta(m).StartMillis
 	if start == 0 {
--- a/node/control/reports.go
+++ b/node/control/reports.go
@@ -67,7 +67,7 @@
 // confirmFirst tries to confirm the accepted state for an instance that has just started. This
 // member may lag, and the instance would begin with a version older than one acknowledged
 // before its start. If no majority answers in time, the instance begins with what this member
-// holds, which was accepted: a region that is cut off serves its callers, and after a power
+// holds, which was accepted: a partitioned region serves its callers, and after a power
 // loss of all, nobody waits for an election. A member without a leader answers at once: if
 // there is a leader, the instance learns newer states from the other members, which it asks at
 // the same time.
--- a/node/node.go
+++ b/node/node.go
@@ -70,7 +70,7 @@
 	Log      *zap.Logger
 	// DrainTime bounds the wait for requests in progress at Stop; default 60 s.
 	DrainTime time.Duration
-	// AllowPeer, if set, cuts the links to peers for which it returns false.
+	// AllowPeer, if set, blocks the peers for which it returns false, as a partition does.
 	AllowPeer func(peer string) bool
 }
 
@@ -266,18 +266,18 @@
 }
 
 // Stop leaves gracefully: the others stop naming this instance to callers, new requests are
-// refused, and those in progress get DrainTime to end. It returns how many were cut off.
+// refused, and those in progress get DrainTime to end. It returns how many were interrupted.
 func (n *Node) Stop() int64 {
 	close(n.draining)
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	n.members.Leave(ctx)
 	cancel()
 	n.drain()
-	cut := n.pipeline.InFlight()
+	interrupted := n.pipeline.InFlight()
 	n.cancel()
 	n.wg.Wait()
 	n.close()
-	return cut
+	return interrupted
 }
 
 // drain waits for the requests in progress, up to DrainTime.
--- a/node/registered/doc.go
+++ b/node/registered/doc.go
@@ -30,7 +30,7 @@
 // is kept and lost together with the table: each replica that holds one holds
 // the other, a wiped disk loses both, a readmitted member gets both, and there
 // is no order of two syncs to consider. So a region that restarts while it is
-// cut off goes on serving claims. A region that is cut off at its very first
+// partitioned goes on serving claims. A region that is partitioned at its first
 // start, or at the first one after a loss, refuses claims until it has reached
 // the global group once.
 //
@@ -52,7 +52,7 @@
 //
 // # Limits
 //
-// If an instance is replaced while the old one still runs somewhere cut off, two
+// If an instance is replaced while the old one still runs in a partition, two
 // groups of one region live at the same time. That is not told apart from a
 // loss: the new group waits, and then both grant. A disk restored from an old
 // copy is not noticed. If all voters of the global group are wiped, all
--- a/node/rollout/machine_test.go
+++ b/node/rollout/machine_test.go
@@ -106,8 +106,8 @@
 }
 
 // Guards against a snapshot without the registrations or the longest claim lifetime, also one
-// that was written before regions registered. After a voter's restart, a wiped region would
-// count as a first one.
+// that was written before regions registered. After a voter's restart, a wiped region
+// would be admitted without a wait, like one that registers for the first time.
 func TestSnapshotHoldsBundlesAndGroups(t *testing.T) {
 	lifetime := uint32(bundletest.Sample().Rules.ClaimLifetimeSeconds)
 	machine := rollout.NewMachine(bundle.Trust{}, nil, func(*bundle.Signed) {})
