--- a/coord/registry/table_test.go
+++ b/coord/registry/table_test.go
@@ -75,7 +75,7 @@
 		t.Fatalf("%+v for %+v", res, r)
 	}
 	if first, known := w.results[group]; known && first != res {
-		t.Fatalf("group %d was told %+v and then %+v", group, first, res)
+		t.Fatalf("group %d got %+v and then %+v", group, first, res)
 	} else if !known {
 		w.servesFrom[group] = w.now + int64(res.WaitSeconds)
 	}
@@ -91,10 +91,10 @@
 	r := rapid.SampledFrom(w.requests).Draw(t, "again")
 	res := w.apply(t, r)
 	if res.Reply == registry.Granted && res != w.results[r.Group] {
-		t.Fatalf("group %d was told %+v and then %+v", r.Group, w.results[r.Group], res)
+		t.Fatalf("group %d got %+v and then %+v", r.Group, w.results[r.Group], res)
 	}
 	if _, holds := w.results[w.current[r.Name]]; holds && r.Group != w.current[r.Name] && res.Reply != registry.Replaced {
-		t.Fatalf("lost group %d is told %+v", r.Group, res)
+		t.Fatalf("lost group %d got %+v", r.Group, res)
 	}
 }
 
--- a/coord/replhost/calls.go
+++ b/coord/replhost/calls.go
@@ -28,9 +28,9 @@
 	done  chan outcome // capacity 1
 
 	// The fields below are guarded by calls.mu.
-	position  replog.Position
-	readID    uint64
-	forgotten bool
+	position replog.Position
+	readID   uint64
+	removed  bool
 }
 
 func newCall() *call { return &call{done: make(chan outcome, 1)} }
@@ -66,7 +66,7 @@
 func (cs *calls) addProposal(c *call, p replog.Position) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if !c.forgotten {
+	if !c.removed {
 		c.position = p
 		cs.proposals[p.Index] = append(cs.proposals[p.Index], c)
 	}
@@ -75,17 +75,18 @@
 func (cs *calls) addRead(c *call, id uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if !c.forgotten {
+	if !c.removed {
 		c.readID = id
 		cs.reads[id] = c
 	}
 }
 
-// forget removes a call whose caller has given up.
-func (cs *calls) forget(c *call) {
+// remove removes a call that has failed or whose caller has given up. The call cannot be
+// added afterwards.
+func (cs *calls) remove(c *call) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	c.forgotten = true
+	c.removed = true
 	delete(cs.reads, c.readID)
 	waiting := cs.proposals[c.position.Index]
 	for i, other := range waiting {
--- a/coord/replhost/cluster_test.go
+++ b/coord/replhost/cluster_test.go
@@ -290,8 +290,8 @@
 	return false
 }
 
-// check compares the state machines with what callers were told, after a read at each
-// node.
+// check compares the state machines with the results that callers got, after a read at
+// each node.
 func (c *cluster) check() {
 	if !c.flush() {
 		c.fail("no proposal went through: %s", c.states())
@@ -327,7 +327,7 @@
 	seen := map[string]bool{}
 	for _, item := range items {
 		if seen[item] || c.notRun[item] {
-			c.fail("%s: twice %v, told not run %v", item, seen[item], c.notRun[item])
+			c.fail("%s: twice %v, reported as not run %v", item, seen[item], c.notRun[item])
 		}
 		seen[item] = true
 	}
--- a/coord/replhost/requests.go
+++ b/coord/replhost/requests.go
@@ -118,7 +118,7 @@
 		err.Verdict = verdict.NotRun
 		return nil, err
 	}
-	n.calls.forget(c)
+	n.calls.remove(c)
 	select {
 	case o := <-c.done:
 		return o.unpack()
@@ -187,7 +187,7 @@
 	id := l.node.opts.Random()
 	l.node.calls.addRead(b.call, id)
 	if err := l.core.ReadIndex(now, id); err != nil {
-		l.node.calls.forget(b.call)
+		l.node.calls.remove(b.call)
 		b.call.end(outcome{err: coreError(err, "")})
 	}
 }
--- a/coord/replhost/store_test.go
+++ b/coord/replhost/store_test.go
@@ -127,7 +127,7 @@
 	cs.addProposal(skipped, replog.Position{Term: 5, Index: 12})
 	cs.addProposal(abandoned, replog.Position{Term: 5, Index: 13})
 	cs.endApplied(replog.Entry{Term: 5, Index: 10}, []byte("result"))
-	cs.forget(abandoned)
+	cs.remove(abandoned)
 	cs.endCovered(12)
 	if o := <-lost.done; o.err == nil || o.err.Verdict != verdict.NotRun || o.err.Code != CodeSuperseded {
 		t.Fatalf("the superseded proposal ended with %+v", o)
--- a/coord/replog/node.go
+++ b/coord/replog/node.go
@@ -94,8 +94,8 @@
 		rng: rand.New(rand.NewPCG(o.Seed, o.Self.Incarnation)),
 	}
 	if n.hs.Group == o.Self.Incarnation && l.last() == 0 {
-		// The founder stopped while it wrote the first entry. It has told nobody about
-		// the group, and probes again.
+		// The founder stopped while it wrote the first entry. It has announced the group
+		// to nobody, and probes again.
 		n.hs = HardState{}
 	}
 	n.out.synced, n.out.emitted = n.hs, n.hs
--- a/coord/replog/repair_test.go
+++ b/coord/replog/repair_test.go
@@ -119,12 +119,12 @@
 // Guards against a leader that serves reads or holds a lease after a long stop. It is
 // frozen for three election timeouts while the others elect a successor, and resumes
 // with its old state and messages. Its lease must end by its own clock.
-func TestFrozenLeaderWakesWithoutLease(t *testing.T) {
+func TestFrozenLeaderResumesWithoutLease(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newServingSim(t, seed, 3)
 		h := s.currentLeader()
 		s.freeze(h)
-		h.thawAt = s.now + 3*simElection
+		h.frozenUntil = s.now + 3*simElection
 		s.run(3*simElection-simStep, nil)
 		if s.currentLeader() == nil || s.currentLeader() == h {
 			t.Fatalf("seed %d: no successor", seed)
--- a/coord/replog/replog_test.go
+++ b/coord/replog/replog_test.go
@@ -61,9 +61,9 @@
 }
 
 func (s *sim) freeze(h *host) {
-	if h.node != nil && h.thawAt == 0 {
+	if h.node != nil && h.frozenUntil == 0 {
 		h.frozenAt = s.local(h)
-		h.thawAt = s.now + time.Duration(s.rng.Int64N(int64(4*simElection)))
+		h.frozenUntil = s.now + time.Duration(s.rng.Int64N(int64(4*simElection)))
 	}
 }
 
@@ -113,7 +113,7 @@
 			if s.rng.IntN(60) == 0 {
 				s.start(id)
 			}
-		case s.now < h.thawAt:
+		case s.now < h.frozenUntil:
 		case s.rng.IntN(s.meanProposalSteps) == 0:
 			s.proposed++
 			_, _ = h.node.Propose(s.local(h), fmt.Appendf(nil, "%s-%d", id, s.proposed))
--- a/coord/replog/rules_test.go
+++ b/coord/replog/rules_test.go
@@ -69,17 +69,16 @@
 }
 
 // Guards against a second leader while a lease is held: a vote is requested while this
-// node's promise binds it, after a heartbeat, after a start that may have forgotten
-// one, while it leads, and after it stepped down with a lease returned. bound is when
-// the promise ends.
+// node's promise binds it, after a heartbeat, after a restart (promises
+// are not stored), while it leads, and after it stepped down with a lease returned.
 func TestPromiseBindsVotes(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
 	voterTimeout := simElection + simElection/10 + 1
 	lease := simElection - simElection/10
 	for _, c := range []struct {
-		name    string
-		prepare func(*testing.T) *Node
-		bound   time.Duration
+		name       string
+		prepare    func(*testing.T) *Node
+		promiseEnd time.Duration
 	}{
 		{"start", func(t *testing.T) *Node { return newRestartedNode(t, epoch, conf) }, voterTimeout},
 		{"heartbeat", func(t *testing.T) *Node {
@@ -108,11 +107,11 @@
 			n := c.prepare(t)
 			drainReady(n)
 			vote := Message{Kind: MsgVote, From: mc, Term: 99, Index: 99, LogTerm: 99}
-			step(t, n, epoch.Add(c.bound-1), vote)
+			step(t, n, epoch.Add(c.promiseEnd-1), vote)
 			if out, _ := drainReady(n); len(out) > 0 || n.Status().Term == vote.Term {
 				t.Fatalf("answers %v in term %d while bound", out, n.Status().Term)
 			}
-			step(t, n, epoch.Add(c.bound), vote)
+			step(t, n, epoch.Add(c.promiseEnd), vote)
 			if out, _ := drainReady(n); len(out) != 1 || out[0].Reject {
 				t.Fatalf("answers %v when free", out)
 			}
@@ -124,7 +123,7 @@
 // brings an entry of an earlier term to a majority, commits it and is lost; a node with
 // a later entry of another term is elected. An entry of an earlier term must not count
 // as committed by itself.
-func TestOldTermIsCommittedOnlyBehindOwn(t *testing.T) {
+func TestOldTermIsCommittedOnlyWithOwnTerm(t *testing.T) {
 	conf, _ := confchange.New([]Member{ma, mb, mc}, nil)
 	n := newRestartedNode(t, longAgo, conf)
 	elect(t, n, epoch)
--- a/coord/replog/sim_test.go
+++ b/coord/replog/sim_test.go
@@ -53,19 +53,19 @@
 
 // host is one machine: its disk, its clock, and the node while it runs.
 type host struct {
-	disk     *disk
-	node     *Node
-	rate     float64
-	thawAt   time.Duration
-	frozenAt time.Time
-	inbox    []Message
-	ready    *Ready
-	syncAt   time.Duration
-	applied  uint64
-	chain    uint64
-	reads    map[uint64]uint64
-	lastTerm uint64
-	leaseEnd time.Duration
+	disk        *disk
+	node        *Node
+	rate        float64
+	frozenUntil time.Duration
+	frozenAt    time.Time
+	inbox       []Message
+	ready       *Ready
+	syncAt      time.Duration
+	applied     uint64
+	chain       uint64
+	reads       map[uint64]uint64
+	lastTerm    uint64
+	leaseEnd    time.Duration
 }
 
 type flight struct {
@@ -185,7 +185,7 @@
 		return
 	}
 	h.node, h.inbox, h.ready, h.reads = n, nil, nil, map[uint64]uint64{}
-	h.applied, h.chain, h.thawAt, h.lastTerm = 0, 0, 0, 0
+	h.applied, h.chain, h.frozenUntil, h.lastTerm = 0, 0, 0, 0
 	if h.disk.snapshot != nil {
 		s.restore(h, h.disk.snapshot)
 	}
@@ -251,12 +251,12 @@
 // drive runs one iteration of a host's loop. A host that was frozen had read its clock
 // before it stopped and continues with that time.
 func (s *sim) drive(h *host) {
-	if h.node == nil || s.now < h.thawAt {
+	if h.node == nil || s.now < h.frozenUntil {
 		return
 	}
 	now := s.local(h)
-	if h.thawAt > 0 {
-		now, h.thawAt = h.frozenAt, 0
+	if h.frozenUntil > 0 {
+		now, h.frozenUntil = h.frozenAt, 0
 	}
 	for _, m := range h.inbox {
 		if err := h.node.Step(now, m); err != nil {
@@ -352,7 +352,7 @@
 	var best *host
 	for _, id := range s.ids {
 		h := s.hosts[id]
-		if h.node != nil && s.now >= h.thawAt && h.node.role == Leader && (best == nil || h.node.hs.Term > best.node.hs.Term) {
+		if h.node != nil && s.now >= h.frozenUntil && h.node.role == Leader && (best == nil || h.node.hs.Term > best.node.hs.Term) {
 			best = h
 		}
 	}
--- a/coord/replog/tracker/tracker.go
+++ b/coord/replog/tracker/tracker.go
@@ -141,12 +141,13 @@
 		p.outOfOrder = true
 		return false
 	}
-	p.probe(min(index, maxMatch+1))
+	p.startProbe(min(index, maxMatch+1))
 	return true
 }
 
-// probe searches for the position at which the logs agree, from next on downwards.
-func (p *Progress) probe(next uint64) {
+// startProbe switches to Probe, in which appends search from next downwards for the
+// position up to which the logs agree.
+func (p *Progress) startProbe(next uint64) {
 	p.State, p.inflight, p.probeSent, p.outOfOrder = Probe, nil, false, false
 	p.Next = max(p.Match+1, next)
 }
@@ -166,10 +167,10 @@
 		p.resends++
 	}
 	if p.State == Snapshot {
-		p.probe(p.Match + 1)
+		p.startProbe(p.Match + 1)
 	}
 	if p.outOfOrder {
-		p.probe(p.Match + 1)
+		p.startProbe(p.Match + 1)
 	}
 	p.probeSent = false
 	if len(p.inflight) >= limit {
--- a/coord/wal/doc.go
+++ b/coord/wal/doc.go
@@ -54,7 +54,7 @@
 // segment, or the last segment itself, after reporting them as synced; the
 // newest snapshot's batch number limits this, because a log that ends before it
 // is reported as corrupt. Consequence for a voter: after a power loss on a disk
-// that damages synced data it can forget its last batch (a vote, or the last
+// that damages synced data it can lose its last batch (a vote, or the last
 // entries it accepted). Truncated is also set after harmless crashes, so a host
 // cannot refuse all of them; a host that does not trust its disks can treat
 // Truncated like a wiped disk and have the voter readmitted under a new
