--- a/coord/keys/keys_test.go
+++ b/coord/keys/keys_test.go
@@ -107,7 +107,7 @@
 
 // Guards against an instance that impersonates another whose DNS name differs in
 // case only (MALANG-2 answers where malang-2 was dialled), or that has the names
-// of two, as the handshake's check of host names ignores case and accepts any of
+// of two if the handshake's check of host names ignores case and accepts any of
 // the names.
 func TestIdentityIsCheckedBesideTheHostName(t *testing.T) {
 	ours := authority(t)
@@ -119,7 +119,7 @@
 }
 
 // Guards against an instance that does not start with its saved key, or starts
-// with one that peers refuse, as Load does not check that the parts belong
+// with one that peers refuse, if Load does not check that the parts belong
 // together: files are swapped or of another authority.
 func TestKeysSurviveSavingAndLoading(t *testing.T) {
 	ours := authority(t)
@@ -161,7 +161,7 @@
 }
 
 // Guards against an instance that impersonates one of another region by a name
-// that changes the identity's URI, as names are not checked before they are
+// that changes the identity's URI if names are not checked before they are
 // written into a certificate.
 func TestInvalidNamesAreRefused(t *testing.T) {
 	ours := authority(t)
--- a/coord/link/call_test.go
+++ b/coord/link/call_test.go
@@ -11,9 +11,9 @@
 )
 
 // Guards against a caller that gets NotRun for a request that is sent later, the
-// answer to another call, or two answers, as dropping and sending are not decided
-// by one atomic step. Writes, timeouts, lost connections and answers (also late,
-// duplicate and of the wrong peer) occur in any order.
+// answer to another call, or two answers, if dropping and sending are not
+// decided by one atomic step. Writes, timeouts, lost connections and answers
+// (also late, duplicate and of the wrong peer) occur in any order.
 func TestCallsEndOnceWithACorrectVerdict(t *testing.T) {
 	h, _, _ := newCluster(t).hub("a", nil)
 	rapid.Check(t, func(t *rapid.T) {
@@ -78,7 +78,7 @@
 }
 
 // Guards against malformed batches of a faulty peer that crash an instance or
-// exhaust its memory, as the order and length of frames (chunks without a first
+// exhaust its memory, if the order and length of frames (chunks without a first
 // frame, too many chunks, unknown kinds, noise) are not checked first.
 func TestBadBatchesAreRefused(t *testing.T) {
 	for name, frames := range map[string][]frame{
--- a/coord/link/link_test.go
+++ b/coord/link/link_test.go
@@ -15,8 +15,8 @@
 	"github.com/gullhaven/gullhaven/coord/verdict"
 )
 
-// Guards against long messages that arrive corrupted, as chunks are split or
-// joined wrongly, and against a second connection, as a connected peer dials.
+// Guards against long messages that arrive corrupted if chunks are split or
+// joined wrongly, and against a second connection if a connected peer dials.
 // Messages of all lengths around a chunk are sent to a peer and back.
 func TestMessagesArriveWholeAndInOrderBothWays(t *testing.T) {
 	c := newCluster(t)
@@ -52,9 +52,9 @@
 	}
 }
 
-// Guards against a leader that loses leadership while it sends a snapshot, as its
-// heartbeats wait behind a long message in the same queue or behind one that is
-// written in one piece.
+// Guards against a leader that loses leadership while it sends a snapshot, if
+// its heartbeats wait behind a long message in the same queue or behind one that
+// is written in one piece.
 func TestUrgentMessagesOvertakeLongOnes(t *testing.T) {
 	c := newCluster(t)
 	h, _, _ := c.hub("a", nil)
@@ -91,8 +91,8 @@
 	}
 }
 
-// Guards against a follower that gets heartbeats from minutes ago after an outage,
-// as queued messages are written whatever their age.
+// Guards against a follower that gets heartbeats from minutes ago after an
+// outage, if queued messages are written whatever their age.
 func TestStaleMessagesAreNotWritten(t *testing.T) {
 	h, _, _ := newCluster(t).hub("a", nil)
 	p := newPeer(h, "b")
@@ -106,10 +106,10 @@
 	}
 }
 
-// Guards against a caller that gets NotRun for a request that ran, or can't retry
-// one that did not run, as the verdict does not match how far the request got: the
-// handler fails, is missing or busy, the peer is down, or the caller's context has
-// ended.
+// Guards against a caller that gets NotRun for a request that ran, or can't
+// retry one that did not run, if the verdict does not match how far the request
+// got: the handler fails, is missing or busy, the peer is down, or the caller's
+// context has ended.
 func TestCallEndsWithTheRightVerdict(t *testing.T) {
 	c := newCluster(t)
 	a, b := c.instance("a", nil), c.instance("b", func(o *Options) { o.RingSize = 1 })
@@ -179,8 +179,8 @@
 	}
 }
 
-// Guards against a request that runs twice, as a lost connection counts as NotRun,
-// and against a caller that waits forever, as calls do not end with their
+// Guards against a request that runs twice if a lost connection counts as
+// NotRun, and against a caller that waits forever if calls do not end with their
 // connection: the peer ends or is frozen while it handles a request.
 func TestCallsOnALostConnectionMayHaveRun(t *testing.T) {
 	c := newCluster(t)
@@ -241,7 +241,7 @@
 	}
 }
 
-// Guards against a foreign process that exchanges messages with instances, as the
+// Guards against a foreign process that exchanges messages with instances if the
 // link does not check keys on both sides: it connects without a valid key, or
 // listens at the former address of an instance.
 func TestInstancesOfOtherAuthoritiesGetNoLink(t *testing.T) {
@@ -274,7 +274,7 @@
 }
 
 // Guards against simulated partitions that let messages through on a connection
-// that was open before, as AllowPeer is only called when connecting.
+// that was open before, if AllowPeer is only called when connecting.
 func TestAllowPeerBlocksAnOpenPair(t *testing.T) {
 	c := newCluster(t)
 	var blocked atomic.Bool
@@ -312,7 +312,7 @@
 }
 
 // Guards against all peers dialling an instance at the same moment when it comes
-// back, as waits have no jitter or growth, and against waits without a maximum,
+// back, if waits have no jitter or growth, and against waits without a maximum,
 // after any number of failed attempts.
 func TestBackoffGrowsWithJitterToItsMaximum(t *testing.T) {
 	o := Options{MinBackoff: time.Millisecond, MaxBackoff: 50 * time.Millisecond}
--- a/coord/link/writer.go
+++ b/coord/link/writer.go
@@ -152,7 +152,8 @@
 	}
 }
 
-// fillBatch adds frames to a batch until it has batchBytes or no item waits.
+// fillBatch adds frames to a batch, of it first unless it is nil, until the batch has
+// batchBytes or no item waits.
 func (p *peer) fillBatch(batch *bytes.Buffer, c *conn, it *item) {
 	if p.out.partialOn != c {
 		p.dropPartial()
--- a/coord/membership/group_test.go
+++ b/coord/membership/group_test.go
@@ -17,11 +17,11 @@
 // comparisons.
 const convergeTime = 90 * time.Second
 
-// Guards against views that stay wrong after faults: a running instance is
-// never used again, a crashed one gets requests forever, or one that left comes
-// back, as a state goes back, isn't refuted or isn't probed again. Faults are
-// loss, delay, duplicates, partitions, crashes, restarts with a lagging clock,
-// freezes and leaving, in any order, before the network heals.
+// Guards against views that stay wrong after faults: a running instance is never
+// used again, a crashed one gets requests forever, or one that left comes back,
+// if a state goes back, isn't refuted or isn't probed again. Faults are loss,
+// delay, duplicates, partitions, crashes, restarts with a lagging clock, freezes
+// and leaving, in any order, before the network heals.
 func TestViewsConvergeAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 8).Draw(t, "members")
@@ -78,7 +78,7 @@
 }
 
 // Guards against requests to an instance long after it crashed without leaving,
-// as a suspicion does not end or an update does not reach all, in groups of
+// if a suspicion does not end or an update does not reach all, in groups of
 // several sizes.
 func TestCrashIsDetectedByAllInTime(t *testing.T) {
 	cfg := DefaultConfig()
@@ -274,8 +274,8 @@
 	})
 }
 
-// Guards against messages that are truncated, as updateSize is wrong, and
-// against malformed messages or noise that Decode accepts or panics on.
+// Guards against messages that are truncated if updateSize is wrong, and against
+// malformed messages or noise that Decode accepts or panics on.
 func TestMessagesKeepTheirWireForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := anyUpdate(t)
@@ -320,9 +320,9 @@
 	})
 }
 
-// Guards against relays that change whenever any member leaves, as the choice
-// depends on the order or number of members, and against losing both relays
-// with one zone.
+// Guards against relays that change whenever any member leaves, if the choice
+// depends on the order or number of members, and against losing both relays with
+// one zone.
 func TestRelaysAreStableAndInTwoZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var view []View
--- a/coord/pieces/transfer_test.go
+++ b/coord/pieces/transfer_test.go
@@ -188,9 +188,10 @@
 	})
 }
 
-// Guards against a series of versions of which none is in force until the last has arrived,
-// as each one aborts the transfer of the one before: they follow every 100 ms while a manifest
-// and a piece take 160 ms each, as from another region.
+// Guards against a series of versions of which none is in force until the last
+// has arrived, if each one aborts the transfer of the one before: they follow
+// every 100 ms while a manifest and a piece take 160 ms each, as from another
+// region.
 func TestRapidVersionsAreInstalledMeanwhile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t)
--- a/coord/ring/ring_test.go
+++ b/coord/ring/ring_test.go
@@ -42,8 +42,8 @@
 	})
 }
 
-// Guards against goroutines that leak when their instance is stopped, as Pop on an
-// empty ring or Push on a full one ignores the end of its context.
+// Guards against goroutines that leak when their instance is stopped, if Pop on
+// an empty ring or Push on a full one ignores the end of its context.
 func TestWaitingEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/coord/roster/roster_test.go
+++ b/coord/roster/roster_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// Guards against spillover to a partitioned region, as its last message counts
+// Guards against spillover to a partitioned region if its last message counts
 // without a timeout, and against a region that is never found again after a
-// partition, as messages go only to relays that failed meanwhile.
+// partition if messages go only to relays that failed meanwhile.
 func TestReachabilityFollowsTheNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(3, 3)
@@ -165,8 +165,8 @@
 	}
 }
 
-// Guards against traffic that grows with the square of the instances of a
-// region, as relays do not divide the members among them.
+// Guards against traffic that grows with the square of the instances of a region
+// if relays do not divide the members among them.
 func TestMessagesDoNotGrowWithMembers(t *testing.T) {
 	for _, size := range []int{3, 9, 30} {
 		sim := newSimulation(3, size)
