--- a/bundle/acceptance/machine_test.go
+++ b/bundle/acceptance/machine_test.go
@@ -22,7 +22,7 @@
 // history that all replicas share.
 func TestRacesAndResends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newSimulation()
 		t.Repeat(map[string]func(*rapid.T){
 			"roll":    w.proposeBundle,
 			"resend":  w.resend,
@@ -43,8 +43,8 @@
 	result  bundle.Result
 }
 
-// world holds a log, its replicas and an independent record of winners.
-type world struct {
+// simulation holds a log, its replicas and an independent record of winners.
+type simulation struct {
 	log      [][]byte
 	machines [replicas]*acceptance.Machine
 	sent     []proposal
@@ -52,8 +52,8 @@
 	last     uint64
 }
 
-func newWorld() *world {
-	w := &world{winners: map[uint64]bundle.Digest{}}
+func newSimulation() *simulation {
+	w := &simulation{winners: map[uint64]bundle.Digest{}}
 	for i := range w.machines {
 		w.machines[i] = acceptance.New()
 	}
@@ -61,7 +61,7 @@
 }
 
 // parent draws an accepted bundle, mostly the last one.
-func (w *world) parent(t *rapid.T) (uint64, bundle.Digest) {
+func (w *simulation) parent(t *rapid.T) (uint64, bundle.Digest) {
 	if w.last == 0 {
 		return 0, ""
 	}
@@ -71,7 +71,7 @@
 }
 
 // proposeBundle proposes a random bundle at one of the replicas.
-func (w *world) proposeBundle(t *rapid.T) {
+func (w *simulation) proposeBundle(t *rapid.T) {
 	version, parent := w.parent(t)
 	b := bundletest.Sample()
 	b.Version = version + rapid.SampledFrom([]uint64{1, 1, 1, 1, 2}).Draw(t, "step")
@@ -93,7 +93,7 @@
 }
 
 // resend proposes an earlier bundle again, as the same command or encoded again.
-func (w *world) resend(t *rapid.T) {
+func (w *simulation) resend(t *rapid.T) {
 	if len(w.sent) == 0 {
 		t.Skip("nothing sent yet")
 	}
@@ -109,7 +109,7 @@
 }
 
 // proposeGarbage proposes what a faulty proposer may write to the log.
-func (w *world) proposeGarbage(t *rapid.T) {
+func (w *simulation) proposeGarbage(t *rapid.T) {
 	command := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes")
 	if len(w.sent) > 0 && rapid.Bool().Draw(t, "cut") {
 		whole := rapid.SampledFrom(w.sent).Draw(t, "sent").command
@@ -128,7 +128,7 @@
 }
 
 // apply appends a command to the log; all replicas must return the same result.
-func (w *world) apply(t *rapid.T, command []byte) bundle.Result {
+func (w *simulation) apply(t *rapid.T, command []byte) bundle.Result {
 	w.log = append(w.log, command)
 	index := uint64(len(w.log))
 	var first bundle.Result
@@ -148,7 +148,7 @@
 }
 
 // propose applies a command and compares the result with the expected one.
-func (w *world) propose(t *rapid.T, r proposal) {
+func (w *simulation) propose(t *rapid.T, r proposal) {
 	winner, decided := w.winners[r.id.Version]
 	r.result = w.apply(t, r.command)
 	switch {
@@ -172,7 +172,7 @@
 
 // mustBeSigned compares the number of sign-offs with what the previous bundle
 // requires.
-func (w *world) mustBeSigned(t *rapid.T, r proposal) {
+func (w *simulation) mustBeSigned(t *rapid.T, r proposal) {
 	needed := r.signed.Bundle.SignOffs
 	for _, earlier := range w.sent {
 		if w.last > 0 && earlier.id.Digest == w.winners[w.last] {
@@ -186,7 +186,7 @@
 
 // restart restarts a replica from its snapshot or from an empty disk, and replays
 // the whole log.
-func (w *world) restart(t *rapid.T) {
+func (w *simulation) restart(t *rapid.T) {
 	i := rapid.IntRange(0, replicas-1).Draw(t, "replica")
 	fresh := acceptance.New()
 	if rapid.Bool().Draw(t, "snapshot") {
@@ -209,7 +209,7 @@
 }
 
 // check requires that the last winner is in force at all replicas.
-func (w *world) check(t *rapid.T) {
+func (w *simulation) check(t *rapid.T) {
 	for i, machine := range w.machines {
 		id := machine.Identity()
 		if id.Version != w.last || id.Digest != w.winners[w.last] {
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -78,7 +78,7 @@
 }
 
 // Guards against two instances that have the same digest in force but decide
-// differently, as the digest, the sections, the delta or the diff omit a field. A
+// differently, if the digest, the sections, the delta or the diff omit a field. A
 // change of each field must show in all four.
 func TestEachFieldCounts(t *testing.T) {
 	before := bundletest.Sample()
--- a/bundle/decode_test.go
+++ b/bundle/decode_test.go
@@ -11,8 +11,8 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// Guards against a limit that an operator set but that is not in force, as the
-// field's name is misspelled, repeated or in another case, and is ignored.
+// Guards against a limit that an operator set but that is not in force, if a field
+// whose name is misspelled, repeated or in another case is ignored.
 func TestDecodeIsStrict(t *testing.T) {
 	cases := []struct{ name, document, want string }{
 		{"unknown field", `{"regions":[{"id":"a","zone":[]}]}`, `regions[0].zone: unknown field; known are id, zones,`},
--- a/bundle/spread/simulation_test.go
+++ b/bundle/spread/simulation_test.go
@@ -9,9 +9,9 @@
 	"github.com/gullhaven/gullhaven/bundle/bundletest"
 )
 
-// world simulates a set of instances, the accepted bundles and the messages between
-// instances, in virtual time.
-type world struct {
+// simulation runs instances in virtual time, with the bundles accepted so far and the
+// messages between instances.
+type simulation struct {
 	now       time.Time
 	rng       *rand.Rand
 	peers     []Peer
@@ -38,8 +38,8 @@
 	data     []byte
 }
 
-func newWorld(seed uint64, regions, perRegion, voters int) *world {
-	w := &world{
+func newSimulation(seed uint64, regions, perRegion, voters int) *simulation {
+	w := &simulation{
 		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 1)), isolated: map[string]bool{},
 		cores: map[string]*Core{}, installed: map[string]uint64{}, rates: map[string]int{}, freeAt: map[string]time.Time{},
 		received: map[string]int{},
@@ -59,7 +59,7 @@
 }
 
 // start starts or restarts an instance without a bundle.
-func (w *world) start(p Peer) {
+func (w *simulation) start(p Peer) {
 	c := New(p, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
 	var view []Peer
 	for _, other := range w.peers {
@@ -74,7 +74,7 @@
 
 // accept makes the next bundle by applying change to the last one, or to base if there is
 // none, and offers it to all voters that aren't isolated.
-func (w *world) accept(base *bundle.Bundle, change func(*bundle.Bundle)) {
+func (w *simulation) accept(base *bundle.Bundle, change func(*bundle.Bundle)) {
 	var next bundle.Bundle
 	if base != nil {
 		next = *base
@@ -98,7 +98,7 @@
 	}
 }
 
-func (w *world) offer(id string) {
+func (w *simulation) offer(id string) {
 	out, err := w.cores[id].Offer(w.now, w.accepted[len(w.accepted)-1])
 	if err != nil {
 		panic(err)
@@ -107,7 +107,7 @@
 }
 
 // handleOutput sends the messages that a call of a Core returned and checks what it installed.
-func (w *world) handleOutput(id string, out []Out) {
+func (w *simulation) handleOutput(id string, out []Out) {
 	if s := w.cores[id].TakeInstalled(); s != nil {
 		w.checkInstalled(id, s)
 	}
@@ -124,7 +124,7 @@
 }
 
 // transmittedAt returns when bytes that are sent now have passed the link to an instance.
-func (w *world) transmittedAt(to string, bytes int) time.Time {
+func (w *simulation) transmittedAt(to string, bytes int) time.Time {
 	rate := w.rates[to]
 	if rate == 0 {
 		return w.now
@@ -138,7 +138,7 @@
 }
 
 // checkInstalled records a failure for a version that goes back or was never accepted.
-func (w *world) checkInstalled(id string, s *bundle.Signed) {
+func (w *simulation) checkInstalled(id string, s *bundle.Signed) {
 	if s.Bundle.Version <= w.installed[id] {
 		w.failure = fmt.Sprintf("%s went from version %d to %d", id, w.installed[id], s.Bundle.Version)
 	}
@@ -153,10 +153,10 @@
 	}
 }
 
-func (w *world) region(id string) string { return id[:3] }
+func (w *simulation) region(id string) string { return id[:3] }
 
 // delay returns half a millisecond within a region and 80 ms between two.
-func (w *world) delay(from, to string) time.Duration {
+func (w *simulation) delay(from, to string) time.Duration {
 	if w.region(from) == w.region(to) {
 		return 500 * time.Microsecond
 	}
@@ -164,7 +164,7 @@
 }
 
 // deliver delivers one message unless its sender or receiver is isolated.
-func (w *world) deliver(f flight) {
+func (w *simulation) deliver(f flight) {
 	crosses := w.region(f.from) != w.region(f.to)
 	if w.isolated[f.to] || crosses && (w.isolated[w.region(f.from)] || w.isolated[w.region(f.to)]) {
 		return
@@ -177,7 +177,7 @@
 }
 
 // run delivers messages in the order of time until done returns true or end is reached.
-func (w *world) run(end time.Time, done func() bool) {
+func (w *simulation) run(end time.Time, done func() bool) {
 	nextTick := w.now.Add(TickInterval)
 	for w.now.Before(end) && !done() {
 		i := w.earliest()
@@ -195,7 +195,7 @@
 	}
 }
 
-func (w *world) earliest() int {
+func (w *simulation) earliest() int {
 	best := -1
 	for i, f := range w.inbox {
 		if best < 0 || f.at.Before(w.inbox[best].at) {
@@ -205,14 +205,14 @@
 	return best
 }
 
-func (w *world) tick() {
+func (w *simulation) tick() {
 	for _, p := range w.peers {
 		w.handleOutput(p.ID, w.cores[p.ID].Tick(w.now))
 	}
 }
 
 // behind returns the number of instances without the newest accepted version.
-func (w *world) behind() int {
+func (w *simulation) behind() int {
 	n := 0
 	for _, p := range w.peers {
 		if w.installed[p.ID] != uint64(len(w.accepted)) {
--- a/bundle/spread/slow_test.go
+++ b/bundle/spread/slow_test.go
@@ -23,7 +23,7 @@
 }
 
 func testWholeCopyAt(t *testing.T, rate int) {
-	w := newWorld(11, 3, 3, 3)
+	w := newSimulation(11, 3, 3, 3)
 	base := bundletest.Large(bundletest.Size{Workspaces: 10_000, Targets: 50, Models: 36, Regions: 11, Zones: 40})
 	w.accept(base, changeNote)
 	w.run(w.now.Add(60*time.Second), func() bool { return w.behind() == 0 })
@@ -58,7 +58,7 @@
 	}
 }
 
-func (w *world) peer(id string) Peer {
+func (w *simulation) peer(id string) Peer {
 	for _, p := range w.peers {
 		if p.ID == id {
 			return p
--- a/bundle/spread/spread_test.go
+++ b/bundle/spread/spread_test.go
@@ -20,7 +20,7 @@
 // the lost messages of the tree.
 func TestVersionsOnlyRiseAndAllCatchUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), 3, rapid.IntRange(1, 5).Draw(t, "per region"), 2)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), 3, rapid.IntRange(1, 5).Draw(t, "per region"), 2)
 		t.Repeat(map[string]func(*rapid.T){
 			"accept":  func(t *rapid.T) { w.accept(bundletest.Sample(), changeNote) },
 			"step":    func(t *rapid.T) { w.reorder(t) },
@@ -42,7 +42,7 @@
 }
 
 // catchUpVoters delivers the replicated log's last entry to all voters.
-func (w *world) catchUpVoters() {
+func (w *simulation) catchUpVoters() {
 	for _, p := range w.peers {
 		if p.Voter && len(w.accepted) > 0 {
 			w.offer(p.ID)
@@ -53,7 +53,7 @@
 func changeNote(b *bundle.Bundle) { b.Note = fmt.Sprint("change ", b.Version) }
 
 // reorder delivers, loses or duplicates any message in flight.
-func (w *world) reorder(t *rapid.T) {
+func (w *simulation) reorder(t *rapid.T) {
 	if len(w.inbox) == 0 {
 		return
 	}
@@ -68,17 +68,17 @@
 	}
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *simulation) check(t *rapid.T) {
 	if w.failure != "" {
 		t.Fatal(w.failure)
 	}
 }
 
-// Guards against a change that is reported as in force although one instance
-// lacks it, as nothing reaches it. It happens if members count that have not
-// reported their version.
+// Guards against a change that is reported as in force although an unreachable
+// instance lacks it. It happens if members count that have not reported their
+// version.
 func TestOneInstanceBehindIsNamed(t *testing.T) {
-	w := newWorld(5, 2, 4, 1)
+	w := newSimulation(5, 2, 4, 1)
 	w.accept(bundletest.Sample(), changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return w.behind() == 0 })
 	w.isolated["r01-03"] = true
@@ -97,7 +97,7 @@
 // peer sends a step with forged content and genuine sign-offs of another one; it
 // must not be trusted for what only operators may decide.
 func TestForgedStepsAreRefused(t *testing.T) {
-	w := newWorld(1, 1, 3, 1)
+	w := newSimulation(1, 1, 3, 1)
 	w.accept(bundletest.Sample(), changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return w.behind() == 0 })
 	first := w.accepted[0].Bundle
@@ -133,7 +133,7 @@
 // region lacks it, or that names no instance behind. It happens if an accepted
 // version counts as in force.
 func TestRegionsReportWhoIsBehind(t *testing.T) {
-	w := newWorld(3, 3, 3, 2)
+	w := newSimulation(3, 3, 3, 2)
 	w.accept(bundletest.Sample(), changeNote)
 	w.run(w.now.Add(10*time.Second), func() bool { return false })
 	w.isolated["r02"] = true
@@ -164,7 +164,7 @@
 // seconds, the second state is no newer and is dropped.
 func TestInForceIsReportedWithinASecond(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(seed, 3, 3, 3)
+		w := newSimulation(seed, 3, 3, 3)
 		w.accept(bundletest.Sample(), changeNote)
 		w.run(w.now.Add(10*time.Second), func() bool { return false })
 		w.accept(nil, changeNote)
@@ -182,7 +182,7 @@
 // must take at most 4 s, and 8 KB/s for an instance.
 func TestCostAtSize(t *testing.T) {
 	for _, size := range []struct{ regions, perRegion int }{{3, 1}, {3, 3}, {5, 6}, {9, 10}, {11, 33}} {
-		w := newWorld(7, size.regions, size.perRegion, min(5, size.regions))
+		w := newSimulation(7, size.regions, size.perRegion, min(5, size.regions))
 		base := bundletest.Large(bundletest.Size{Workspaces: 200, Targets: 50, Models: 36, Regions: 11, Zones: 40})
 		w.accept(base, changeNote)
 		w.run(w.now.Add(60*time.Second), func() bool { return w.behind() == 0 })
