--- a/operate/cli/status_table.go
+++ b/operate/cli/status_table.go
@@ -123,12 +123,13 @@
 		q := x.FirstByte
 		t.row(x.Service, x.Region, fmt.Sprintf("%.0f s", x.WindowSeconds), fmt.Sprint(x.Requests), fmt.Sprint(x.Refused),
 			fmt.Sprint(x.Failed), fmt.Sprintf("%.2f%%", x.SpillShare*100), fmt.Sprintf("%.1f", x.TargetSeconds), fmt.Sprintf("%.1f", x.Cost),
-			millis(q.P50), millis(q.P90), millis(q.P99), millis(q.P999))
+			formatMillis(q.P50), formatMillis(q.P90), formatMillis(q.P99), formatMillis(q.P999))
 	}
 	t.end()
 }
 
-func millis(v float64) string { return fmt.Sprintf("%.1f", v) }
+// formatMillis formats milliseconds with one decimal and without the unit.
+func formatMillis(v float64) string { return fmt.Sprintf("%.1f", v) }
 
 // millisText formats milliseconds as a duration; from a minute on, in whole seconds.
 func millisText(millis int64) string {
--- a/operate/load/report.go
+++ b/operate/load/report.go
@@ -128,11 +128,11 @@
 		}
 		if h.duplicateRun != "" {
 			k.DuplicateRuns++
-			t.note("doubled: " + h.duplicateRun)
+			t.addNote("doubled: " + h.duplicateRun)
 		}
 		if h.wrongVerdict != "" {
 			k.WrongVerdicts++
-			t.note("wrong verdict: " + h.wrongVerdict)
+			t.addNote("wrong verdict: " + h.wrongVerdict)
 		}
 	}
 	return k
--- a/operate/load/stream.go
+++ b/operate/load/stream.go
@@ -82,6 +82,7 @@
 	return false
 }
 
+// addData parses the data of an event and reports whether it held a token.
 func (s *stream) addData(data []byte) bool {
 	if s.done || s.errorEvent != nil {
 		s.recordFault("an event follows the last one")
--- a/operate/load/tally.go
+++ b/operate/load/tally.go
@@ -131,8 +131,8 @@
 	t.keys = append(t.keys, h)
 }
 
-// note adds an example to the report.
-func (t *tally) note(text string) {
+// addNote adds an example of a fault to the report, up to maxNotes.
+func (t *tally) addNote(text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.notes) < maxNotes {
