--- a/api/status_test.go
+++ b/api/status_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	want := operate.ServiceStatus{
-		Service: "s", Region: "jatim", WindowSeconds: 300, Requests: 10, Refused: 1, Failed: 2, SpillShare: 0.25, TargetSeconds: 3, Cost: 4,
+		Service: "s", Region: "jatim", WindowSeconds: 300, Requests: 10, Refused: 1, Failed: 2, SpilledShare: 0.25, TargetSeconds: 3, Cost: 4,
 		FirstByte: operate.Quantiles{P50: 1, P90: 2, P99: 3, P999: 4.5},
 	}
 	if read.Services[0] != want {
--- a/bundle/routes/index_test.go
+++ b/bundle/routes/index_test.go
@@ -68,7 +68,7 @@
 		}
 	}
 	weight := func(string) int { return 1 }
-	if got, want := x.RegionWeight("h1", "r", weight), whole.RegionWeight("h1", "r", weight); got != want {
+	if got, want := x.HomeRegionWeight("h1", "r", weight), whole.HomeRegionWeight("h1", "r", weight); got != want {
 		t.Fatalf("weight %d, want %d", got, want)
 	}
 }
--- a/bundle/routes/match.go
+++ b/bundle/routes/match.go
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// RegionWeight returns how much of a host's requests a region may serve: the sum of weight
+// HomeRegionWeight returns how much of a host's requests a region may serve: the sum of weight
 // over the names of the host's routes that allow the region.
-func (x *Index) RegionWeight(host, region string, weight func(route string) int) int {
+func (x *Index) HomeRegionWeight(host, region string, weight func(route string) int) int {
 	host = strings.ToLower(host)
 	sum := 0
 	for _, g := range x.groups {
--- a/bundle/routes/routes_test.go
+++ b/bundle/routes/routes_test.go
@@ -125,18 +125,18 @@
 			t.Errorf("%+v: %v", c.r, got)
 		}
 	}
-	r := routes.Route{Regions: []string{"x", "y"}}
+	r := routes.Route{HomeRegions: []string{"x", "y"}}
 	if !r.Allows("y") || r.Allows("z") || !(&routes.Route{}).Allows("z") {
-		t.Error("allowed regions")
+		t.Error("home regions")
 	}
 	tab := table()
-	tab.Routes[0].Regions = []string{"x"}
-	tab.Routes[1].Regions = []string{"y"}
+	tab.Routes[0].HomeRegions = []string{"x"}
+	tab.Routes[1].HomeRegions = []string{"y"}
 	x := routes.NewIndex(tab)
 	uses := map[string]int{"short": 7, "long": 1, "other": 3}
 	weight := func(route string) int { return uses[route] }
 	for region, want := range map[string]int{"x": 7, "y": 1, "z": 0} {
-		if got := x.RegionWeight("H.example", region, weight); got != want {
+		if got := x.HomeRegionWeight("H.example", region, weight); got != want {
 			t.Errorf("region %s weighs %d, want %d", region, got, want)
 		}
 	}
--- a/bundle/routes/types.go
+++ b/bundle/routes/types.go
@@ -54,8 +54,8 @@
 	Priority int
 	// Attempts bounds the number of targets that one request is sent to.
 	Attempts int
-	// Regions are the regions that may serve it; empty means all.
-	Regions []string
+	// HomeRegions are the regions that may serve it; empty means all.
+	HomeRegions []string
 	// Affine requests name the parts of their prompt, which targets cache.
 	Affine bool
 	// AllowAnonymous routes also serve callers without a key.
@@ -69,9 +69,9 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Allows reports whether a region may serve the route.
+// Allows reports whether a region may serve the route: it is one of its home regions.
 func (r *Route) Allows(region string) bool {
-	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
+	return len(r.HomeRegions) == 0 || slices.Contains(r.HomeRegions, region)
 }
 
 // Share is one service of a route with its weight.
--- a/bundle/routes/workspace.go
+++ b/bundle/routes/workspace.go
@@ -33,7 +33,7 @@
 	Tokens
 )
 
-// Workspace is a set of callers that share keys, a priority, allowed regions and a limit.
+// Workspace is a set of callers that share keys, a priority, home regions and a limit.
 type Workspace struct {
 	Name string
 	// Keys identify its callers. A workspace without keys has no callers.
@@ -41,9 +41,9 @@
 	// HasPriority is set if Priority overrides that of the route.
 	HasPriority bool
 	Priority    int
-	// Regions are the regions that may serve it; empty means all.
-	Regions []string
-	Limit   RateLimit
+	// HomeRegions are the regions that may serve it; empty means all.
+	HomeRegions []string
+	Limit       RateLimit
 }
 
 // RateLimit bounds what all instances together admit for a workspace.
@@ -70,7 +70,7 @@
 // Allows reports whether a region may serve the workspace. w is nil for anonymous callers,
 // whom each region may serve.
 func (w *Workspace) Allows(region string) bool {
-	return w == nil || len(w.Regions) == 0 || slices.Contains(w.Regions, region)
+	return w == nil || len(w.HomeRegions) == 0 || slices.Contains(w.HomeRegions, region)
 }
 
 // Rank returns the priority of the workspace's requests on a route. w is nil for anonymous
@@ -82,15 +82,15 @@
 	return r.Priority
 }
 
-// HasNoRegion reports whether no region may serve the workspace's requests on a route. w may
-// be nil.
-func (w *Workspace) HasNoRegion(r *Route) bool {
-	return w != nil && len(w.Regions) > 0 && len(r.Regions) > 0 && !slices.ContainsFunc(w.Regions, r.Allows)
+// HasNoHomeRegion reports whether a route and the workspace have no home region in common, so that
+// no region may serve the workspace's requests there. w may be nil.
+func (w *Workspace) HasNoHomeRegion(r *Route) bool {
+	return w != nil && len(w.HomeRegions) > 0 && len(r.HomeRegions) > 0 && !slices.ContainsFunc(w.HomeRegions, r.Allows)
 }
 
 func (w *Workspace) equal(o *Workspace) bool {
 	return w.Name == o.Name && w.HasPriority == o.HasPriority && w.Priority == o.Priority && w.Limit == o.Limit &&
-		slices.Equal(w.Keys, o.Keys) && slices.Equal(w.Regions, o.Regions)
+		slices.Equal(w.Keys, o.Keys) && slices.Equal(w.HomeRegions, o.HomeRegions)
 }
 
 // workspaces looks up workspaces by key and name. It is read-only.
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -100,7 +100,7 @@
 	passed, floors := 0.0, 0.0
 	for i, l := range p.limiters {
 		for range asked[i] {
-			if ok, _ := l.Take(p.now, "w", 0); ok {
+			if ok, _ := l.Consume(p.now, "w", 0); ok {
 				passed++
 			}
 		}
@@ -191,12 +191,12 @@
 func TestOvertakenResponseIsIgnored(t *testing.T) {
 	l := NewLimiter(lookup, 2, lease)
 	now := start
-	l.Take(now, "w", 0)
+	l.Consume(now, "w", 0)
 	first, _ := l.Report(now)
 	second, _ := l.Report(now)
 	l.ApplyShares(now, second, []Share{{ID: id, Seq: 2, Limit: fullLimit, Lease: lease}})
 	delete(l.buckets, id) // As Report does after some time without demand.
-	l.Take(now, "w", 0)
+	l.Consume(now, "w", 0)
 	l.ApplyShares(now, first, []Share{{ID: id, Seq: 1, Limit: fullLimit, Lease: lease}})
 	if got := l.buckets[id].seq; got != 0 {
 		t.Fatalf("share %d took effect again", got)
@@ -223,7 +223,7 @@
 				p.now = p.now.Add(step)
 				for j, l := range p.limiters {
 					for range asked[j] {
-						if ok, _ := l.Take(p.now, "w", 0); ok && i >= 60 {
+						if ok, _ := l.Consume(p.now, "w", 0); ok && i >= 60 {
 							got++
 						}
 					}
@@ -273,7 +273,7 @@
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		l.Take(start.Add(time.Duration(i)*time.Microsecond), names[i%len(names)], 100)
+		l.Consume(start.Add(time.Duration(i)*time.Microsecond), names[i%len(names)], 100)
 	}
 }
 
@@ -296,7 +296,7 @@
 		limiters = append(limiters, l)
 		// Requests that arrive before the responsible instance is known spend the floor's burst.
 		for ok := true; ok; {
-			ok, _ = l.Take(now, "w", 0)
+			ok, _ = l.Consume(now, "w", 0)
 		}
 	}
 	for range 4 {
@@ -316,9 +316,9 @@
 		}
 		// Tokens from before the bucket became dormant may be spent.
 		for ok := n > 0; ok; {
-			ok, _ = l.Take(now, "w", 0)
+			ok, _ = l.Consume(now, "w", 0)
 		}
-		if ok, _ := l.Take(now.Add(10*lease), "w", 0); n > 0 && ok {
+		if ok, _ := l.Consume(now.Add(10*lease), "w", 0); n > 0 && ok {
 			t.Errorf("instance %d passes more requests", n)
 		}
 	}
--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -31,11 +31,11 @@
 	dormant bool
 }
 
-// newBucket returns a bucket with the floor's burst and no rate until wait has passed.
-func newBucket(now time.Time, floor Limit, wait time.Duration, p timeScale) *Bucket {
+// newBucket returns a bucket with the floor's burst and no rate until floorDelay has passed.
+func newBucket(now time.Time, floor Limit, floorDelay time.Duration, p timeScale) *Bucket {
 	return &Bucket{
 		floor: floor, tokens: floor.Burst, at: now,
-		until: now.Add(wait), demand: demand{scale: p, at: now},
+		until: now.Add(floorDelay), demand: demand{scale: p, at: now},
 	}
 }
 
@@ -90,11 +90,12 @@
 	b.tokens = min(b.tokens, b.floor.Burst+s.Limit.Burst)
 }
 
-// take consumes n units and reports whether it could; if not, nothing is consumed and wait
-// is the time until a retry may succeed at the current rate. Any request passes while tokens
-// are left, and what it costs beyond them is debt: shares are small, and one request may well
-// cost more than a share's whole burst. The bound includes the debt, one request for each instance.
-func (b *Bucket) take(now time.Time, n float64) (ok bool, wait time.Duration) {
+// consume consumes n units and reports whether it could; if not, nothing is consumed and
+// retryAfter is the time until a retry may succeed at the current rate. Any request passes
+// while tokens are left, and what it costs beyond them is debt: shares are small, and one
+// request may well cost more than a share's whole burst. The bound includes the debt, one
+// request for each instance.
+func (b *Bucket) consume(now time.Time, n float64) (allowed bool, retryAfter time.Duration) {
 	if n <= 0 {
 		return true, 0
 	}
@@ -106,7 +107,7 @@
 		return true, 0
 	}
 	b.urgency.refused = true
-	return false, waitFor(-b.tokens, b.rate(now))
+	return false, retryDelay(-b.tokens, b.rate(now))
 }
 
 // inForce returns the share in force; zero if it has ended.
@@ -130,16 +131,16 @@
 	return b.floor.Burst
 }
 
-// maxWait bounds the wait reported to a caller where the rate is nearly zero.
-const maxWait = time.Minute
+// maxRetryAfter bounds the delay reported to a caller where the rate is nearly zero.
+const maxRetryAfter = time.Minute
 
-func waitFor(units, rate float64) time.Duration {
+func retryDelay(units, rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Second
 	}
 	s := max(units, 0) / rate
-	if s > maxWait.Seconds() {
-		return maxWait
+	if s > maxRetryAfter.Seconds() {
+		return maxRetryAfter
 	}
 	return max(time.Millisecond, time.Duration(math.Ceil(s*1e3))*time.Millisecond)
 }
@@ -226,21 +227,21 @@
 // Len returns the number of buckets.
 func (l *Limiter) Len() int { return len(l.buckets) }
 
-// Take consumes one request and its tokens from a workspace's limits, both or neither.
-// If not ok, wait is the time until a retry may succeed.
-func (l *Limiter) Take(now time.Time, workspace string, tokens float64) (ok bool, wait time.Duration) {
-	ok, wait = l.take(now, ID{workspace, Requests}, 1)
-	if !ok {
-		return false, wait
+// Consume consumes one request and its tokens from a workspace's limits, both or neither.
+// If not allowed, retryAfter is the time until a retry may succeed.
+func (l *Limiter) Consume(now time.Time, workspace string, tokens float64) (allowed bool, retryAfter time.Duration) {
+	allowed, retryAfter = l.consume(now, ID{workspace, Requests}, 1)
+	if !allowed {
+		return false, retryAfter
 	}
-	ok, wait = l.take(now, ID{workspace, Tokens}, tokens)
-	if b := l.buckets[ID{workspace, Requests}]; !ok && b != nil {
+	allowed, retryAfter = l.consume(now, ID{workspace, Tokens}, tokens)
+	if b := l.buckets[ID{workspace, Requests}]; !allowed && b != nil {
 		b.tokens++
 	}
-	return ok, wait
+	return allowed, retryAfter
 }
 
-// Refund returns tokens that an estimate took too many of; a negative number takes more.
+// Refund returns tokens that an estimate consumed too many of; a negative number consumes more.
 func (l *Limiter) Refund(now time.Time, workspace string, tokens float64) {
 	if b := l.buckets[ID{workspace, Tokens}]; b != nil {
 		b.fill(now)
@@ -248,16 +249,16 @@
 	}
 }
 
-func (l *Limiter) take(now time.Time, id ID, n float64) (ok bool, wait time.Duration) {
+func (l *Limiter) consume(now time.Time, id ID, n float64) (allowed bool, retryAfter time.Duration) {
 	b := l.bucket(now, id)
 	if b == nil {
 		return true, 0
 	}
-	ok, wait = b.take(now, n)
-	if !ok {
+	allowed, retryAfter = b.consume(now, n)
+	if !allowed {
 		l.urgent[id] = true
 	}
-	return ok, wait
+	return allowed, retryAfter
 }
 
 // bucket returns the bucket of a limit, creating it if needed; nil if there is no limit.
--- a/coord/limit/offered_test.go
+++ b/coord/limit/offered_test.go
@@ -63,7 +63,7 @@
 		}
 		for i, l := range c.limiters {
 			for range c.arrivals(i) {
-				c.take(l, phase)
+				c.consume(l, phase)
 			}
 			if c.now.Sub(start)%time.Second == c.reportOffset[i] {
 				number, demands := l.Report(c.now)
@@ -78,12 +78,12 @@
 	}
 }
 
-func (c *loadSim) take(l *Limiter, phase int) {
+func (c *loadSim) consume(l *Limiter, phase int) {
 	c.asked[phase]++
-	if ok, _ := c.regionBucket.take(c.now, c.requestSize); !ok {
+	if ok, _ := c.regionBucket.consume(c.now, c.requestSize); !ok {
 		c.regionRefused[phase]++
 	}
-	if ok, _ := l.Take(c.now, "w", c.requestSize); !ok {
+	if ok, _ := l.Consume(c.now, "w", c.requestSize); !ok {
 		c.refused[phase]++
 		return
 	}
--- a/daemon/site.go
+++ b/daemon/site.go
@@ -230,7 +230,7 @@
 	r.log.Info("started", zap.String("operators", s.Listen.Operators), zap.Bool("first_start", s.FirstStart))
 	select {
 	case <-ctx.Done():
-	case <-i.Ended():
+	case <-i.Done():
 		return errors.New("the log has ended")
 	case err := <-r.failed:
 		return err
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -336,9 +336,9 @@
 // Leader returns the id of the leader that this instance hears from; empty if there is none.
 func (i *Instance) Leader() string { return i.position().leader }
 
-// Ended returns a channel that is closed when the log has failed. The process should then end,
+// Done returns a channel that is closed when the log has failed. The process should then end,
 // so that it is restarted on its disk.
-func (i *Instance) Ended() <-chan struct{} { return i.node.Done() }
+func (i *Instance) Done() <-chan struct{} { return i.node.Done() }
 
 // watchNode logs changes of the leader and the failure of the log.
 func (i *Instance) watchNode(ctx context.Context) {
--- a/node/deciding/service.go
+++ b/node/deciding/service.go
@@ -42,21 +42,21 @@
 
 // targetRequest asks the group owner for a target.
 type targetRequest struct {
-	Ticket     string    `cbor:"1,keyasint"`
-	Call       pick.Call `cbor:"2,keyasint"`
-	LeftMillis int64     `cbor:"3,keyasint"`
+	Ticket        string    `cbor:"1,keyasint"`
+	Call          pick.Call `cbor:"2,keyasint"`
+	TimeoutMillis int64     `cbor:"3,keyasint"`
 	// Known are the limits of the service's targets that the requesting instance knows.
 	Known []pick.KnownLimit `cbor:"4,keyasint,omitempty"`
 }
 
 // targetResponse answers a targetRequest. Target is empty if no target may receive the request.
 type targetResponse struct {
-	Target string  `cbor:"1,keyasint,omitempty"`
-	Source string  `cbor:"2,keyasint,omitempty"`
-	Cost   float64 `cbor:"3,keyasint,omitempty"`
-	Front  float64 `cbor:"4,keyasint,omitempty"`
-	Wait   float64 `cbor:"5,keyasint,omitempty"`
-	Tokens float64 `cbor:"6,keyasint,omitempty"`
+	Target    string  `cbor:"1,keyasint,omitempty"`
+	Source    string  `cbor:"2,keyasint,omitempty"`
+	Cost      float64 `cbor:"3,keyasint,omitempty"`
+	QueueWait float64 `cbor:"4,keyasint,omitempty"`
+	Wait      float64 `cbor:"5,keyasint,omitempty"`
+	Tokens    float64 `cbor:"6,keyasint,omitempty"`
 	// Limit is the latest limit that the target reported.
 	Limit *pick.TargetLimit `cbor:"7,keyasint,omitempty"`
 	// Known are the limits that the owner knows, set if there is no target: the requesting
@@ -64,13 +64,13 @@
 	Known []pick.KnownLimit `cbor:"8,keyasint,omitempty"`
 }
 
-// update reports on a ticket: its target reported a changed limit (Named), the request has ended
+// update reports on a ticket: its target reported a changed limit (Limit), the request has ended
 // (Ended), or, with neither set, the target has begun to answer.
 type update struct {
 	Ticket string            `cbor:"1,keyasint"`
 	Ended  bool              `cbor:"2,keyasint,omitempty"`
 	Result pick.Result       `cbor:"3,keyasint,omitempty"`
-	Named  *pick.TargetLimit `cbor:"4,keyasint,omitempty"`
+	Limit  *pick.TargetLimit `cbor:"4,keyasint,omitempty"`
 }
 
 // Service calls group owners, and serves the calls of other instances as an owner.
@@ -118,14 +118,14 @@
 
 // Choose implements exchange.GroupOwner. It returns false if this instance owns the group, if the
 // owner has not answered in time, now or within avoidDuration, or if the owner has no target.
-func (s *Service) Choose(ctx context.Context, c pick.Call, id string, left time.Duration) (exchange.Decision, bool) {
+func (s *Service) Choose(ctx context.Context, c pick.Call, id string, timeout time.Duration) (exchange.Decision, bool) {
 	owner := s.pool.Owner(c)
 	if owner == s.self || s.avoided(owner) {
 		return exchange.Decision{}, false
 	}
 	// The number keeps a late message of one attempt from matching the ticket of another.
 	ticket := fmt.Sprint(s.self, " ", id, " ", s.nextTicket.Add(1))
-	payload, err := cbor.Marshal(targetRequest{Ticket: ticket, Call: c, LeftMillis: left.Milliseconds(), Known: s.pool.KnownLimits(time.Now(), c.Service)})
+	payload, err := cbor.Marshal(targetRequest{Ticket: ticket, Call: c, TimeoutMillis: timeout.Milliseconds(), Known: s.pool.KnownLimits(time.Now(), c.Service)})
 	if err != nil {
 		s.log.Error("cannot encode the request for a target", zap.Error(err))
 		return exchange.Decision{}, false
@@ -145,7 +145,7 @@
 	}
 	s.pool.LearnLimits(time.Now(), d.Known)
 	out := exchange.Decision{
-		Target: d.Target, Source: d.Source, Cost: d.Cost, Wait: d.Wait, QueueWait: d.Front, Tokens: d.Tokens, Ticket: ticket, Owner: owner,
+		Target: d.Target, Source: d.Source, Cost: d.Cost, Wait: d.Wait, QueueWait: d.QueueWait, Tokens: d.Tokens, Ticket: ticket, Owner: owner,
 	}
 	if d.Limit != nil {
 		out.Limit = *d.Limit
@@ -155,7 +155,7 @@
 
 // ReportLimit implements exchange.GroupOwner.
 func (s *Service) ReportLimit(d exchange.Decision, n pick.TargetLimit) {
-	s.sendUpdate(d.Owner, update{Ticket: d.Ticket, Named: &n})
+	s.sendUpdate(d.Owner, update{Ticket: d.Ticket, Limit: &n})
 }
 
 // ReportFirstEvent implements exchange.GroupOwner.
@@ -202,12 +202,12 @@
 		return cbor.Marshal(targetResponse{Known: s.pool.KnownLimits(now, r.Call.Service)})
 	}
 	if choice.Cold {
-		s.log.Info("cold target chosen", zap.String("target", choice.ID), zap.Int("entries", choice.Entries), zap.String("asker", from))
+		s.log.Info("cold target chosen", zap.String("target", choice.ID), zap.Int("entries", choice.EntryInstances), zap.String("asker", from))
 	}
 	s.mu.Lock()
-	s.tickets[r.Ticket] = assignment{choice: choice, until: now.Add(time.Duration(r.LeftMillis) * time.Millisecond)}
+	s.tickets[r.Ticket] = assignment{choice: choice, until: now.Add(time.Duration(r.TimeoutMillis) * time.Millisecond)}
 	s.mu.Unlock()
-	d := targetResponse{Target: choice.ID, Source: choice.Source, Cost: choice.Cost, Front: choice.QueueWait, Wait: choice.Wait, Tokens: choice.Tokens}
+	d := targetResponse{Target: choice.ID, Source: choice.Source, Cost: choice.Cost, QueueWait: choice.QueueWait, Wait: choice.Wait, Tokens: choice.Tokens}
 	if choice.Limit.Limited {
 		d.Limit = &choice.Limit
 	}
@@ -228,8 +228,8 @@
 	s.mu.Unlock()
 	switch {
 	case !ok:
-	case u.Named != nil:
-		a.choice.LearnLimit(time.Now(), *u.Named)
+	case u.Limit != nil:
+		a.choice.LearnLimit(time.Now(), *u.Limit)
 	case u.Ended:
 		a.choice.Done(time.Now(), u.Result)
 	default:
--- a/node/entry/instance.go
+++ b/node/entry/instance.go
@@ -163,8 +163,8 @@
 	if i.known.head != nil {
 		s.Heard = int64(i.known.head.Version)
 	}
-	left, transfers := i.fetcher.progress()
-	s.PiecesLeft, s.PieceBytes, s.PiecesFailed = int64(left), int64(transfers.Bytes), int64(transfers.FailedFetches)
+	remaining, transfers := i.fetcher.progress()
+	s.PiecesLeft, s.PieceBytes, s.PiecesFailed = int64(remaining), int64(transfers.Bytes), int64(transfers.FailedFetches)
 	return s
 }
 
@@ -215,7 +215,7 @@
 func (i *Instance) CallerAddresses(host, region string) []string {
 	weight := func(string) int { return 0 }
 	if view := i.gateway.View(); view != nil {
-		weight = func(region string) int { return view.Index.RegionWeight(host, region, i.gateway.RouteWeight) }
+		weight = func(region string) int { return view.Index.HomeRegionWeight(host, region, i.gateway.RouteWeight) }
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/node/limits/table.go
+++ b/node/limits/table.go
@@ -69,14 +69,14 @@
 // above 0, else the tokens only. RetryAfter is set if it is refused.
 func (b *Table) Take(now time.Time, workspace string, requests, tokens float64) ports.LimitAnswer {
 	l := b.limiters[PartitionOf(workspace)]
-	var ok bool
-	var wait time.Duration
+	var allowed bool
+	var retryAfter time.Duration
 	if requests > 0 {
-		ok, wait = l.Take(now, workspace, tokens)
+		allowed, retryAfter = l.Consume(now, workspace, tokens)
 	} else {
-		ok, wait = l.TakeTokens(now, workspace, tokens)
+		allowed, retryAfter = l.ConsumeTokens(now, workspace, tokens)
 	}
-	return ports.LimitAnswer{OK: ok, RetryAfter: wait}
+	return ports.LimitAnswer{OK: allowed, RetryAfter: retryAfter}
 }
 
 // Len returns the number of limits in use at this instance.
--- a/node/loads/table.go
+++ b/node/loads/table.go
@@ -277,13 +277,13 @@
 func (b *Table) UnknownTargets() uint64 { return b.unknownTargets }
 
 // State returns the observed state of an engine for routing, false if there is none.
-// Down expires after Timing.DownExpiry unless it is reported again.
+// Down expires after Timing.DownTTL unless it is reported again.
 func (b *Table) State(now time.Time, target string) (route.State, bool) {
 	e := b.engines[target]
 	if e == nil || e.observedAt.IsZero() {
 		return route.Warm, false
 	}
-	if e.observed.State == route.Down && now.Sub(e.observedAt) > b.timing.DownExpiry {
+	if e.observed.State == route.Down && now.Sub(e.observedAt) > b.timing.DownTTL {
 		return route.Warm, false
 	}
 	return e.observed.State, true
--- a/node/loads/table_test.go
+++ b/node/loads/table_test.go
@@ -98,7 +98,7 @@
 				t.Fatalf("%v after %d failures in a row", state, failures)
 			}
 		}
-		if state, known := b.State(now.Add(b.timing.DownExpiry+time.Second), "t0"); known && state == route.Down {
+		if state, known := b.State(now.Add(b.timing.DownTTL+time.Second), "t0"); known && state == route.Down {
 			t.Fatal("down forever although no instance reports it")
 		}
 	})
--- a/node/loads/timing.go
+++ b/node/loads/timing.go
@@ -52,9 +52,9 @@
 	RepeatInterval time.Duration
 	// BackupDelay is the time without reports of the owner after which the backup polls.
 	BackupDelay time.Duration
-	// DownExpiry is the time after which a target that was reported down is tried
+	// DownTTL is the time after which a target that was reported down is tried
 	// again if no other report arrives: the reporting instance may be cut off.
-	DownExpiry time.Duration
+	DownTTL time.Duration
 }
 
 // TimingOf returns the Timing for a region with the given numbers of members and
@@ -72,6 +72,6 @@
 		p.RepeatInterval = 2 * share
 	}
 	p.BackupDelay = p.RepeatInterval + share + backupSlack
-	p.DownExpiry = max(minDownTime, 2*p.BackupDelay)
+	p.DownTTL = max(minDownTime, 2*p.BackupDelay)
 	return p
 }
--- a/node/quota/holder.go
+++ b/node/quota/holder.go
@@ -78,7 +78,7 @@
 	return l.Scaled(isolatedShare / float64(h.entries)), ok
 }
 
-// Consume takes the units of a request from the share of a workspace that this instance owns.
+// Consume consumes the units of a request from the share of a workspace that this instance owns.
 func (h *Holder) Consume(now time.Time, workspace string, units float64) ConsumeResponse {
 	if _, known := h.limits(workspace); !known {
 		return ConsumeResponse{UnknownLimit: true}
@@ -86,22 +86,22 @@
 	if now.Sub(h.startedAt) >= Lease {
 		h.shared.SetFloorDelay(Lease)
 	}
-	ok, wait := h.shared.TakeTokens(now, workspace, units)
-	if ok {
+	allowed, retryAfter := h.shared.ConsumeTokens(now, workspace, units)
+	if allowed {
 		return ConsumeResponse{Allowed: true}
 	}
 	state := h.shared.State(now, limit.ID{Workspace: workspace, Resource: limit.Tokens})
 	return ConsumeResponse{
-		WaitMillis: wait.Milliseconds(), NoShareYet: !h.granted[workspace], Rate: state.Rate, Leased: state.Leased, Version: h.version,
+		RetryAfterMillis: retryAfter.Milliseconds(), NoShareYet: !h.granted[workspace], Rate: state.Rate, Leased: state.Leased, Version: h.version,
 	}
 }
 
-// ConsumeIsolated takes the units of a request from the isolated part of the limit, for use if no
+// ConsumeIsolated consumes the units of a request from the isolated part of the limit, for use if no
 // owner of the workspace is reached.
 func (h *Holder) ConsumeIsolated(now time.Time, workspace string, units float64) ConsumeResponse {
-	ok, wait := h.isolated.TakeTokens(now, workspace, units)
+	allowed, retryAfter := h.isolated.ConsumeTokens(now, workspace, units)
 	state := h.isolated.State(now, limit.ID{Workspace: workspace, Resource: limit.Tokens})
-	return ConsumeResponse{Allowed: ok, WaitMillis: wait.Milliseconds(), Rate: state.Rate, Version: h.version}
+	return ConsumeResponse{Allowed: allowed, RetryAfterMillis: retryAfter.Milliseconds(), Rate: state.Rate, Version: h.version}
 }
 
 // Refund returns the units consumed by a request that never ran.
--- a/node/quota/service.go
+++ b/node/quota/service.go
@@ -120,18 +120,19 @@
 func (s *Service) Consume(ctx context.Context, w *routes.Workspace, units float64) exchange.LimitDecision {
 	began := s.clock.Now()
 	for {
-		v, by := s.consumeAtOwner(ctx, w.Name, units)
+		v, decidedBy := s.consumeAtOwner(ctx, w.Name, units)
 		if v.Allowed || !v.NoShareYet || s.clock.Now().Sub(began) > firstShareWait || duty.Pause(ctx, firstShareInterval) != nil {
 			return exchange.LimitDecision{
-				Allowed: v.Allowed, RetryAfter: time.Duration(v.WaitMillis) * time.Millisecond, DecidedBy: by, Rate: v.Rate, Leased: v.Leased, Version: v.Version,
+				Allowed: v.Allowed, RetryAfter: time.Duration(v.RetryAfterMillis) * time.Millisecond, DecidedBy: decidedBy, Rate: v.Rate, Leased: v.Leased, Version: v.Version,
 			}
 		}
 	}
 }
 
 // consumeAtOwner calls the owner of a workspace, or the next one if it doesn't answer, and decides
-// by the isolated part if neither does. by is the instance that decided, "" for the isolated part.
-func (s *Service) consumeAtOwner(ctx context.Context, workspace string, units float64) (v ConsumeResponse, by string) {
+// by the isolated part if neither does. decidedBy is the instance that decided, "" for the isolated
+// part.
+func (s *Service) consumeAtOwner(ctx context.Context, workspace string, units float64) (v ConsumeResponse, decidedBy string) {
 	for range maxOwnersCalled {
 		to := s.owner(workspace)
 		if to == s.o.Self {
@@ -193,8 +194,8 @@
 }
 
 // Refund implements exchange.Limits.
-func (s *Service) Refund(w *routes.Workspace, units float64, a exchange.LimitDecision) {
-	switch a.DecidedBy {
+func (s *Service) Refund(w *routes.Workspace, units float64, d exchange.LimitDecision) {
+	switch d.DecidedBy {
 	case "":
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -210,7 +211,7 @@
 		return
 	}
 	// If the message is lost, the workspace loses these units.
-	s.o.Hub.Send(a.DecidedBy, channelRefund, payload)
+	s.o.Hub.Send(d.DecidedBy, channelRefund, payload)
 }
 
 func (s *Service) refundLocal(workspace string, units float64) {
--- a/node/quota/wire.go
+++ b/node/quota/wire.go
@@ -50,8 +50,8 @@
 // ConsumeResponse answers a ConsumeRequest.
 type ConsumeResponse struct {
 	Allowed bool `cbor:"1,keyasint,omitempty"`
-	// WaitMillis is the time until a retry may succeed, set if not Allowed.
-	WaitMillis int64 `cbor:"2,keyasint,omitempty"`
+	// RetryAfterMillis is the time until a retry may succeed, set if not Allowed.
+	RetryAfterMillis int64 `cbor:"2,keyasint,omitempty"`
 	// NoShareYet is set if no share has arrived since the instance became the owner of the
 	// workspace: one may arrive at any moment.
 	NoShareYet bool `cbor:"3,keyasint,omitempty"`
--- a/operate/cli/status_table.go
+++ b/operate/cli/status_table.go
@@ -122,7 +122,7 @@
 	for _, x := range s.Services {
 		q := x.FirstByte
 		t.row(x.Service, x.Region, fmt.Sprintf("%.0f s", x.WindowSeconds), fmt.Sprint(x.Requests), fmt.Sprint(x.Refused),
-			fmt.Sprint(x.Failed), fmt.Sprintf("%.2f%%", x.SpillShare*100), fmt.Sprintf("%.1f", x.TargetSeconds), fmt.Sprintf("%.1f", x.Cost),
+			fmt.Sprint(x.Failed), fmt.Sprintf("%.2f%%", x.SpilledShare*100), fmt.Sprintf("%.1f", x.TargetSeconds), fmt.Sprintf("%.1f", x.Cost),
 			millis(q.P50), millis(q.P90), millis(q.P99), millis(q.P999))
 	}
 	t.end()
--- a/operate/status.go
+++ b/operate/status.go
@@ -125,8 +125,8 @@
 	// Refused requests were not run; Failed requests may have run.
 	Refused uint64 `json:"refused"`
 	Failed  uint64 `json:"failed"`
-	// SpillShare of the requests was served outside of the home region, 0 to 1.
-	SpillShare float64 `json:"sent_away"`
+	// SpilledShare of the requests was served outside of the home region, 0 to 1.
+	SpilledShare float64 `json:"sent_away"`
 	// TargetSeconds is the time that requests held slots, divided by the number
 	// of slots of their targets.
 	TargetSeconds float64 `json:"target_seconds"`
--- a/pipeline/exchange/accept.go
+++ b/pipeline/exchange/accept.go
@@ -113,7 +113,7 @@
 // accept finds the route and reads the whole request. A request that it refuses has not run.
 func (q *request) accept() *refusal {
 	if q.view == nil || q.view.Index == nil {
-		return &refusal{status: http.StatusServiceUnavailable, code: CodeNoView, retryAfter: place.RetryAfter(place.Starting, 0)}
+		return &refusal{status: http.StatusServiceUnavailable, code: CodeNoConfiguration, retryAfter: place.RetryAfter(place.Starting, 0)}
 	}
 	if q.forwarded != nil && q.forwarded.Version > q.view.Index.Table.Version {
 		return &refusal{status: http.StatusServiceUnavailable, code: CodeBehind, retryAfter: place.RetryAfter(place.Busy, 0)}
--- a/pipeline/exchange/choose.go
+++ b/pipeline/exchange/choose.go
@@ -100,7 +100,7 @@
 	}
 	if choice, _ := q.g.o.Pool.Pick(now, c); choice != nil {
 		if choice.Cold {
-			q.g.o.Log.Info("cold target chosen", zap.String("target", choice.ID), zap.Int("entries", choice.Entries), zap.String("id", q.call.ID))
+			q.g.o.Log.Info("cold target chosen", zap.String("target", choice.ID), zap.Int("entries", choice.EntryInstances), zap.String("id", q.call.ID))
 		}
 		return &destination{choice: choice}
 	}
@@ -113,17 +113,17 @@
 	if q.forwarded != nil {
 		return nil
 	}
-	offer := place.ChooseRegion(local, q.offers(now, c))
-	if offer == nil {
+	candidate := place.ChooseRegion(local, q.regionCandidates(now, c))
+	if candidate == nil {
 		return nil
 	}
-	address := place.ChooseInstance(q.g.o.Self, q.reachablePeers(now, offer.Region), q.g.o.Peers.Keeps, q.g.uniform())
-	return &destination{peer: Peer{Address: address, Region: offer.Region}, waitMs: offer.Wait()}
+	address := place.ChooseInstance(q.g.o.Self, q.reachablePeers(now, candidate.Region), q.g.o.Peers.Keeps, q.g.uniform())
+	return &destination{peer: Peer{Address: address, Region: candidate.Region}, waitMs: candidate.Wait()}
 }
 
-// offers returns the regions that may serve the request and can be reached. A region without
-// a reachable entry instance is left out, even if its targets are idle.
-func (q *request) offers(now time.Time, c pick.Call) []place.RegionCandidate {
+// regionCandidates returns the regions that may serve the request and can be reached. A region
+// without a reachable entry instance is excluded, even if its targets are idle.
+func (q *request) regionCandidates(now time.Time, c pick.Call) []place.RegionCandidate {
 	var out []place.RegionCandidate
 	for key, load := range q.view.Regions {
 		if key.Service != q.service || load.Targets == 0 || !q.allows(key.Region) || q.triedRegions[key.Region] {
--- a/pipeline/exchange/finish.go
+++ b/pipeline/exchange/finish.go
@@ -87,7 +87,7 @@
 	switch code {
 	case CodeNoTarget:
 		return m.RefusedNoTarget
-	case CodeNoView:
+	case CodeNoConfiguration:
 		return m.RefusedNoView
 	case CodeLeaving:
 		return m.RefusedLeaving
@@ -99,7 +99,7 @@
 		return m.RefusedKey
 	case CodeOverLimit:
 		return m.RefusedLimit
-	case CodeNoHome:
+	case CodeNoHomeRegion:
 		return m.RefusedNoHome
 	}
 	return m.RefusedOther
--- a/pipeline/exchange/identify.go
+++ b/pipeline/exchange/identify.go
@@ -13,8 +13,8 @@
 		return refuseKey()
 	}
 	q.workspace = w
-	if w.HasNoRegion(q.route) {
-		return &refusal{status: http.StatusMisdirectedRequest, code: CodeNoHome}
+	if w.HasNoHomeRegion(q.route) {
+		return &refusal{status: http.StatusMisdirectedRequest, code: CodeNoHomeRegion}
 	}
 	return nil
 }
--- a/pipeline/exchange/identify_test.go
+++ b/pipeline/exchange/identify_test.go
@@ -148,16 +148,16 @@
 
 // Guards against serving a workspace's requests in a region that is not one of its home regions.
 func TestHomeRegionsOfRouteAndWorkspaceBothApply(t *testing.T) {
-	homed := func(homes ...string) routes.Workspace {
+	withHomeRegions := func(regions ...string) routes.Workspace {
 		w := workspace("a", "key-a")
-		w.Regions = homes
+		w.HomeRegions = regions
 		return w
 	}
 	Convey("the workspace's home region is another one", t, func() {
 		x, y := newTarget(t, "near", respond(200, "near")), newTarget(t, "far", respond(200, "far"))
 		a, b := newRegionPair(t, []*target{x}, []*target{y})
-		a.setWorkspaces(homed("other"))
-		b.setWorkspaces(homed("other"))
+		a.setWorkspaces(withHomeRegions("other"))
+		b.setWorkspaces(withHomeRegions("other"))
 		So(a.callWithKey("key-a", "/safe/x").body, ShouldEqual, "far")
 		So(a.callWithKey("key-a", "/home/x").body, ShouldEqual, "far")
 		So(requestCount(x), ShouldEqual, 0)
@@ -165,11 +165,11 @@
 	Convey("route and workspace have no home region in common", t, func() {
 		x, y := newTarget(t, "near", respond(200, "near")), newTarget(t, "far", respond(200, "far"))
 		a, b := newRegionPair(t, []*target{x}, []*target{y})
-		a.setWorkspaces(homed("r"))
-		b.setWorkspaces(homed("r"))
+		a.setWorkspaces(withHomeRegions("r"))
+		b.setWorkspaces(withHomeRegions("r"))
 		got := a.callWithKey("key-a", "/home/x")
 		So(got.status, ShouldEqual, http.StatusMisdirectedRequest)
-		So(got.body, ShouldEqual, string(exchange.CodeNoHome)+"\n")
+		So(got.body, ShouldEqual, string(exchange.CodeNoHomeRegion)+"\n")
 		So(requestCount(x, y), ShouldEqual, 0)
 	})
 }
--- a/pipeline/exchange/rig_test.go
+++ b/pipeline/exchange/rig_test.go
@@ -70,7 +70,7 @@
 }
 
 func (testDialect) Reply(status int, h http.Header) exchange.Reply {
-	r := exchange.Reply{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "", Gone: status == 421}
+	r := exchange.Reply{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "", Replaced: status == 421}
 	if perSecond, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
 		r.Limit = pick.TargetLimit{Limited: true, PerSecond: perSecond}
 	}
@@ -254,7 +254,7 @@
 		"resume": {Kind: routes.Stream, Attempts: 3, Resumable: true},
 		"aimed":  {Kind: routes.Stream, Attempts: 1, Aim: time.Second},
 		"quick":  {Kind: routes.Unsafe, Attempts: 1, Timeout: 50 * time.Millisecond},
-		"home":   {Kind: routes.Safe, Attempts: 2, Regions: []string{"other"}},
+		"home":   {Kind: routes.Safe, Attempts: 2, HomeRegions: []string{"other"}},
 	} {
 		route.Name, route.Host, route.Prefix = name, host, "/"+name+"/"
 		if route.Timeout == 0 {
--- a/pipeline/exchange/send.go
+++ b/pipeline/exchange/send.go
@@ -166,7 +166,7 @@
 		if q.attemptLost(peer.Address, err) != pick.Neutral || silent {
 			// Another instance of the region may be reachable.
 			q.g.markUnreachable(time.Now(), peer.Address)
-			if q.g.reach.Failed(time.Now(), peer.Region) {
+			if q.g.reach.RecordFailure(time.Now(), peer.Region) {
 				q.g.o.Metrics.RegionsOut.Inc(1)
 				q.g.o.Log.Warn("region unreachable", zap.String("region", peer.Region), zap.Error(err))
 			}
@@ -174,7 +174,7 @@
 		}
 		return false
 	}
-	if q.g.reach.Answered(peer.Region) {
+	if q.g.reach.RecordAnswer(peer.Region) {
 		q.g.o.Log.Info("region reachable again", zap.String("region", peer.Region))
 	}
 	if a.Header.Get(headerRefused) != "" {
@@ -252,11 +252,11 @@
 // another attempt is needed. p is nil for an answer of another instance.
 func (q *request) handleAnswer(a *rawhttp.Answer, p *destination) (done bool, result pick.Result) {
 	reply := q.g.o.Dialect.Reply(a.StatusCode, a.Header)
-	if p != nil && (reply.ID == q.call.ID || reply.NotRun) && !reply.Gone {
+	if p != nil && (reply.ID == q.call.ID || reply.NotRun) && !reply.Replaced {
 		q.reportLimit(p, reply.Limit)
 	}
 	switch {
-	case reply.Gone:
+	case reply.Replaced:
 		q.rejected = true
 		discard(a)
 		return false, pick.Replaced
--- a/pipeline/exchange/types.go
+++ b/pipeline/exchange/types.go
@@ -74,9 +74,9 @@
 	ID string
 	// Signed says that a target itself made the answer.
 	Signed bool
-	// NotRun says that the target did not run the request, Gone that another target now
+	// NotRun says that the target did not run the request, Replaced that another target now
 	// has its address.
-	NotRun, Gone bool
+	NotRun, Replaced bool
 	// Limit is the limit that the target reports.
 	Limit pick.TargetLimit
 }
@@ -96,9 +96,9 @@
 
 // GroupOwner has the entry instance that owns a group of targets choose among them.
 type GroupOwner interface {
-	// Choose asks the owner for a target and waits at most left. It returns false if this
+	// Choose asks the owner for a target and waits at most timeout. It returns false if this
 	// instance must choose.
-	Choose(ctx context.Context, c pick.Call, id string, left time.Duration) (Decision, bool)
+	Choose(ctx context.Context, c pick.Call, id string, timeout time.Duration) (Decision, bool)
 	// ReportLimit reports a limit that the target has set or lifted.
 	ReportLimit(d Decision, n pick.TargetLimit)
 	// ReportFirstEvent reports that the target has begun to answer.
@@ -109,7 +109,7 @@
 
 // Limits enforces the limits of workspaces across all instances.
 type Limits interface {
-	// Consume takes units from a workspace's limit.
+	// Consume consumes units of a workspace's limit.
 	Consume(ctx context.Context, w *routes.Workspace, units float64) LimitDecision
 	// Refund returns the units that a request consumed under decision d. The request must
 	// never have run.
@@ -180,11 +180,11 @@
 
 // Refusal codes.
 const (
-	CodeNoView    verdict.Code = "no_configuration"
-	CodeNoRoute   verdict.Code = "no_route"
-	CodeMalformed verdict.Code = "malformed_request"
-	CodeTooLarge  verdict.Code = "body_too_large"
-	CodeNoTarget  verdict.Code = "no_target"
+	CodeNoConfiguration verdict.Code = "no_configuration"
+	CodeNoRoute         verdict.Code = "no_route"
+	CodeMalformed       verdict.Code = "malformed_request"
+	CodeTooLarge        verdict.Code = "body_too_large"
+	CodeNoTarget        verdict.Code = "no_target"
 	// CodeOverloaded: the work queued ahead takes longer than the route's Aim.
 	CodeOverloaded verdict.Code = "overloaded"
 	CodeNoTime     verdict.Code = "no_time_left"
@@ -195,8 +195,8 @@
 	CodeBehind     verdict.Code = "configuration_behind"
 	// CodeUnknownKey: no key, or a key that no workspace holds.
 	CodeUnknownKey verdict.Code = "unknown_key"
-	// CodeNoHome: the route and the workspace have no home region in common.
-	CodeNoHome verdict.Code = "no_home_region"
+	// CodeNoHomeRegion: the route and the workspace have no home region in common.
+	CodeNoHomeRegion verdict.Code = "no_home_region"
 	// CodeOverLimit: the workspace's limit is exhausted.
 	CodeOverLimit verdict.Code = "workspace_over_limit"
 )
--- a/route/pick/choice.go
+++ b/route/pick/choice.go
@@ -18,10 +18,10 @@
 	QueueWait float64
 	// Tokens is the estimated prefill until the first event, in tokens.
 	Tokens float64
-	// Cold says that the target was cold. Entries is the number of entry instances known, among
-	// which one owns the target's group.
-	Cold    bool
-	Entries int
+	// Cold says that the target was cold. EntryInstances is the number of entry instances known,
+	// among which one owns the target's group.
+	Cold           bool
+	EntryInstances int
 	// Limit is the last limit known of the target.
 	Limit TargetLimit
 	// Source is the address of another target from which this one may fetch a longer cached prefix
--- a/route/pick/pool.go
+++ b/route/pick/pool.go
@@ -43,8 +43,8 @@
 	// instances report.
 	own, byOwner Load
 	others       Load
-	// failures counts consecutive failures; the target is left out until backoffUntil. probing says
-	// that one request is in flight to test whether it is back.
+	// failures counts consecutive failures; the target is in backoff until backoffUntil. probing
+	// says that one request is in flight to test whether it is back.
 	failures     int
 	backoffUntil time.Time
 	probing      bool
@@ -217,7 +217,7 @@
 	if t.failures > 0 {
 		t.probing, ch.probe = true, true
 	}
-	ch.Cold, ch.Entries = p.cold(w.now, t), len(p.snapshot.Entries)
+	ch.Cold, ch.EntryInstances = p.cold(w.now, t), len(p.snapshot.Entries)
 	if perSecond := p.allowedPerSecond(w.now, t); perSecond > 0 {
 		t.nextAllowed = w.now.Add(time.Duration(float64(time.Second) / perSecond))
 	}
--- a/route/pick/pool_test.go
+++ b/route/pick/pool_test.go
@@ -207,7 +207,7 @@
 				So(c, ShouldNotBeNil)
 			}
 		})
-		Convey("and is left out for longer when the probe is lost", func() {
+		Convey("and is in backoff for longer when the probe is lost", func() {
 			probe.Done(later, pick.Lost)
 			none, _ := p.Pick(later.Add(400*time.Millisecond), call(1))
 			So(none, ShouldBeNil)
--- a/route/pick/types.go
+++ b/route/pick/types.go
@@ -145,7 +145,7 @@
 	failCostMillis = 1500.0
 	// failShareDecay is the weight of the old failure share when an answer is added.
 	failShareDecay = 0.8
-	// minBackoff and maxBackoff bound how long a target is left out after it could not be reached
+	// minBackoff and maxBackoff bound how long a target is in backoff after it could not be reached
 	// or broke off. The time doubles with each consecutive failure. The target then gets one
 	// request at a time until one succeeds, so a recovered target has work within seconds even
 	// under low traffic.
--- a/route/place/reachability.go
+++ b/route/place/reachability.go
@@ -10,10 +10,10 @@
 
 const (
 	// failureThreshold is the number of consecutive failed attempts, at any instances of a region,
-	// after which the region counts as unreachable: a single one may have met an instance that has
+	// after which the region counts as unavailable: a single one may have met an instance that has
 	// just ended.
 	failureThreshold = 2
-	// minBackoff and maxBackoff bound how long such a region is left out. The time doubles with
+	// minBackoff and maxBackoff bound how long such a region is excluded. The time doubles with
 	// each failed attempt, and a region that is back is found within a second.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = time.Second
@@ -22,7 +22,7 @@
 // Reachability records which regions can be reached. The zero value is ready to use, and it is safe
 // for concurrent use.
 //
-// It keeps regions, not instances: if instances were left out one by one, each of sixty instances
+// It keeps regions, not instances: if instances were excluded one by one, each of sixty instances
 // of a region that is cut off would cost a request the 400 ms that a connection may take.
 type Reachability struct {
 	mu       sync.Mutex
@@ -43,7 +43,7 @@
 	return known == nil || known.failures < failureThreshold || !now.Before(known.retryAt)
 }
 
-// Begin records that a request is forwarded to the region. While the region is unreachable, no
+// Begin records that a request is forwarded to the region. While the region is unavailable, no
 // other request follows until this one has a result or the backoff ends.
 func (r *Reachability) Begin(now time.Time, region string) {
 	r.mu.Lock()
@@ -53,9 +53,9 @@
 	}
 }
 
-// Failed records that an instance of the region could not be reached. It reports whether the region
-// becomes unavailable by this failure.
-func (r *Reachability) Failed(now time.Time, region string) bool {
+// RecordFailure records that an instance of the region could not be reached. It reports whether the
+// region becomes unavailable by this failure.
+func (r *Reachability) RecordFailure(now time.Time, region string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byRegion == nil {
@@ -71,9 +71,9 @@
 	return known.failures == failureThreshold
 }
 
-// Answered records that an instance of the region has answered. It reports whether the region had
-// been unavailable.
-func (r *Reachability) Answered(region string) bool {
+// RecordAnswer records that an instance of the region has answered. It reports whether the region
+// had been unavailable.
+func (r *Reachability) RecordAnswer(region string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.byRegion[region]
--- a/route/place/reachability_test.go
+++ b/route/place/reachability_test.go
@@ -20,7 +20,7 @@
 	attempts := 0
 	for now := start; now.Before(start.Add(5 * time.Second)); now = now.Add(step) {
 		for range failing[now] {
-			r.Failed(now, "q")
+			r.RecordFailure(now, "q")
 		}
 		if r.Available(now, "q") {
 			r.Begin(now, "q")
@@ -38,7 +38,7 @@
 	if !r.Available(start, "p") {
 		t.Error("another region is unavailable")
 	}
-	r.Answered("q")
+	r.RecordAnswer("q")
 	if !r.Available(start, "q") {
 		t.Error("unavailable though it answers")
 	}
@@ -54,10 +54,10 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			r.Begin(now, "q")
 			if rapid.Bool().Draw(t, "fails") {
-				r.Failed(now, "q")
+				r.RecordFailure(now, "q")
 				inRow++
 			} else {
-				r.Answered("q")
+				r.RecordAnswer("q")
 				inRow = 0
 			}
 			if available := r.Available(now, "q"); available != (inRow < 2) {
--- a/route/place/retryafter.go
+++ b/route/place/retryafter.go
@@ -60,7 +60,7 @@
 )
 
 // LimitRetryAfter returns the delay after which a caller should retry whose workspace has units
-// again after wait.
-func LimitRetryAfter(wait time.Duration) time.Duration {
-	return min(max(wait, minLimitRetryAfter), maxLimitRetryAfter)
+// again after retryAfter.
+func LimitRetryAfter(retryAfter time.Duration) time.Duration {
+	return min(max(retryAfter, minLimitRetryAfter), maxLimitRetryAfter)
 }
