--- a/coord/membership/sync.go
+++ b/coord/membership/sync.go
@@ -67,7 +67,7 @@
 
 // digests returns one digest per bucket of the ids and incarnations of Alive
 // and Suspect members, without a distinction between the two states, as
-// suspicions are short-lived. Dead and left members are left out, as instances
+// suspicions are short-lived. Dead and left members are excluded, as instances
 // remove them at different times.
 func (g *Group) digests() []uint32 {
 	d := make([]uint32, buckets)
@@ -125,7 +125,7 @@
 
 // pages returns the entries of the buckets in want, including dead and left
 // members, split into up to maxPages messages. It begins at a random bucket, so
-// that no bucket is left out each time.
+// that no bucket is skipped each time.
 func (g *Group) pages(want uint64) [][]Update {
 	if want == 0 {
 		return nil
--- a/node/control/documents.go
+++ b/node/control/documents.go
@@ -25,7 +25,7 @@
 	d.holder.Put(s.Root, s.Document)
 }
 
-func (d *documents) answer(a *pieces.Request) *pieces.Response {
+func (d *documents) respond(a *pieces.Request) *pieces.Response {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.holder.Respond(a)
@@ -37,7 +37,7 @@
 	if err := cbor.Unmarshal(payload, &a); err != nil {
 		return nil, err
 	}
-	return cbor.Marshal(i.documents.answer(&a))
+	return cbor.Marshal(i.documents.respond(&a))
 }
 
 // serveOrForwardDocument is serveDocument; a standby, which holds no configuration, forwards
--- a/node/deciding/named_test.go
+++ b/node/deciding/target_limit_test.go
@@ -22,14 +22,14 @@
 
 // Guards against a limit that only the instance which received the response learns, and not the
 // group owner, which chooses the targets.
-func TestNamedLimitReachesTheGroupOwner(t *testing.T) {
-	Convey("a target names a limit in a response to another instance", t, func() {
+func TestTargetLimitReachesTheGroupOwner(t *testing.T) {
+	Convey("a target reports a limit in a response to another instance", t, func() {
 		owner, other := split(start(t, 2))
 		d := other.ask(t, call(1))
 		So(d.Limit, ShouldResemble, pick.TargetLimit{})
 		other.s.ReportLimit(d, pick.TargetLimit{Limited: true, PerSecond: 2})
 		So(owner.waitForLimits(1), ShouldEqual, 1)
-		Convey("and names none in a later one", func() {
+		Convey("and reports none in a later one", func() {
 			other.s.ReportLimit(d, pick.TargetLimit{})
 			So(owner.waitForLimits(0), ShouldEqual, 0)
 		})
--- a/node/entry/fetch.go
+++ b/node/entry/fetch.go
@@ -42,10 +42,11 @@
 
 	// The fields below are used by the goroutine that runs fetch.
 
-	// frame holds the pieces around the routes, and groups the routes, of the active configuration.
-	frame  map[pieces.Digest][]byte
-	groups map[pieces.Digest]*routes.Group
-	index  *routes.Index
+	// outerPieces holds the pieces around the routes, and groups the routes, of the active
+	// configuration.
+	outerPieces map[pieces.Digest][]byte
+	groups      map[pieces.Digest]*routes.Group
+	index       *routes.Index
 }
 
 func newFetcher() *fetcher {
@@ -56,10 +57,12 @@
 
 // hasPiece is called by the transfer under mu, and by the fetch goroutine, which writes what it
 // reads.
-func (f *fetcher) hasPiece(d pieces.Digest) bool { return f.groups[d] != nil || f.frame[d] != nil }
+func (f *fetcher) hasPiece(d pieces.Digest) bool {
+	return f.groups[d] != nil || f.outerPieces[d] != nil
+}
 
-// want requests the document of a state that a core instance has reported.
-func (f *fetcher) want(now time.Time, h *newest.Head, from string) {
+// handleAnnouncement requests the document of a state that a core instance has reported.
+func (f *fetcher) handleAnnouncement(now time.Time, h *newest.Head, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.completed == h.Root {
@@ -79,11 +82,11 @@
 }
 
 // progress returns the number of missing pieces, and the bytes received and requests failed so far.
-func (f *fetcher) progress() (left int, s pieces.Stats) {
+func (f *fetcher) progress() (remaining int, s pieces.Stats) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left, _, _ = f.transfer.Remaining()
-	return left, f.transfer.Stats()
+	remaining, _, _ = f.transfer.Remaining()
+	return remaining, f.transfer.Stats()
 }
 
 func (f *fetcher) next(now time.Time) (*pieces.Fetch, time.Duration) {
@@ -136,14 +139,14 @@
 // logSlowTransfer logs once that a transfer takes long. f.mu must be held.
 func (i *Instance) logSlowTransfer(now time.Time, q *pieces.Fetch, err error) {
 	f := i.fetcher
-	left, since, known := f.transfer.Remaining()
+	remaining, since, known := f.transfer.Remaining()
 	head := f.heads[f.transfer.Current()]
 	if head == nil || f.slowLogged == head.Root || now.Sub(since) < slowTransferAge {
 		return
 	}
 	f.slowLogged = head.Root
 	i.log.Warn("slow transfer of a configuration", zap.Uint64("version", head.Version), zap.Duration("since", now.Sub(since)),
-		zap.Bool("manifest", known), zap.Int("pieces_left", left), zap.String("from", q.To), zap.Error(err))
+		zap.Bool("manifest", known), zap.Int("pieces_left", remaining), zap.String("from", q.To), zap.Error(err))
 }
 
 func (i *Instance) call(ctx context.Context, q *pieces.Fetch) (*pieces.Response, error) {
@@ -203,14 +206,14 @@
 func (i *Instance) buildIndex(m *pieces.Manifest, got map[pieces.Digest][]byte) error {
 	f := i.fetcher
 	before, after := m.OuterPieces()
-	frame := map[pieces.Digest][]byte{}
+	outerPieces := map[pieces.Digest][]byte{}
 	var text []byte
 	for _, d := range slices.Concat(before, after) {
 		raw := got[d]
 		if raw == nil {
-			raw = f.frame[d]
+			raw = f.outerPieces[d]
 		}
-		frame[d] = raw
+		outerPieces[d] = raw
 		text = append(text, raw...)
 	}
 	table, err := i.o.Format.Parse(text)
@@ -233,7 +236,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.frame, f.groups, f.index = frame, groups, f.index.With(table, list)
+	f.outerPieces, f.groups, f.index = outerPieces, groups, f.index.With(table, list)
 	return nil
 }
 
--- a/node/entry/fetch_bench_test.go
+++ b/node/entry/fetch_bench_test.go
@@ -57,7 +57,7 @@
 // transferTo transfers a configuration to an instance, and returns the number of bytes received.
 func (h *storedConfiguration) transferTo(b testing.TB, i *Instance) (received int) {
 	i.known.head = h.head
-	i.fetcher.want(time.Now(), h.head, "core")
+	i.fetcher.handleAnnouncement(time.Now(), h.head, "core")
 	for {
 		q, _ := i.fetcher.next(time.Now())
 		if q == nil {
--- a/node/entry/update.go
+++ b/node/entry/update.go
@@ -79,7 +79,7 @@
 		k.held = h
 		return
 	}
-	i.fetcher.want(now, h, from)
+	i.fetcher.handleAnnouncement(now, h, from)
 }
 
 // updateView builds the view from the known state.
--- a/node/feed/addresses.go
+++ b/node/feed/addresses.go
@@ -12,7 +12,7 @@
 
 // CallerAddresses returns the addresses that a caller in a region should use: those of the ready
 // entries of that region. If it has none, they are those of the regions of the largest weight,
-// since the caller's requests may be bound to a few regions, and what arrives in another one
+// since the caller's requests may have a few home regions only, and what arrives in another one
 // crosses regions for nothing. Entries that are leaving and still accept requests come before ready
 // ones of a region of less weight, those of the caller's region first.
 //
--- a/node/feed/feed_test.go
+++ b/node/feed/feed_test.go
@@ -77,10 +77,10 @@
 
 func equalWeight(string) int { return 0 }
 
-// Guards against requests bound to two regions that are sent to the third one, which must forward
+// Guards against requests with two home regions that are sent to the third one, which must forward
 // all of them: all entry instances of a region leave at once, its callers ask the directory, and it
-// names all other regions equally, or, as some unused route of the host is bound elsewhere, only
-// one that all routes allow.
+// names all other regions equally, or, as some unused route of the host has another home region,
+// only one that all routes allow.
 func TestDirectoryPrefersHomeRegions(t *testing.T) {
 	entries := []feed.Entry{
 		{Region: "a", CallerAddress: "a1"}, {Region: "b", CallerAddress: "b1", Ready: true}, {Region: "c", CallerAddress: "c1", Ready: true},
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -152,7 +152,7 @@
 }
 
 // leaseHeld processes a lease. Under a new fencing number, all state of the
-// former lease is discarded, since another leader may have acted in between.
+// earlier lease is discarded, since another leader may have acted in between.
 func (p *Planner) leaseHeld(e LeaseHeld) {
 	if e.Fence < p.fence {
 		return
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -74,7 +74,7 @@
 		e.crash()
 		e.down = false
 	case 3, 4:
-		// The former leader may be paused at this moment, and may or may not
+		// The earlier leader may be paused at this moment, and may or may not
 		// learn of its loss.
 		w.leader, w.term = w.rng.IntN(len(w.hosts)), w.term+1
 	case 5:
