--- a/node/entry/fetch.go
+++ b/node/entry/fetch.go
@@ -21,7 +21,7 @@
 const slowTransferAge = 2 * time.Second
 
 // fetcher transfers the newest configuration in pieces, separately from reports, and keeps the
-// routes of the active one by piece, so that the cost of a change depends on what it changes.
+// routes of the one in force by piece, so that the cost of a change depends on what it changes.
 //
 // If the configuration were part of the answer to a report, beyond some size, or some load of the
 // link, no answer would arrive in time, and neither would the list of targets, which is in the same
@@ -42,8 +42,8 @@
 
 	// The fields below are used by the goroutine that runs fetch.
 
-	// outerPieces holds the pieces around the routes, and groups the routes, of the active
-	// configuration.
+	// outerPieces holds the pieces around the routes, and groups the routes, of the
+	// configuration in force.
 	outerPieces map[pieces.Digest][]byte
 	groups      map[pieces.Digest]*routes.Group
 	index       *routes.Index
--- a/node/entry/follow.go
+++ b/node/entry/follow.go
@@ -207,7 +207,7 @@
 }
 
 // recordFailure counts a failed report, and logs when several have failed in a row: from then on
-// the active configuration and the list of targets become outdated.
+// the configuration in force and the list of targets become outdated.
 func (i *Instance) recordFailure(to string, err error) {
 	i.metrics.ReportsFailed.Inc(1)
 	i.consecutiveFailures++
