--- a/node/feed/feed_test.go
+++ b/node/feed/feed_test.go
@@ -77,7 +77,7 @@
 
 func equalWeight(string) int { return 0 }
 
-// Guards against requests bound to two regions that are sent to the third one, which must forward
+// Guards against requests with two home regions that are sent to the third one, which must forward
 // all of them: all entry instances of a region leave at once, its callers ask the directory, and it
 // names all other regions equally, or only one that all routes allow, because some unused route of
 // the host is bound elsewhere.
--- a/node/limits/table.go
+++ b/node/limits/table.go
@@ -65,18 +65,18 @@
 	}
 }
 
-// Take consumes one request and the tokens of a workspace's share if requests is
+// Consume consumes one request and the tokens of a workspace's share if requests is
 // above 0, else the tokens only. RetryAfter is set if it is refused.
 func (b *Table) Consume(now time.Time, workspace string, requests, tokens float64) ports.LimitDecision {
 	l := b.limiters[PartitionOf(workspace)]
-	var ok bool
-	var wait time.Duration
+	var allowed bool
+	var retryAfter time.Duration
 	if requests > 0 {
-		ok, wait = l.Take(now, workspace, tokens)
+		allowed, retryAfter = l.Consume(now, workspace, tokens)
 	} else {
-		ok, wait = l.TakeTokens(now, workspace, tokens)
+		allowed, retryAfter = l.ConsumeTokens(now, workspace, tokens)
 	}
-	return ports.LimitDecision{Allowed: ok, RetryAfter: wait}
+	return ports.LimitDecision{Allowed: allowed, RetryAfter: retryAfter}
 }
 
 // Len returns the number of limits in use at this instance.
--- a/pipeline/exchange/finish.go
+++ b/pipeline/exchange/finish.go
@@ -87,7 +87,7 @@
 	switch code {
 	case CodeNoTarget:
 		return m.RefusedNoTarget
-	case CodeNoView:
+	case CodeNoConfiguration:
 		return m.RefusedNoConfiguration
 	case CodeLeaving:
 		return m.RefusedLeaving
@@ -99,7 +99,7 @@
 		return m.RefusedUnknownKey
 	case CodeOverLimit:
 		return m.RefusedOverLimit
-	case CodeNoHome:
+	case CodeNoHomeRegion:
 		return m.RefusedNoHome
 	}
 	return m.RefusedOther
