--- a/placement/advance.go
+++ b/placement/advance.go
@@ -15,7 +15,7 @@
 		return BlockedUnseen
 	}
 	order, bytes := t.nextOrder()
-	if !p.orderSettled(t, &order) {
+	if !p.resolvePendingOrder(t, &order) {
 		return BlockedOrder
 	}
 	if t.order != nil { // Failed but still needed: sends the same order again.
@@ -25,7 +25,7 @@
 	case "":
 		return p.idleReason(t)
 	case ports.OrderResume:
-		if !p.warmUpDone(t) {
+		if !p.ensureWarmUp(t) {
 			return BlockedWarmUp
 		}
 	}
@@ -62,14 +62,14 @@
 	}
 }
 
-// orderSettled updates the pending order and reports whether an order may be
-// sent: none is pending, or the pending one must be sent again. An unanswered
+// resolvePendingOrder updates the pending order and reports whether an order may be
+// sent: none is pending any more, or the pending one must be sent again. An unanswered
 // order that may have arrived is sent again while it is still needed; one that
 // is no longer needed is waited for, so that the next order cannot overtake it.
 // An order whose effect is reported is kept while a second copy of it may
 // arrive: an engine that crashed in between would take the copy for a new
 // order.
-func (p *Planner) orderSettled(t *target, next *ports.Order) bool {
+func (p *Planner) resolvePendingOrder(t *target, next *ports.Order) bool {
 	o := t.order
 	if o == nil {
 		return true
@@ -82,7 +82,7 @@
 		return p.finishOrder(t)
 	}
 	if o.stage == stageAccepted {
-		return p.effectFailed(t)
+		return p.dropFailedOrder(t)
 	}
 	if t.mayStillArrive(p.now) {
 		return o.equalExceptID(next)
@@ -109,10 +109,11 @@
 	}
 }
 
-// effectFailed drops an accepted order whose effect is still missing from
-// reports that would show it: the engine failed to execute it, or has crashed
-// since. A load that the engine still reports continues.
-func (p *Planner) effectFailed(t *target) bool {
+// dropFailedOrder drops an accepted order whose effect is still missing from
+// reports that would show it, and reports whether it did: the engine failed to
+// execute the order, or has crashed since. A load that the engine still reports
+// continues.
+func (p *Planner) dropFailedOrder(t *target) bool {
 	if t.report.Loading || t.seenAt.Before(t.reportsValidFrom) {
 		return false
 	}
@@ -122,12 +123,13 @@
 	return true
 }
 
-// warmUpDone reports whether the target has completed its warm-up, which it
-// must before it takes work, and starts one if possible.
-func (p *Planner) warmUpDone(t *target) bool {
+// ensureWarmUp reports whether the target has completed the warm-up that it needs
+// before it takes work. If not, it starts one unless one is running or may not
+// start yet.
+func (p *Planner) ensureWarmUp(t *target) bool {
 	w := &t.warm
 	if w.running && p.now.Sub(w.startAt) > 2*p.o.WarmUpTime {
-		w.running = false // The host lost its end.
+		w.running = false // The host never reported its end.
 	}
 	if w.done || w.running || p.now.Before(t.retryAt) || !p.earlierOrdersEnded() {
 		return w.done
--- a/placement/desired.go
+++ b/placement/desired.go
@@ -143,7 +143,7 @@
 // needsDrain reports whether reaching the goal requires a drain.
 func (g *Goal) needsDrain(r *ports.LoadReport) bool { return !g.loaded(r) || !g.inRole(r) }
 
-// missing returns the first adapter that is not loaded, or nil.
-func (g *Goal) missing(r *ports.LoadReport) *Weights {
+// missingAdapter returns the first adapter that is not loaded, or nil.
+func (g *Goal) missingAdapter(r *ports.LoadReport) *Weights {
 	return find(g.Adapters, func(a *Weights) bool { return !slices.Contains(r.Adapters, a.ID) })
 }
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -209,7 +209,7 @@
 		if e.down || g.Leaving && r.Draining && len(e.requests) == 0 {
 			continue
 		}
-		if g.Leaving || r.Draining || g.needsDrain(r) || g.missing(r) != nil {
+		if g.Leaving || r.Draining || g.needsDrain(r) || g.missingAdapter(r) != nil {
 			return fmt.Sprintf("%s has %+v, wanted %+v; status %+v", e.id, *r, g, w.hosts[w.leader].p.Status())
 		}
 	}
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -290,21 +290,21 @@
 	}
 	w.sendCount++ // Orders of one step differ in their time by a nanosecond.
 	desired, sent := h.p.desired, w.now.Add(time.Duration(w.sendCount))
-	hold := w.randomUpTo(step)
+	sendDelay := w.randomUpTo(step)
 	if w.chance(20) {
-		hold = w.randomUpTo(2 * expiry)
+		sendDelay = w.randomUpTo(2 * expiry)
 	}
-	w.schedule(hold, h, func() {
+	w.schedule(sendDelay, h, func() {
 		if !w.now.Before(s.Order.Expires) {
 			w.removeInFlight(s)
 			w.step(h, OrderEnded{Target: s.Target, ID: s.Order.ID, Outcome: OrderExpired})
 			return
 		}
-		way := w.randomUpTo(step)
+		transitTime := w.randomUpTo(step)
 		if w.chance(30) {
-			way = w.randomUpTo(expiry)
+			transitTime = w.randomUpTo(expiry)
 		}
-		w.schedule(way, nil, func() { w.deliverOrder(h, s, desired, sent) })
+		w.schedule(transitTime, nil, func() { w.deliverOrder(h, s, desired, sent) })
 	})
 }
 
@@ -330,9 +330,9 @@
 	if end.Outcome == OrderAccepted && w.chance(25) {
 		end.Outcome = OrderUnanswered
 	}
-	back := w.randomUpTo(step)
+	responseDelay := w.randomUpTo(step)
 	if w.chance(20) {
-		back = w.randomUpTo(5 * expiry)
+		responseDelay = w.randomUpTo(5 * expiry)
 	}
 	deliver := func() {
 		if end.Outcome == OrderOldFence {
@@ -340,9 +340,9 @@
 		}
 		w.step(h, end)
 	}
-	w.schedule(back, h, deliver)
+	w.schedule(responseDelay, h, deliver)
 	if w.chance(10) {
-		w.schedule(back+w.randomUpTo(3*expiry), h, deliver)
+		w.schedule(responseDelay+w.randomUpTo(3*expiry), h, deliver)
 	}
 }
 
--- a/placement/status.go
+++ b/placement/status.go
@@ -134,7 +134,7 @@
 		return PhaseDraining
 	case t.goal.Leaving:
 		return PhaseLeft
-	case r.Loading || t.goal.needsDrain(r) || t.goal.missing(r) != nil:
+	case r.Loading || t.goal.needsDrain(r) || t.goal.missingAdapter(r) != nil:
 		return PhaseLoading
 	default:
 		return PhaseWarming
--- a/placement/target.go
+++ b/placement/target.go
@@ -172,7 +172,7 @@
 }
 
 // mayStillArrive reports whether an unanswered order may still arrive, or has
-// arrived since the last report. If it were dropped then, a target that it
+// arrived since the last report. If such an order were dropped, a target that it
 // drained would count as serving.
 func (t *target) mayStillArrive(now time.Time) bool {
 	return !t.mayArriveUntil.IsZero() && (now.Before(t.mayArriveUntil) || t.seenAt.Before(t.reportsValidFrom))
@@ -187,7 +187,7 @@
 	if t.goal.Leaving {
 		return r.Draining && inProgress(r) == 0
 	}
-	return !r.Draining && !r.Loading && !t.goal.needsDrain(r) && t.goal.missing(r) == nil
+	return !r.Draining && !r.Loading && !t.goal.needsDrain(r) && t.goal.missingAdapter(r) == nil
 }
 
 // nextOrder returns the next order needed according to the last report, and the
@@ -210,7 +210,7 @@
 		v := g.Version
 		return ports.Order{Kind: ports.OrderLoadVersion, Model: g.Model, Version: v.ID, Weights: v.Key}, v.Bytes
 	}
-	if a := g.missing(r); a != nil {
+	if a := g.missingAdapter(r); a != nil {
 		return ports.Order{Kind: ports.OrderLoadAdapter, Model: g.Model, Version: g.Version.ID, Adapter: a.ID, Weights: a.Key}, a.Bytes
 	}
 	if !g.inRole(r) {
--- a/route/admission_test.go
+++ b/route/admission_test.go
@@ -11,7 +11,7 @@
 // refused again, because the delay is not the time that the queue needs.
 func TestRetryAfterIsLongEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRegion(rapid.IntRange(1, 4).Draw(t, "targets"))
+		r := newTestRouter(rapid.IntRange(1, 4).Draw(t, "targets"))
 		reportQueue(r, epoch, rapid.IntRange(0, 400_000).Draw(t, "queue"))
 		q := prompt(rapid.IntRange(1, 4000).Draw(t, "prompt"))
 		patience := time.Duration(rapid.IntRange(1, 10).Draw(t, "patience")) * time.Second
@@ -31,7 +31,7 @@
 // Guards against starvation: with shedding by priority alone, low priorities
 // get nothing for as long as the load lasts.
 func TestLowPriorityIsShedFirstButDoesNotStarve(t *testing.T) {
-	r := newRegion(2)
+	r := newTestRouter(2)
 	reportQueue(r, epoch, 80_000)
 	admitted := map[int]int{}
 	for _, p := range []int{0, 9} {
@@ -73,7 +73,7 @@
 			}
 		}
 	})
-	r := newRegion(2)
+	r := newTestRouter(2)
 	refused := func(at, span time.Duration, tokens int) (n int) {
 		for end := at + span; at < end; at += 500 * time.Millisecond {
 			reportQueue(r, epoch.Add(at), tokens)
--- a/route/events_test.go
+++ b/route/events_test.go
@@ -9,7 +9,7 @@
 // the memory size can be learned too small, and the predicted wait then covers
 // more memory than is in use.
 func TestIdleTargetsHaveNoWaitForMemory(t *testing.T) {
-	r := newRegion(2)
+	r := newTestRouter(2)
 	grantFrom(r, epoch, 30)
 	s := r.services["llm"]
 	s.memory = memory{used: 0.5, running: 1, ownTokens: 1000, own: 1, tokenSeconds: 60, tokens: 1}
@@ -30,7 +30,7 @@
 // the host placed itself, for requests that must run alone, have no prediction,
 // which must not be read as a prediction of zero.
 func TestHostChosenAttemptsKeepLearnedSpeed(t *testing.T) {
-	r := newRegion(2)
+	r := newTestRouter(2)
 	q := prompt(20_000)
 	took := duration(20_000 / modelTarget(0, "here").PrefillRate)
 	for i := range 10 {
@@ -52,7 +52,7 @@
 // was ahead and is then corrected, and report times are compared as if all
 // clocks agreed.
 func TestReportsWithWrongClock(t *testing.T) {
-	r := newRegion(1)
+	r := newTestRouter(1)
 	at := func(now, said time.Duration, running int) float64 {
 		r.Report(epoch.Add(now), Report{Target: "here-0", At: epoch.Add(said), Running: running})
 		v := r.targets["here-0"]
@@ -85,7 +85,7 @@
 // Guards against a target's cache that counts as warm after a restart, and
 // against dropping its events until their sequence number has caught up.
 func TestCacheEventsAfterRestart(t *testing.T) {
-	r := newRegion(1)
+	r := newTestRouter(1)
 	c := r.targets["here-0"].cache
 	for _, e := range []CacheEvent{{Seq: 1, Stored: []uint64{7}}, {Seq: 2, Stored: []uint64{8}}, {Seq: 2, Evicted: []uint64{7}}} {
 		e.Target = "here-0"
--- a/route/guard_test.go
+++ b/route/guard_test.go
@@ -16,7 +16,7 @@
 		most    int
 	}{{false, "here-2", 20}, {true, "here-2", 10}, {true, "here-3", 10}}
 	for _, tc := range cases {
-		r := newRegion(6)
+		r := newTestRouter(6)
 		grey := func(id TargetID) bool { return id <= tc.last }
 		const all, late = 400, 200
 		got := 0
@@ -62,7 +62,7 @@
 // a stall.
 func TestOnlySilentTargetCountsAsStalled(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		r := newRegion(4)
+		r := newTestRouter(4)
 		at := func(id TargetID, now time.Time) Decision {
 			return Decision{Action: Send, Target: id, Start: now.Add(200 * time.Millisecond)}
 		}
--- a/route/helpers_test.go
+++ b/route/helpers_test.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// newRegion returns a Router with n warm model targets and a neighbour "there".
-func newRegion(n int) *Router {
+// newTestRouter returns a Router with n warm model targets and a neighbour "there".
+func newTestRouter(n int) *Router {
 	r := newRouter(1)
 	var specs []TargetSpec
 	for i := range n {
--- a/route/load_test.go
+++ b/route/load_test.go
@@ -46,12 +46,14 @@
 				last = Report{Running: 50, WaitingTokens: rapid.IntRange(0, 5000).Draw(t, "queue")}
 				l.report(now, at, last, rate, peers{})
 			}
-			check(t, &l, all, last, now, reportedAt, rate)
+			checkLoad(t, &l, all, last, now, reportedAt, rate)
 		}
 	})
 }
 
-func check(t *rapid.T, l *load, all []pastAttempt, last Report, now, reportedAt, rate float64) {
+// checkLoad fails the test if the estimate of l at now differs from a replay of
+// all attempts since the last report.
+func checkLoad(t *rapid.T, l *load, all []pastAttempt, last Report, now, reportedAt, rate float64) {
 	own, memory := 0, 0.0
 	in, pending, asOf := float64(last.Running), float64(last.WaitingTokens), max(0, reportedAt)
 	for _, p := range all {
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -277,7 +277,7 @@
 func TestOnlyTargetWithRoomIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "targets")
-		r := newRegion(n)
+		r := newTestRouter(n)
 		r.cfg.MaxScored = rapid.IntRange(1, 10).Draw(t, "scored")
 		free := TargetID(modelTarget(rapid.IntRange(0, n-1).Draw(t, "free"), "here").ID)
 		reportQueue(r, epoch, 400_000)
--- a/route/spill_test.go
+++ b/route/spill_test.go
@@ -12,7 +12,7 @@
 // instances, not a yes or no.
 func TestSpillingKeepsToTheGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRegion(0)
+		r := newTestRouter(0)
 		rate := rapid.Float64Range(0, 20).Draw(t, "rate")
 		const span = 10 * time.Second
 		spilled := 0
@@ -38,7 +38,7 @@
 // long and short prompts are mixed, at more than the granted rate.
 func TestWorkSpilledKeepsToTheGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRegion(0)
+		r := newTestRouter(0)
 		grantFrom(r, epoch, 1)
 		s := r.services["llm"]
 		s.model, s.meanPrompt = true, 2000
@@ -96,7 +96,7 @@
 		}
 	}
 	granted := func(homes ...string) float64 {
-		r := newRegion(4)
+		r := newTestRouter(4)
 		for i := range 100 {
 			now := epoch.Add(time.Duration(i) * 100 * time.Millisecond)
 			q := prompt(1000)
@@ -115,18 +115,21 @@
 	}
 }
 
-func TestSpillStopsWithTheGrantTheLinkAndAge(t *testing.T) {
+// Guards against spilling a request without a current grant or a reachable link,
+// one that may not leave its region or has left another, or one that would start
+// too late there.
+func TestNoSpillWithoutGrantLinkOrTime(t *testing.T) {
 	now := epoch.Add(time.Second)
 	cases := map[string]func(r *Router, q *Request){
 		"no grant":    func(r *Router, _ *Request) { grantFrom(r, now, 0) },
 		"unreachable": func(r *Router, _ *Request) { r.SetLinks(now, []Link{{Region: "there", MaxShare: 1}}) },
 		"no link":     func(r *Router, _ *Request) { r.SetLinks(now, nil) },
-		"bound":       func(_ *Router, q *Request) { q.Regions = []string{"here"} },
+		"residency":   func(_ *Router, q *Request) { q.Regions = []string{"here"} },
 		"forwarded":   func(_ *Router, q *Request) { q.Forwarded = true },
 		"too late":    func(_ *Router, q *Request) { q.FirstTokenBy = now.Add(100 * time.Millisecond) },
 	}
 	for name, prevent := range cases {
-		r, q := newRegion(0), prompt(100)
+		r, q := newTestRouter(0), prompt(100)
 		grantFrom(r, epoch, 30)
 		if d := r.Decide(now, q); d.Action != Spill || d.Region != "there" {
 			t.Fatalf("%s: %+v before the change", name, d)
@@ -136,7 +139,7 @@
 			t.Errorf("%s: %+v", name, d)
 		}
 	}
-	r := newRegion(0)
+	r := newTestRouter(0)
 	grantFrom(r, epoch, 30)
 	if d := r.Decide(epoch.Add(time.Minute), prompt(100)); d.Action != Refuse {
 		t.Errorf("stale grant: %+v", d)
@@ -162,7 +165,7 @@
 // a region that granted capacity and its queue grows. Grants must not outlast
 // the capacity behind them.
 func TestGrantsRiseSlowlyAndFallAtOnce(t *testing.T) {
-	r := newRegion(4)
+	r := newTestRouter(4)
 	for i := range 100 {
 		now := epoch.Add(time.Duration(i) * 100 * time.Millisecond)
 		q := prompt(1000)
--- a/route/summary.go
+++ b/route/summary.go
@@ -56,8 +56,8 @@
 	at     float64
 }
 
-// noteForwardedFrom records a request forwarded from a region.
-func (s *service) noteForwardedFrom(region string, at float64) {
+// recordForwardedFrom records a request forwarded from a region.
+func (s *service) recordForwardedFrom(region string, at float64) {
 	for i := range s.grantUsers {
 		if s.grantUsers[i].region == region {
 			s.grantUsers[i].at = at
--- a/route/target.go
+++ b/route/target.go
@@ -194,10 +194,11 @@
 }
 
 // higherPriorityShare returns the share of the service's capacity, in prefill
-// or in memory, taken by requests of higher priority than p. They arrive while
-// a request waits and run first, so its wait grows. Without this term, a
-// low-priority request is promised a start that it does not get while higher
-// priorities keep the targets busy.
+// or in memory, taken by requests of higher priority than p; others is the
+// number of peer attempts per own attempt. These requests arrive while another
+// waits and run first, so its wait grows. Without this term, a low-priority
+// request is promised a start that it does not get while higher priorities keep
+// the targets busy.
 func (s *service) higherPriorityShare(at float64, p int, others float64) float64 {
 	if s.totalPrefillRate <= 0 {
 		return 0
@@ -220,10 +221,13 @@
 	s.arrivals.add(at, 1)
 	if q.Forwarded {
 		s.forwardedIn.add(at, 1)
-		s.noteForwardedFrom(q.Home, at)
+		s.recordForwardedFrom(q.Home, at)
 	}
 }
 
+// observeAttempt records an attempt sent to a model target. uncached is its
+// prompt tokens without a prefix hit, hold the time in seconds for which it
+// takes a slot at the rated speeds.
 func (s *service) observeAttempt(r *Request, uncached, hold float64) {
 	w := max(meanWeight, 1/float64(s.sentCount+1))
 	s.sentCount++
@@ -234,6 +238,8 @@
 	s.memoryByPriority.add(priority(r), float64(r.PromptTokens+r.OutputTokens))
 }
 
+// observeReport records a target's report; own is the number of own attempts in
+// flight there.
 func (s *service) observeReport(rep *Report, own int) {
 	s.meanReported += meanWeight * (float64(rep.Running+rep.Waiting) - s.meanReported)
 	s.meanOwn += meanWeight * (float64(own) - s.meanOwn)
