--- a/route/pick/choice_bench_test.go
+++ b/route/pick/choice_bench_test.go
@@ -12,7 +12,7 @@
 // that asks it, by the number of targets.
 func BenchmarkChoiceBySize(b *testing.B) {
 	for _, n := range []int{20, 400, 4000, 8000} {
-		pools, _ := region(1, n, pick.ServiceRules{Engine: true})
+		pools, _ := regionPools(1, n, pick.ServiceRules{Engine: true})
 		p := pools["e0"]
 		b.Run(fmt.Sprint("decide/", n), func(b *testing.B) {
 			for k := uint64(0); b.Loop(); k++ {
--- a/route/pick/leavegroup_test.go
+++ b/route/pick/leavegroup_test.go
@@ -14,7 +14,7 @@
 	at := time.Unix(1000, 0)
 	c := Call{Service: "s", PromptTokens: 6000, OutputTokens: 1000, Parts: []Part{{ID: 1, Tokens: 5000}, {ID: 2, Tokens: 1000}}}
 	own := groupOf(all, c.chain(), 0)
-	chosen := func(unread int) int {
+	chosen := func(pending int) int {
 		p := New("e")
 		s := Snapshot{Entries: []string{"e"}, Rules: map[string]ServiceRules{"s": {Engine: true}}, Loads: map[string]Load{}}
 		for k := range all {
@@ -24,7 +24,7 @@
 		for id, x := range p.targets {
 			s.Loads[id] = Load{Running: 20}
 			if x.group == own {
-				s.Loads[id] = Load{Running: 40, PendingPrefill: QueueOf(0, unread)}
+				s.Loads[id] = Load{Running: 40, PendingPrefill: QueueOf(0, pending)}
 			}
 		}
 		p.Update(at, s)
--- a/route/pick/limit_test.go
+++ b/route/pick/limit_test.go
@@ -39,8 +39,8 @@
 
 // answer is a response in transit from a target.
 type answer struct {
-	at   time.Time
-	take func()
+	at      time.Time
+	deliver func()
 }
 
 type sentAt struct {
@@ -127,7 +127,7 @@
 		if w.now.Before(a.at) {
 			return false
 		}
-		a.take()
+		a.deliver()
 		return true
 	})
 }
--- a/route/pick/pool_test.go
+++ b/route/pick/pool_test.go
@@ -27,6 +27,8 @@
 	return map[string]pick.ServiceRules{"s": {Engine: true, ColdFor: 3 * time.Second, ColdPerSecond: 2.2}}
 }
 
+// call returns a call whose prompt has a part that all calls share, one that those of the subject
+// share, and a last one.
 func call(subject uint64) pick.Call {
 	return pick.Call{
 		Service: "s", Model: "m", PromptTokens: 9000,
@@ -149,8 +151,8 @@
 	}
 }
 
-// Guards against a target that crashes at the full rate just after its listed cold period: a
-// request came 50 ms after its end.
+// Guards against sending a target the full rate as soon as its listed cold period has ended, which
+// crashes it: 50 ms after the end it must still count as cold.
 func TestColdTimeHasAMargin(t *testing.T) {
 	p := pick.New("e")
 	list := targets(1)
@@ -276,6 +278,8 @@
 	}
 }
 
+// Guards against targets that look loaded forever, as a part of a request's load stays counted after
+// its end.
 func TestCountsReturnToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := pick.New("e")
@@ -350,7 +354,7 @@
 }
 
 // Guards against engines that prefill parts cached at another engine of the region: when load moves
-// a subject's requests to other targets, those must be told where to fetch the parts.
+// a subject's requests to other targets, these must learn where to fetch the parts.
 func TestOverflowFetchesFromWherePartsAreCached(t *testing.T) {
 	Convey("thirty requests of one subject at once", t, func() {
 		p := pick.New("e")
--- a/route/pick/prefilltime.go
+++ b/route/pick/prefilltime.go
@@ -75,7 +75,8 @@
 	return min(max(1000*p.millis/p.tokens, minMillisPerKilo), maxMillisPerKilo)
 }
 
-// learn records a first event. Too small, negative, NaN and infinite values are ignored.
+// learn records a first event, which came after millis milliseconds and a prefill of tokens. Fewer
+// than minObservedTokens tokens, a negative time, NaN and infinite values are ignored.
 func (p *prefillTime) learn(tokens, millis float64) {
 	if !(tokens >= minObservedTokens) || !(millis >= 0) || math.IsInf(millis+tokens, 0) {
 		return
@@ -85,7 +86,8 @@
 	p.millis = prefillTimeDecay*p.millis + millis
 }
 
-// report adds a first event to the sums that are reported to other regions.
+// report adds a first event to the sums that are reported to other regions, with parameters as for
+// learn. Fewer than minObservedTokens tokens are ignored.
 func (p *prefillTime) report(now time.Time, tokens, millis float64) {
 	if !(tokens >= minObservedTokens) {
 		return
--- a/route/pick/prefix.go
+++ b/route/pick/prefix.go
@@ -128,7 +128,7 @@
 // count as the tokens that are prefilled in the same time, so a prompt cached anywhere in the
 // region costs about the same at all targets and goes where the queue is shortest. Fewer shared
 // parts are prefilled again than if requests stayed at the targets that cached their parts and only
-// the others were told where to fetch them.
+// requests at other targets named a source.
 func (w *scorer) prefillTokensAt(t *target) int {
 	own := t.cachedTokens(w.now, w.chain)
 	tokens := w.call.PromptTokens - own
--- a/route/pick/region_test.go
+++ b/route/pick/region_test.go
@@ -83,9 +83,9 @@
 	const subjects = 2000
 	for n := range subjects {
 		here, there := call(n).prefillTokensIn("q"), call(n).prefillTokensIn("p")
-		for _, unread := range []float64{here, there} {
-			if unread < 3000 || unread > 9000 {
-				t.Fatalf("subject %d: %v of 9000 tokens unread", n, unread)
+		for _, pending := range []float64{here, there} {
+			if pending < 3000 || pending > 9000 {
+				t.Fatalf("subject %d: %v of 9000 tokens to prefill", n, pending)
 			}
 		}
 		if call(n).prefillTokensIn("q") != here {
@@ -97,7 +97,7 @@
 		}
 	}
 	if mean := sum / subjects; math.Abs(mean-6000) > 100 {
-		t.Errorf("%v tokens unread in the mean, want 6000", mean)
+		t.Errorf("%v tokens to prefill in the mean, want 6000", mean)
 	}
 	if share := float64(firstElsewhere) / subjects; math.Abs(share-0.5) > 0.05 {
 		t.Errorf("%v of the subjects go to one of two regions first", share)
--- a/route/pick/stall_test.go
+++ b/route/pick/stall_test.go
@@ -45,7 +45,7 @@
 func TestVeryLongPromptGoesWhereFewAnswersRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		few := rapid.IntRange(0, 5).Draw(t, "few")
-		p := loadedPool(pick.Load{Running: 30}, pick.Load{Running: few, PendingPrefill: pick.QueueOf(0, rapid.IntRange(0, 50000).Draw(t, "unread"))})
+		p := loadedPool(pick.Load{Running: 30}, pick.Load{Running: few, PendingPrefill: pick.QueueOf(0, rapid.IntRange(0, 50000).Draw(t, "pending"))})
 		c, _ := p.Pick(t0, pick.Call{Service: "s", PromptTokens: 40000, OutputTokens: 400, Parts: []pick.Part{{ID: 1, Tokens: 40000}}})
 		if c.ID != "t1" {
 			t.Fatalf("sent to %s", c.ID)
--- a/route/pick/watched_test.go
+++ b/route/pick/watched_test.go
@@ -10,9 +10,9 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// region returns the pools of the entry instances of a region, by instance ID, and the snapshot
+// regionPools returns the pools of the entry instances of a region, by instance ID, and the snapshot
 // that they all got.
-func region(instances, n int, rules pick.ServiceRules) (pools map[string]*pick.Pool, s pick.Snapshot) {
+func regionPools(instances, n int, rules pick.ServiceRules) (pools map[string]*pick.Pool, s pick.Snapshot) {
 	s = pick.Snapshot{Targets: targets(n), Rules: map[string]pick.ServiceRules{"s": rules}, PartialLoads: true}
 	for k := range instances {
 		s.Entries = append(s.Entries, fmt.Sprint("e", k))
@@ -30,7 +30,7 @@
 func TestLoadsOfAllGroupsAreWatched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances, n := rapid.IntRange(1, 60).Draw(t, "instances"), rapid.IntRange(1, 900).Draw(t, "targets")
-		pools, s := region(instances, n, pick.ServiceRules{Engine: true})
+		pools, s := regionPools(instances, n, pick.ServiceRules{Engine: true})
 		watched := map[pick.Group]int{}
 		for _, p := range pools {
 			for _, g := range p.WatchedGroups() {
@@ -65,7 +65,7 @@
 // Guards against one instance of three hundred at the limit of its CPU, with plain requests waiting
 // for it, because it owns all requests of a plain service with a hundred targets.
 func TestLargePlainServiceHasManyOwners(t *testing.T) {
-	pools, _ := region(300, 120, pick.ServiceRules{})
+	pools, _ := regionPools(300, 120, pick.ServiceRules{})
 	owned, chosen := map[string]int{}, map[string]int{}
 	const calls = 600
 	for k := range uint64(calls) {
@@ -120,7 +120,7 @@
 // idle. This happens when groups have no usable target, as after a crash, and the loads elsewhere
 // are unknown: all choose the first target that looks idle.
 func TestOverflowOfGroupsIsSpread(t *testing.T) {
-	pools, s := region(40, 400, pick.ServiceRules{Engine: true})
+	pools, s := regionPools(40, 400, pick.ServiceRules{Engine: true})
 	chosen := map[string]int{}
 	for k, id := range s.Entries {
 		p := pools[id]
--- a/route/place/retryafter.go
+++ b/route/place/retryafter.go
@@ -52,8 +52,8 @@
 }
 
 // minLimitRetryAfter and maxLimitRetryAfter bound the delay for a caller whose workspace has used
-// up its limit: units come by the second, and a caller that is told a minute does not come back at
-// all.
+// up its limit: units are added continuously, and a caller with a delay of a minute does not come
+// back at all.
 const (
 	minLimitRetryAfter = 100 * time.Millisecond
 	maxLimitRetryAfter = 10 * time.Second
