--- a/coord/claim/snapshot.go
+++ b/coord/claim/snapshot.go
@@ -45,15 +45,15 @@
 		im.Owners = append(im.Owners, l)
 	}
 	slices.SortFunc(im.Owners, compareInstances)
-	number := make(map[Instance]uint32, len(im.Owners))
+	ownerNumbers := make(map[Instance]uint32, len(im.Owners))
 	for i, l := range im.Owners {
-		number[l] = uint32(i + 1)
+		ownerNumbers[l] = uint32(i + 1)
 	}
 	for id, l := range t.lost {
 		im.Lost = append(im.Lost, lostInstance{Instance{ID: id, Incarnation: l.incarnation}, l.until})
 	}
 	slices.SortFunc(im.Lost, func(a, b lostInstance) int { return compareInstances(a.Instance, b.Instance) })
-	im.Records = t.packRecords(number)
+	im.Records = t.packRecords(ownerNumbers)
 	return cbor.Marshal(im)
 }
 
@@ -61,7 +61,8 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-func (t *Table) packRecords(number map[Instance]uint32) []byte {
+// packRecords encodes all records, sorted by key, with their owners as numbers.
+func (t *Table) packRecords(ownerNumbers map[Instance]uint32) []byte {
 	slots := make([]int32, 0, len(t.byKey))
 	for _, s := range t.byKey {
 		slots = append(slots, s)
@@ -72,7 +73,7 @@
 	out := make([]byte, 0, len(slots)*recordBytes)
 	for _, s := range slots {
 		r := &t.records[s]
-		out = appendRecord(out, r, number[t.owners.at(r.owner)])
+		out = appendRecord(out, r, ownerNumbers[t.owners.at(r.owner)])
 	}
 	return out
 }
--- a/coord/claim/table_test.go
+++ b/coord/claim/table_test.go
@@ -15,17 +15,17 @@
 // simulation runs Gates of several instances against one Table over a network that
 // delays, duplicates and loses messages, and records what really ran.
 type simulation struct {
-	t             *rapid.T
-	random        *rand.Rand
-	now           time.Time
-	table         *Table
-	index         uint64
-	inFlight      []proposal
-	attempts      []*attempt
-	lastTick      time.Time
-	lastExtraTick time.Time
-	incarnations  map[string]uint64
-	recorded      map[Key]verdict.Verdict
+	t                 *rapid.T
+	random            *rand.Rand
+	now               time.Time
+	table             *Table
+	index             uint64
+	inFlight          []proposal
+	attempts          []*attempt
+	lastExpireAt      time.Time
+	lastExtraExpireAt time.Time
+	incarnations      map[string]uint64
+	recorded          map[Key]verdict.Verdict
 	// mayExpire: records may expire within the test.
 	mayExpire bool
 }
@@ -50,7 +50,7 @@
 func newSimulation(t *rapid.T) *simulation {
 	w := &simulation{
 		t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
-		now: start, table: NewTable(), lastTick: start, lastExtraTick: start,
+		now: start, table: NewTable(), lastExpireAt: start, lastExtraExpireAt: start,
 		incarnations: map[string]uint64{"a": 1, "b": 1, "c": 1}, recorded: map[Key]verdict.Verdict{},
 	}
 	w.apply(Command{Now: start.UnixMilli(), Expire: &Expire{}})
@@ -240,17 +240,18 @@
 // command, whose clock may be ahead by any jump. A previous leader may leave one more.
 func (w *simulation) advance() {
 	w.now = w.now.Add(time.Duration(w.draw(400)) * time.Millisecond)
-	if w.now.Sub(w.lastTick) >= ExpireInterval {
-		w.lastTick = w.now
-		w.tick()
+	if w.now.Sub(w.lastExpireAt) >= ExpireInterval {
+		w.lastExpireAt = w.now
+		w.applyExpire()
 	}
-	if w.now.Sub(w.lastExtraTick) > ClaimWait && w.draw(3) == 0 {
-		w.lastExtraTick = w.now
-		w.tick()
+	if w.now.Sub(w.lastExtraExpireAt) > ClaimWait && w.draw(3) == 0 {
+		w.lastExtraExpireAt = w.now
+		w.applyExpire()
 	}
 }
 
-func (w *simulation) tick() {
+// applyExpire applies an Expire command of a leader whose clock is up to 99 s ahead.
+func (w *simulation) applyExpire() {
 	ahead := time.Duration(w.draw(100)) * time.Second
 	w.apply(Command{Now: w.now.Add(ahead).UnixMilli(), Expire: &Expire{}})
 }
--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -201,7 +201,8 @@
 const maxPendingReports = 8
 
 // NewLimiter returns the Limiter of one instance of a region. lookup gives the region's share
-// of a limit, instances is the number of instances in the region, and lease that of shares.
+// of a limit, instances is the number of instances in the region, and lease is how long
+// shares are valid.
 func NewLimiter(lookup Lookup, instances int, lease time.Duration) *Limiter {
 	return &Limiter{
 		lookup: lookup, instances: max(1, instances), lease: lease, floorDelay: lease, scale: 1,
--- a/coord/limit/offered_test.go
+++ b/coord/limit/offered_test.go
@@ -57,13 +57,13 @@
 // run offers load for d; the first part, of length early, is counted under index 0.
 func (c *loadSim) run(d, early time.Duration) {
 	for t := time.Duration(0); t < d; t += tick {
-		phase := 0
+		period := 0
 		if t >= early {
-			phase = 1
+			period = 1
 		}
 		for i, l := range c.limiters {
 			for range c.arrivals(i) {
-				c.take(l, phase)
+				c.take(l, period)
 			}
 			if c.now.Sub(start)%time.Second == c.reportOffset[i] {
 				number, demands := l.Report(c.now)
@@ -78,13 +78,13 @@
 	}
 }
 
-func (c *loadSim) take(l *Limiter, phase int) {
-	c.asked[phase]++
+func (c *loadSim) take(l *Limiter, period int) {
+	c.asked[period]++
 	if ok, _ := c.regionBucket.take(c.now, c.requestSize); !ok {
-		c.regionRefused[phase]++
+		c.regionRefused[period]++
 	}
 	if ok, _ := l.Take(c.now, "w", c.requestSize); !ok {
-		c.refused[phase]++
+		c.refused[period]++
 		return
 	}
 	c.excess += c.requestSize
@@ -130,8 +130,8 @@
 }
 
 // needlessRefusals returns the fraction refused beyond what a single bucket refused.
-func (c *loadSim) needlessRefusals(phase int) float64 {
-	return (c.refused[phase] - c.regionRefused[phase]) / max(1, c.asked[phase])
+func (c *loadSim) needlessRefusals(period int) float64 {
+	return (c.refused[period] - c.regionRefused[period]) / max(1, c.asked[period])
 }
 
 // Guards against refusals for a workspace that asks for less than its limit while load
--- a/coord/suspect/finished.go
+++ b/coord/suspect/finished.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// finished remembers when digests finished, in two halves: when the newer one is full the
-// older one is dropped, so at least the newest digests are kept.
+// finished remembers when requests finished, by digest, in two halves: when the newer one
+// is full the older one is dropped, so at least the newest digests are kept.
 //
 // Without it, a request that many callers send at once and that is in flight at two targets
 // which crash within seconds for other reasons is refused everywhere from then on. As no
@@ -22,8 +22,9 @@
 	f.newer[d] = now
 }
 
-// at returns when a digest last finished.
-func (f *finished) at(d Digest) (time.Time, bool) {
+// lastFinishedAt returns when a request with the digest last finished; false if that is
+// not known.
+func (f *finished) lastFinishedAt(d Digest) (time.Time, bool) {
 	if at, ok := f.newer[d]; ok {
 		return at, true
 	}
@@ -31,8 +32,9 @@
 	return at, ok
 }
 
-// finishedRecently reports whether a digest finished here within FinishedTTL.
+// finishedRecently reports whether a request with the digest finished here within
+// FinishedTTL.
 func (t *Table) finishedRecently(now time.Time, d Digest) bool {
-	at, ok := t.finished.at(d)
+	at, ok := t.finished.lastFinishedAt(d)
 	return ok && now.Sub(at) < t.cfg.FinishedTTL
 }
--- a/coord/suspect/table_test.go
+++ b/coord/suspect/table_test.go
@@ -315,7 +315,7 @@
 			distinct := map[Digest]bool{}
 			for k := len(order) - 1; k >= 0 && len(distinct) < maxFinished; k-- {
 				distinct[order[k]] = true
-				if _, ok := f.at(order[k]); !ok {
+				if _, ok := f.lastFinishedAt(order[k]); !ok {
 					t.Fatalf("one of the newest %d was dropped", maxFinished)
 				}
 			}
