--- a/node/limits/limits_test.go
+++ b/node/limits/limits_test.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// run steps for d and returns the rate that passed, in units per second.
+// run steps for d and returns the rate that passed; allowed is the rate that may
+// pass. Both are in units per second.
 func (r *region) run(d time.Duration, allowed float64) float64 {
 	sum := 0
 	for range d / simulationStep {
--- a/node/limits/wire.go
+++ b/node/limits/wire.go
@@ -19,7 +19,8 @@
 	Partitions  []PartitionReport
 }
 
-// PartitionReport is the report of one partition.
+// PartitionReport is the report of one partition. Number counts the incarnation's
+// reports of that partition.
 type PartitionReport struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint8
@@ -44,8 +45,9 @@
 	Partitions []PartitionShares
 }
 
-// PartitionShares answers a PartitionReport with one row per row, in the same order.
-// Workspace names are omitted, and so are burst and lease, which the receiver derives.
+// PartitionShares answers the PartitionReport with the same Index and Number, row by
+// row in the same order. Workspace names are omitted, and so are burst and lease,
+// which the receiver derives.
 type PartitionShares struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint8
--- a/node/loads/publisher_test.go
+++ b/node/loads/publisher_test.go
@@ -163,12 +163,12 @@
 			}
 			return reports[id], nil
 		}
-		settle := func() {
+		runPastBackupDelay := func() {
 			for range int(2*r.tables[0].timing.BackupDelay/tickInterval) + 1 {
 				r.step()
 			}
 		}
-		settle()
+		runPastBackupDelay()
 		for range rapid.IntRange(1, 3).Draw(t, "changes") {
 			id := rapid.SampledFrom(r.targets).Draw(t, "target").ID
 			want, within := route.Down, (downAfterFailures+1)*maxPollInterval
@@ -199,7 +199,7 @@
 				}
 			}
 			r.lost, reports[id], down[id] = nil, ports.LoadReport{}, false
-			settle()
+			runPastBackupDelay()
 			for _, b := range r.tables {
 				if state, known := b.State(r.now, id); state != route.Warm || !known {
 					t.Fatalf("%s still has %s as %v", b.self, id, state)
--- a/node/quota/holder.go
+++ b/node/quota/holder.go
@@ -22,8 +22,8 @@
 	isolated *limit.Limiter
 	// entries is the largest number of entry instances ever known at once.
 	entries int
-	// granted are the workspaces of which a share has arrived since this instance became their
-	// owner.
+	// granted are the workspaces of which a share has arrived since this instance last reported no
+	// demand for them.
 	granted map[string]bool
 }
 
@@ -58,8 +58,8 @@
 	h.version, h.limits = version, limits
 }
 
-// SetEntryInstances sets the number of entry instances of all regions, and which workspaces this
-// instance owns.
+// SetEntryInstances sets which workspaces this instance owns, and raises the known number of entry
+// instances of all regions to entries; a lower number is ignored.
 func (h *Holder) SetEntryInstances(entries int, owns func(workspace string) bool) {
 	h.entries = max(h.entries, entries)
 	h.shared.SetOwned(func(id limit.ID) bool { return owns(id.Workspace) })
--- a/node/quota/simulation_test.go
+++ b/node/quota/simulation_test.go
@@ -92,7 +92,7 @@
 // how many requests were refused.
 func (w *simulation) step(asked func(p *process) int) (refused int) {
 	w.now = w.now.Add(simulationStep)
-	w.faults()
+	w.injectFaults()
 	if w.divider == nil && !w.now.Before(w.nextLeaderAt) {
 		w.startLeader()
 	}
@@ -112,7 +112,9 @@
 	}
 }
 
-func (w *simulation) faults() {
+// injectFaults, each at random, ends the leadership, and restarts, partitions or reconnects
+// instances, or changes their view of ownership.
+func (w *simulation) injectFaults() {
 	if w.divider != nil && w.chance("leader lost", 60) {
 		// The next leader starts after an election.
 		w.divider = nil
--- a/node/quota/wire.go
+++ b/node/quota/wire.go
@@ -11,8 +11,9 @@
 	// Incarnation distinguishes the starts of the instance.
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Region      string `cbor:"2,keyasint"`
-	Number      uint64 `cbor:"3,keyasint"`
-	Rows        []Row  `cbor:"4,keyasint,omitempty"`
+	// Number counts the reports of the incarnation.
+	Number uint64 `cbor:"3,keyasint"`
+	Rows   []Row  `cbor:"4,keyasint,omitempty"`
 }
 
 // Row is the request for a share of one workspace.
