--- a/pipeline/exchange/identify_test.go
+++ b/pipeline/exchange/identify_test.go
@@ -53,7 +53,7 @@
 			So(got.Get("Key"), ShouldEqual, "")
 		}
 	})
-	Convey("a caller without a key on an open route has no name", t, func() {
+	Convey("a caller without a key on a route that allows anonymous callers has no name", t, func() {
 		x := newTarget(t, "t1", respond(200, "done"))
 		r := newRig(t, "r", x)
 		for i := range r.table.Routes {
--- a/pipeline/exchange/limits_test.go
+++ b/pipeline/exchange/limits_test.go
@@ -70,8 +70,8 @@
 // requests that have run or may have run.
 func TestUnitsOfRequestsThatNeverRanAreRefunded(t *testing.T) {
 	for name, row := range map[string]struct {
-		script script
-		back   float64
+		script     script
+		wantRefund float64
 	}{
 		"answered":           {respond(200, "done"), 0},
 		"rejected":           {notRun, 1},
@@ -82,7 +82,7 @@
 		Convey(name, t, func() {
 			r, c := newLimitedRig(t, 5, newTarget(t, "t1", row.script))
 			r.callWithKey("key-a", "/unsafe/x")
-			So(c.refunded, ShouldEqual, row.back)
+			So(c.refunded, ShouldEqual, row.wantRefund)
 		})
 	}
 	Convey("no target", t, func() {
