--- a/pipeline/attempts.go
+++ b/pipeline/attempts.go
@@ -37,9 +37,12 @@
 	id, engineID ports.AttemptID
 	decision     route.Decision
 	target       *bundle.Target
-	alone        bool
-	query        *route.Request
-	tokens       int
+	// alone is set for a lone run, at a target that runs nothing else.
+	alone bool
+	query *route.Request
+	// tokens is the number of output tokens relayed: one per chunk, or the request's
+	// OutputTokens, an estimate, for an answer of one chunk.
+	tokens int
 	// startedAt is when it was sent.
 	startedAt time.Time
 }
--- a/pipeline/openai/members.go
+++ b/pipeline/openai/members.go
@@ -44,7 +44,8 @@
 	return key
 }
 
-// skipSpace returns the first position from at on that is not white space.
+// skipSpace returns the first position from at on that is not white space. b must
+// have one, as valid JSON has before its end.
 func skipSpace(b []byte, at int) int {
 	for b[at] == ' ' || b[at] == '\t' || b[at] == '\n' || b[at] == '\r' {
 		at++
@@ -52,7 +53,7 @@
 	return at
 }
 
-// valueEnd returns the position after the value that begins at at.
+// valueEnd returns the position after the JSON value that begins at at.
 func valueEnd(b []byte, at int) int {
 	switch b[at] {
 	case '"':
--- a/pipeline/openai/messages.go
+++ b/pipeline/openai/messages.go
@@ -78,6 +78,8 @@
 	return p.content(field+".content", m.Content)
 }
 
+// append appends a text to the prompt, followed by a zero byte that separates it
+// from the next.
 func (p *parser) append(text string) {
 	p.req.Prompt = append(p.req.Prompt, text...)
 	p.req.Prompt = append(p.req.Prompt, 0)
--- a/pipeline/openai/parse.go
+++ b/pipeline/openai/parse.go
@@ -200,7 +200,7 @@
 
 func isNull(raw []byte) bool { return string(raw) == "null" }
 
-// decodeTokens reads a number of tokens. It leaves out unchanged for null.
+// decodeTokens reads a number of tokens. For null, *out stays unchanged.
 func decodeTokens(field string, raw []byte, out *int) error {
 	if isNull(raw) {
 		return nil
