--- a/node/entry/fetch.go
+++ b/node/entry/fetch.go
@@ -58,7 +58,9 @@
 
 // hasPiece reports whether the active configuration contains a piece. f.mu must be held, except in
 // the goroutine that runs fetch.
-func (f *fetcher) hasPiece(d pieces.Digest) bool { return f.groups[d] != nil || f.outerPieces[d] != nil }
+func (f *fetcher) hasPiece(d pieces.Digest) bool {
+	return f.groups[d] != nil || f.outerPieces[d] != nil
+}
 
 // handleAnnouncement requests the document of a state that a core instance has reported.
 func (f *fetcher) handleAnnouncement(now time.Time, h *newest.Head, from string) {
