--- a/e2e/ports_test.go
+++ b/e2e/ports_test.go
@@ -50,7 +50,7 @@
 			t.Fatal("the block of ports is used up")
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", port)
-		if loopback.Try(address) == nil {
+		if loopback.CheckAvailable(address) == nil {
 			return address
 		}
 	}
--- a/experiment/replay/world.go
+++ b/experiment/replay/world.go
@@ -118,7 +118,7 @@
 	return err
 }
 
-func (w *world) at(t time.Time, do func()) { w.queue.At(t, do) }
+func (w *world) at(t time.Time, do func()) { w.queue.Schedule(t, do) }
 
 func (w *world) second(s float64) time.Time {
 	return epoch.Add(time.Duration(s * float64(time.Second)))
@@ -277,7 +277,7 @@
 		}
 		delete(e.has, q.id)
 		q.sent.done(w.now, pick.Good)
-		q.pause = happened.Pause
+		q.pause = happened.LongestPause
 		w.end(q, served)
 	}
 	w.wake(e)
--- a/experiment/vtime/queue.go
+++ b/experiment/vtime/queue.go
@@ -14,7 +14,7 @@
 }
 
 // At has a thing done at a time.
-func (q *Queue) At(t time.Time, do func()) {
+func (q *Queue) Schedule(t time.Time, do func()) {
 	q.made++
 	heap.Push(&q.events, event{at: t, seq: q.made, do: do})
 }
--- a/experiment/vtime/queue_test.go
+++ b/experiment/vtime/queue_test.go
@@ -22,7 +22,7 @@
 		for n := range rapid.IntRange(0, 50).Draw(t, "events") {
 			m := made{rapid.IntRange(0, 5).Draw(t, "at"), n}
 			want = append(want, m)
-			q.At(start.Add(time.Duration(m.at)), func() { got = append(got, m) })
+			q.Schedule(start.Add(time.Duration(m.at)), func() { got = append(got, m) })
 		}
 		for {
 			_, do, ok := q.Next()
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -208,7 +208,7 @@
 func (w *world) after(d time.Duration, do func()) { w.push(w.now.Add(d), do) }
 
 func (w *world) push(at time.Time, do func()) {
-	w.queue.At(at, do)
+	w.queue.Schedule(at, do)
 }
 
 // run takes events until every call has its final answer. drainLimit bounds
--- a/soak/subnet.go
+++ b/soak/subnet.go
@@ -36,7 +36,7 @@
 	for s.next <= lastPort {
 		address := fmt.Sprintf("%s:%d", host, s.next)
 		s.next++
-		if loopback.Try(address) == nil {
+		if loopback.CheckAvailable(address) == nil {
 			return address, nil
 		}
 	}
@@ -57,7 +57,7 @@
 
 func (s *subnet) free(hosts, port int) bool {
 	for n := range hosts {
-		if loopback.Try(fmt.Sprintf("%s:%d", s.host(n), port)) != nil {
+		if loopback.CheckAvailable(fmt.Sprintf("%s:%d", s.host(n), port)) != nil {
 			return false
 		}
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -51,7 +51,7 @@
 	Model, Version, Role string
 	Adapters             []string
 	// KeepRuns is how long a broken-off run can be resumed; default 30 s.
-	KeepRuns time.Duration
+	ResumeTTL time.Duration
 }
 
 func (c EngineConfig) withDefaults() EngineConfig {
@@ -64,8 +64,8 @@
 	if c.CacheBlocks <= 0 {
 		c.CacheBlocks = 4096
 	}
-	if c.KeepRuns <= 0 {
-		c.KeepRuns = 30 * time.Second
+	if c.ResumeTTL <= 0 {
+		c.ResumeTTL = 30 * time.Second
 	}
 	return c
 }
@@ -99,7 +99,7 @@
 		cfg:    cfg,
 		mux:    http.NewServeMux(),
 		slots:  newSlots(cfg.Slots, cfg.MaxWaiting),
-		runs:   newRuns(cfg.KeepRuns),
+		runs:   newRuns(cfg.ResumeTTL),
 		cache:  newCache(cfg),
 		orders: newOrders(cfg),
 	}
--- a/standin/enginemodel/engine.go
+++ b/standin/enginemodel/engine.go
@@ -96,7 +96,7 @@
 	// CachedTokens is the prefix hit of the request, OutputTokens what is out so far.
 	CachedTokens, OutputTokens int
 	// Pause is the longest time between two events of the answer so far.
-	Pause time.Duration
+	LongestPause time.Duration
 }
 
 // Load is what the engine reports of itself at one moment.
--- a/standin/enginemodel/step.go
+++ b/standin/enginemodel/step.go
@@ -91,7 +91,7 @@
 	if s.cancelled {
 		return
 	}
-	e.out = append(e.out, Event{Kind: k, ID: s.ID, At: at, CachedTokens: s.cached, OutputTokens: s.generated, Pause: s.pauses.longest})
+	e.out = append(e.out, Event{Kind: k, ID: s.ID, At: at, CachedTokens: s.cached, OutputTokens: s.generated, LongestPause: s.pauses.longest})
 }
 
 // schedule admits what fits and plans the next steps.
--- a/standin/loopback/loopback.go
+++ b/standin/loopback/loopback.go
@@ -32,7 +32,7 @@
 }
 
 // Try listens at an address for a moment, and reports why that is not possible.
-func Try(address string) error {
+func CheckAvailable(address string) error {
 	starting.Lock()
 	defer starting.Unlock()
 	l, err := net.Listen("tcp", address)
