--- a/experiment/vtime/queue.go
+++ b/experiment/vtime/queue.go
@@ -1,4 +1,4 @@
-// Package vtime holds the events of a run in virtual time.
+// Package vtime provides the event queue of a simulation in virtual time.
 package vtime
 
 import (
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Queue is what is still to be done, by its time; equal times go in the order of At. The
-// zero value is empty.
+// Queue holds scheduled events by time; equal times keep the order of the calls to Schedule.
+// The zero value is empty. It is not safe for concurrent use.
 type Queue struct {
 	events events
-	made   uint64
+	count  uint64
 }
 
-// At has a thing done at a time.
+// Schedule adds an event that runs do at time t.
 func (q *Queue) Schedule(t time.Time, do func()) {
-	q.made++
-	heap.Push(&q.events, event{at: t, seq: q.made, do: do})
+	q.count++
+	heap.Push(&q.events, event{at: t, seq: q.count, do: do})
 }
 
-// Next takes the first thing off; false if nothing is left.
+// Next removes and returns the first event; ok is false if the queue is empty. The caller
+// runs do.
 func (q *Queue) Next() (at time.Time, do func(), ok bool) {
 	if len(q.events) == 0 {
 		return time.Time{}, nil, false
--- a/experiment/vtime/queue_test.go
+++ b/experiment/vtime/queue_test.go
@@ -10,10 +10,9 @@
 	"github.com/gullhaven/gullhaven/experiment/vtime"
 )
 
-// Symptom: equal seeds give different runs.
-// Events: many things at the same moment.
-// Cause: equal times are done in any order.
-func TestEventsComeByTimeAndThenAsMade(t *testing.T) {
+// Guards against equal seeds that give different runs: events of the same time must run in
+// the order in which they were scheduled.
+func TestEventsRunByTimeThenInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type made struct{ at, n int }
 		var q vtime.Queue
--- a/standin/answer.go
+++ b/standin/answer.go
@@ -10,28 +10,28 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// answering is how one answer is given.
-type answering struct {
+// answerOptions says how one answer is sent.
+type answerOptions struct {
 	fault Fault
-	// after is the last chunk that the other side has.
+	// after is the number of the last chunk that the client has.
 	after int
 	whole bool
 }
 
-// answer gives the answer of a run. A run whose other side goes away is
-// cancelled, one that a fault cut can be resumed.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, x *run, a answering) {
+// answer sends the answer of a run. A run whose client disconnects is
+// cancelled; a stream that FaultCut interrupts can be resumed.
+func (e *Engine) answer(w http.ResponseWriter, r *http.Request, x *run, a answerOptions) {
 	switch a.fault.Kind {
 	case FaultCrash:
 		e.crash()
-		drop()
+		abortConnection()
 	case FaultHang:
 		select {
 		case <-r.Context().Done():
-		case <-x.life.over:
-			drop()
+		case <-x.incarnation.done:
+			abortConnection()
 		}
-		e.gone(x)
+		e.endCancelled(x)
 		return
 	case FaultError:
 		e.runs.remove(x.Attempt)
@@ -47,53 +47,53 @@
 	if a.fault.Kind == FaultLate {
 		wait += a.fault.delay()
 	}
-	if !e.sleep(r, x, wait) {
-		e.gone(x)
+	if !e.waitFor(r, x, wait) {
+		e.endCancelled(x)
 		return
 	}
 	if a.whole {
 		e.wholeAnswer(w, r, x, a)
 		return
 	}
-	s := &streaming{engine: e, w: w, r: r, run: x, attempt: attempt, answering: a}
-	s.toEnd()
+	s := &streamWriter{engine: e, w: w, r: r, run: x, attempt: attempt, answerOptions: a}
+	s.writeAll()
 }
 
-// sleep waits d and reports whether the run goes on. It breaks off with the
-// engine's life.
-func (e *Engine) sleep(r *http.Request, x *run, d time.Duration) bool {
+// waitFor waits for d and reports whether the run continues. It aborts the
+// connection if the engine's incarnation has ended.
+func (e *Engine) waitFor(r *http.Request, x *run, d time.Duration) bool {
 	if d > 0 {
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
 		case <-t.C:
 		case <-r.Context().Done():
-		case <-x.life.over:
+		case <-x.incarnation.done:
 		}
 	}
-	if x.life.ended() {
-		drop()
+	if x.incarnation.ended() {
+		abortConnection()
 	}
 	return r.Context().Err() == nil && !x.cancelled.Load()
 }
 
-func (e *Engine) gone(x *run) {
+func (e *Engine) endCancelled(x *run) {
 	e.cancelled.Add(1)
-	e.runs.ended(x)
+	e.runs.removeSame(x)
 }
 
-func (e *Engine) done(x *run) {
+func (e *Engine) endFinished(x *run) {
 	e.finished.Add(1)
-	e.runs.ended(x)
+	e.runs.removeSame(x)
 }
 
-func (e *Engine) wholeAnswer(w http.ResponseWriter, r *http.Request, x *run, a answering) {
+func (e *Engine) wholeAnswer(w http.ResponseWriter, r *http.Request, x *run, a answerOptions) {
 	wait := time.Duration(x.Tokens) * e.cfg.PerToken
 	if a.fault.Kind == FaultSlow {
 		wait += time.Duration(x.Tokens) * a.fault.delay()
 	}
-	if !e.sleep(r, x, wait) {
-		e.gone(x)
+	if !e.waitFor(r, x, wait) {
+		e.endCancelled(x)
 		return
 	}
 	body, _ := json.Marshal(wholeOf(x))
@@ -103,10 +103,10 @@
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		e.runs.remove(x.Attempt)
-		drop()
+		abortConnection()
 	}
 	_, _ = w.Write(body)
-	e.done(x)
+	e.endFinished(x)
 }
 
 type wholeMessage struct {
@@ -155,8 +155,8 @@
 	}
 }
 
-// chunkForm returns what stands before and after the text in each chunk.
-func chunkForm(x *run) (before, after string) {
+// chunkTemplate returns the JSON before and after the text of each chunk.
+func chunkTemplate(x *run) (before, after string) {
 	id, _ := json.Marshal(x.Attempt)
 	model, _ := json.Marshal(x.Model)
 	var b strings.Builder
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -10,10 +10,10 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// maxEvents bounds the cache events kept for readers.
+// maxEvents bounds the retained cache events.
 const maxEvents = 4096
 
-// cache is the prefix cache of an engine with its events.
+// cache is the prefix cache of an engine and its event log.
 type cache struct {
 	cfg    EngineConfig
 	mu     sync.Mutex
@@ -32,7 +32,8 @@
 	return &cache{cfg: cfg, blocks: map[uint64]struct{}{}}
 }
 
-// prefill stores the blocks of a prompt and evicts the oldest beyond the bound.
+// prefill stores the blocks of a prompt and evicts the oldest blocks beyond
+// CacheBlocks.
 func (c *cache) prefill(model string, prompt []byte) {
 	digests := prefix.Digests(model, prompt)
 	c.mu.Lock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// clear forgets all blocks, without an event.
+// clear removes all blocks without an event.
 func (c *cache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -40,7 +40,7 @@
 	return ports.Completion{Attempt: a, Chat: true, Stream: stream, Body: []byte(b)}
 }
 
-// read reads an answer to its end; io.EOF means that it is whole.
+// read reads an answer to its end; io.EOF as end means that it is complete.
 func read(s ports.Stream, err error) (chunks int, counts ports.SequenceCounts, end error) {
 	if err != nil {
 		return 0, counts, err
@@ -58,8 +58,8 @@
 	}
 }
 
-// The contract of ports.Engine: an answer is whole and in order, or its end is
-// an error with a verdict that is never too low.
+// Checks the contract of ports.Engine: an answer is complete and in order, or it
+// ends with an error whose verdict is never too low.
 func TestEngineContract(t *testing.T) {
 	type fault = standin.Fault
 	for _, c := range []struct {
@@ -160,8 +160,8 @@
 	}
 }
 
-// Symptom: work goes on for a caller that has left.
-// Events: the stream is closed before its end.
+// Guards against an engine that keeps working for a caller that has left: the
+// stream is closed before its end.
 func TestEngineCancelsOnDisconnect(t *testing.T) {
 	e := standin.NewEngine(standin.EngineConfig{PerToken: time.Millisecond})
 	address, tr := listen(t, e)
@@ -180,9 +180,10 @@
 	}
 }
 
-// Symptom: what shared a batch with a killer is lost, and nobody knows why.
-// Events: one request ends the engine's life while another runs.
-func TestCrashTakesTheBatchAndStartsANewLife(t *testing.T) {
+// One request crashes the engine while another runs. The other must get an error
+// too, and the load report must show a new start time; otherwise nobody can tell
+// why the batch was lost.
+func TestCrashAbortsTheBatchAndStartsANewIncarnation(t *testing.T) {
 	e := standin.NewEngine(standin.EngineConfig{PerToken: time.Hour})
 	e.SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "killer"})
 	address, tr := listen(t, e)
@@ -206,8 +207,8 @@
 	}
 }
 
-// Symptom: a leader that was replaced drains targets.
-// Events: it sends an order with its old fencing number, or one whose time is over.
+// Guards against a replaced leader that drains targets: it sends an order with
+// its old fencing number, or an expired one.
 func TestOrders(t *testing.T) {
 	now := time.Now()
 	order := func(id string, fence uint64) ports.Order {
@@ -263,7 +264,7 @@
 	}
 }
 
-// The contract of ports.Plain.
+// Checks the contract of ports.Plain.
 func TestPlainContract(t *testing.T) {
 	for _, c := range []struct {
 		kind    standin.FaultKind
@@ -299,11 +300,10 @@
 	}
 }
 
-// Symptom: a booking runs twice though it was sent once.
-// Events: a kept connection is closed by the target just when the request goes
-// out on it; the request carries an Idempotency-Key.
-// Cause: net/http sends such a request again by itself.
-func TestOnceIsNotSentAgainByTheTransport(t *testing.T) {
+// Guards against a booking that runs twice though it was sent once: the target
+// closes an idle connection just as a request with an Idempotency-Key is sent on
+// it, and net/http retries such a request by itself.
+func TestOnceIsNotRetriedByTheTransport(t *testing.T) {
 	p := standin.NewPlain("desk")
 	address, tr := listen(t, p)
 	c := plainhttp.New(address, tr)
@@ -314,7 +314,7 @@
 		})
 	}
 	for range 2 {
-		a, err := send(false) // fills the kept connections
+		a, err := send(false) // fills the pool of idle connections
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -330,7 +330,7 @@
 	}
 }
 
-// The contract of ports.WeightStore.
+// Checks the contract of ports.WeightStore.
 func TestWeightStoreContract(t *testing.T) {
 	s := standin.NewWeightStore(standin.WeightStoreConfig{Sizes: map[string]int64{"w": 200_000}, MaxReads: 1})
 	address, tr := listen(t, s)
@@ -367,7 +367,7 @@
 	return b
 }
 
-// The contract of ports.InstanceList: it lags, and says how old it is.
+// Checks the contract of ports.InstanceList: it lags, and says how old it is.
 func TestInstanceListContract(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := standin.NewInstanceList(3*time.Second, func() time.Time { return now })
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -18,39 +18,39 @@
 
 const (
 	maxBodyBytes = 16 << 20
-	// shutdownGrace bounds the end of a stand-in's server.
-	shutdownGrace = 2 * time.Second
+	// shutdownTimeout bounds the graceful shutdown of a stand-in's server.
+	shutdownTimeout = 2 * time.Second
 )
 
-// EngineConfig sets up a stand-in engine.
+// EngineConfig configures a stand-in engine.
 type EngineConfig struct {
-	// ID names it in answers.
+	// ID is a name for the host's own use.
 	ID string
-	// Slots is how many requests it runs at once; default 8.
+	// Slots bounds the requests that run at once; default 8.
 	Slots int
-	// MaxWaiting bounds the requests that wait for a slot; beyond it answers
-	// 429. Default 1024.
+	// MaxWaiting bounds the requests that wait for a slot; further ones get
+	// status 429. Default 1024.
 	MaxWaiting int
-	// PrefillPerToken and PerToken are the times for a prompt token and for an
-	// answer token; zero means at once.
+	// PrefillPerToken and PerToken are the times for a prompt token (4 bytes)
+	// and for an answer token; zero means no delay.
 	PrefillPerToken, PerToken time.Duration
-	// LoadLag is how old a load report may be.
+	// LoadLag is the age up to which a load report is served again.
 	LoadLag time.Duration
-	// CacheBlocks bounds the prefix blocks it keeps; default 4096.
+	// CacheBlocks bounds the cached prefix blocks; default 4096.
 	CacheBlocks int
-	// CacheGapEvery leaves out each n-th cache event; 0 means none.
+	// CacheGapEvery omits every n-th cache event; 0 omits none.
 	CacheGapEvery int
-	// CacheDelay holds each cache event back.
+	// CacheDelay delays each cache event.
 	CacheDelay time.Duration
-	// IgnoresFence takes orders whatever their fencing number.
+	// IgnoresFence accepts orders with any fencing number.
 	IgnoresFence bool
-	// LoadTime is how long an order to load is under way.
+	// LoadTime is how long an order to load a version or adapter takes.
 	LoadTime time.Duration
-	// Model, Version, Role and Adapters are what it has loaded at its start;
-	// empty is an engine that must be told.
+	// Model, Version, Role and Adapters are the initial state; an engine
+	// without them gets them by orders.
 	Model, Version, Role string
 	Adapters             []string
-	// KeepRuns is how long a broken-off run can be resumed; default 30 s.
+	// ResumeTTL is how long an interrupted run can be resumed; default 30 s.
 	ResumeTTL time.Duration
 }
 
@@ -70,29 +70,30 @@
 	return c
 }
 
-// EngineCounts are what an engine did since its start.
+// EngineCounts counts runs since the engine was made.
 type EngineCounts struct {
-	// Runs began, Finished gave their whole answer, Cancelled were given up by
-	// the other side.
+	// Runs were started, Finished sent their whole answer, Cancelled were
+	// cancelled or lost their client, Resumed are resume requests served, and
+	// Rejected got status 429.
 	Runs, Finished, Cancelled, Resumed, Rejected int64
 }
 
-// Engine is a stand-in model engine; it is an http.Handler.
+// Engine is a stand-in model engine, an http.Handler. It is safe for concurrent use.
 type Engine struct {
-	cfg    EngineConfig
-	mux    *http.ServeMux
-	faults faults
-	slots  *slots
-	runs   *runs
-	cache  *cache
-	orders *orders
-	load   loadReport
-	life   atomic.Pointer[life]
+	cfg         EngineConfig
+	mux         *http.ServeMux
+	faults      faults
+	slots       *slots
+	runs        *runs
+	cache       *cache
+	orders      *orders
+	load        loadReport
+	incarnation atomic.Pointer[incarnation]
 
 	began, finished, cancelled, resumed, rejected atomic.Int64
 }
 
-// NewEngine makes an engine.
+// NewEngine returns an idle engine with an empty cache.
 func NewEngine(cfg EngineConfig) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
@@ -103,7 +104,7 @@
 		cache:  newCache(cfg),
 		orders: newOrders(cfg),
 	}
-	e.life.Store(newLife())
+	e.incarnation.Store(newIncarnation())
 	e.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.complete(w, r, openai.Chat) })
 	e.mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { e.complete(w, r, openai.Text) })
 	e.mux.HandleFunc("POST /v1/completions/{attempt}/resume", e.resume)
@@ -117,40 +118,43 @@
 	return e
 }
 
-// life is the time between two crashes of an engine.
-type life struct {
+// incarnation is the time between two crashes of an engine.
+type incarnation struct {
 	started time.Time
-	over    chan struct{}
+	done    chan struct{}
 }
 
-func newLife() *life { return &life{started: time.Now(), over: make(chan struct{})} }
+func newIncarnation() *incarnation {
+	return &incarnation{started: time.Now(), done: make(chan struct{})}
+}
 
-func (l *life) ended() bool {
+func (l *incarnation) ended() bool {
 	select {
-	case <-l.over:
+	case <-l.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// crash ends the engine's life: all that runs breaks off, and it starts anew
-// with nothing running and an empty cache.
+// crash ends the engine's incarnation: all runs are aborted, and a new one
+// starts with no runs and an empty cache.
 func (e *Engine) crash() {
-	old := e.life.Swap(newLife())
+	old := e.incarnation.Swap(newIncarnation())
 	select {
-	case <-old.over:
+	case <-old.done:
 	default:
-		close(old.over)
+		close(old.done)
 	}
 	e.runs.clear()
 	e.cache.clear()
 }
 
-// SetFaults replaces the faults to make.
+// SetFaults replaces the faults to inject; they match by prompt, with the
+// prefix "resume:", "export:" or "import:" for those calls.
 func (e *Engine) SetFaults(list ...Fault) { e.faults.set(list) }
 
-// Counts returns what it did so far.
+// Counts returns the counts so far.
 func (e *Engine) Counts() EngineCounts {
 	return EngineCounts{
 		Runs:      e.began.Load(),
@@ -161,10 +165,10 @@
 	}
 }
 
-// RunsOf counts the runs of one prompt.
+// RunsOf returns how often a prompt was run.
 func (e *Engine) RunsOf(prompt string) int { return e.runs.count(prompt) }
 
-// ServeHTTP serves the engine's interface.
+// ServeHTTP serves the engine protocol, and POST /fault, which sets faults.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request, form openai.Form) {
@@ -178,7 +182,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := e.faults.take(req.Prompt)
+	f := e.faults.next(req.Prompt)
 	priority, _ := strconv.Atoi(r.Header.Get(ports.HeaderPriority))
 	if f.Kind == FaultReject || e.orders.draining() || !e.slots.acquire(r.Context(), priority) {
 		e.rejected.Add(1)
@@ -188,7 +192,7 @@
 	}
 	defer e.slots.release()
 	run := e.begin(r, form, req)
-	e.answer(w, r, run, answering{fault: f, whole: !req.Stream})
+	e.answer(w, r, run, answerOptions{fault: f, whole: !req.Stream})
 }
 
 func (e *Engine) begin(r *http.Request, form openai.Form, req *openai.Request) *run {
@@ -201,7 +205,7 @@
 	if attempt == "" {
 		attempt = "run-" + strconv.FormatInt(e.began.Load(), 10)
 	}
-	x := &run{Attempt: attempt, Chat: form == openai.Chat, Model: req.Model, Prompt: string(req.Prompt), Tokens: n, life: e.life.Load()}
+	x := &run{Attempt: attempt, Chat: form == openai.Chat, Model: req.Model, Prompt: string(req.Prompt), Tokens: n, incarnation: e.incarnation.Load()}
 	e.runs.add(x)
 	e.cache.prefill(req.Model, req.Prompt)
 	return x
@@ -225,8 +229,8 @@
 	}
 	defer e.slots.release()
 	e.resumed.Add(1)
-	run = e.runs.takeUp(run.in(e.life.Load()))
-	e.answer(w, r, run, answering{fault: e.faults.take([]byte("resume:" + run.Prompt)), after: after})
+	run = e.runs.put(run.copyFor(e.incarnation.Load()))
+	e.answer(w, r, run, answerOptions{fault: e.faults.next([]byte("resume:" + run.Prompt)), after: after})
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
@@ -245,14 +249,14 @@
 		http.Error(w, "unknown attempt", http.StatusNotFound)
 		return
 	}
-	f := e.faults.take([]byte("export:" + run.Prompt))
+	f := e.faults.next([]byte("export:" + run.Prompt))
 	switch f.Kind {
 	case FaultError:
 		http.Error(w, "internal error", http.StatusInternalServerError)
 	case FaultCut:
 		_, _ = w.Write([]byte(`{"attempt":`))
 		_ = http.NewResponseController(w).Flush()
-		drop()
+		abortConnection()
 	default:
 		writeJSON(w, run)
 	}
@@ -265,19 +269,19 @@
 		http.Error(w, "malformed KV cache", http.StatusBadRequest)
 		return
 	}
-	switch e.faults.take([]byte("import:" + x.Prompt)).Kind {
+	switch e.faults.next([]byte("import:" + x.Prompt)).Kind {
 	case FaultError:
 		http.Error(w, "internal error", http.StatusInternalServerError)
 		return
 	case FaultCrash:
-		drop()
+		abortConnection()
 	}
-	// A cache that nobody takes up is dropped.
-	e.runs.brokenOff(e.runs.takeUp(x))
+	// A cache that is not resumed is removed after a while.
+	e.runs.removeLater(e.runs.put(x))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// loadReport keeps the last report, so that it can be told late.
+// loadReport keeps the last report, so that it can be served late.
 type loadReport struct {
 	mu   sync.Mutex
 	last ports.LoadReport
@@ -295,10 +299,10 @@
 }
 
 func (e *Engine) report(now time.Time) ports.LoadReport {
-	l := ports.LoadReport{At: now, Started: e.life.Load().started}
+	l := ports.LoadReport{At: now, Started: e.incarnation.Load().started}
 	l.Running, l.Waiting = e.slots.load()
 	l.KVUsed = e.cache.used()
-	e.orders.fill(&l)
+	e.orders.fillReport(&l)
 	return l
 }
 
@@ -307,11 +311,12 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Serve serves a stand-in on l until ctx ends, then closes after a bounded grace.
+// Serve serves a stand-in on l until ctx ends, then shuts down within 2 s. It
+// returns any other error of the server.
 func Serve(ctx context.Context, l net.Listener, h http.Handler) error {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	stop := context.AfterFunc(ctx, func() {
-		grace, cancel := context.WithTimeout(context.Background(), shutdownGrace)
+		grace, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if s.Shutdown(grace) != nil {
 			_ = s.Close()
--- a/standin/enginemodel/engine.go
+++ b/standin/enginemodel/engine.go
@@ -1,5 +1,5 @@
-// Package enginemodel is a deterministic model of one inference engine, in
-// virtual time and without input or output.
+// Package enginemodel is a deterministic model of one inference engine in
+// virtual time, without I/O.
 //
 // The engine works in steps, as continuous batching does: each step generates
 // one token for every decoding sequence and prefills at most ChunkTokens of
@@ -8,11 +8,11 @@
 // prefix cache of limited memory saves prefill. The waiting queue is ordered by
 // priority, then by arrival.
 //
-// The host calls Enqueue, Cancel and Advance with the time, and wakes the
-// engine at NextEvent. Steps whose composition does not change are taken
-// together, so that the cost is one event for each change, not for each token.
+// The host calls Enqueue, Cancel and Advance with the time, and calls Advance at
+// NextEvent. Steps whose composition does not change are simulated together, so
+// that the cost is one event for each change, not for each token.
 //
-// What is left out: preemption of running sequences, swapping, and blocks that
+// Not modelled: preemption of running sequences, swapping, and blocks that
 // running sequences share with the cache.
 package enginemodel
 
@@ -24,11 +24,11 @@
 
 // Errors of Enqueue. None of them means that the request ran.
 var (
-	// ErrFull: the waiting queue holds MaxWaiting requests.
+	// ErrFull means that the waiting queue holds MaxWaiting requests.
 	ErrFull = errors.New("waiting queue is full")
-	// ErrTooLong: the request can never fit the KV memory.
+	// ErrTooLong means that the request can never fit into the KV memory.
 	ErrTooLong = errors.New("request exceeds KV memory")
-	// ErrDown: the engine has crashed and not restarted.
+	// ErrDown means that the engine has crashed and not restarted.
 	ErrDown = errors.New("engine is down")
 )
 
@@ -38,27 +38,28 @@
 	Slots int
 	// ChunkTokens bounds the prompt tokens prefilled in one step.
 	ChunkTokens int
-	// PrefillRate is in tokens per second of pure prefill. 0 makes a plain
+	// PrefillRate is the speed of prefill in tokens per second. 0 models a plain
 	// service: no prefill, every request takes OutputTokens steps, and the
 	// first token comes with the whole answer.
 	PrefillRate float64
-	// StepBase is the fixed time of a step, StepPerSeq the time that each
+	// StepBase is the fixed duration of a step, StepPerSeq the time that each
 	// decoding sequence adds.
 	StepBase, StepPerSeq time.Duration
-	// KVTokens bounds prompt and answer tokens reserved by running sequences.
+	// KVTokens bounds the prompt and answer tokens reserved by running sequences.
 	KVTokens int
-	// CacheTokens bounds the prefix cache.
+	// CacheTokens bounds the tokens in the prefix cache.
 	CacheTokens int
-	// MaxWaiting bounds the waiting queue; more are rejected.
+	// MaxWaiting bounds the waiting queue; further requests get ErrFull.
 	MaxWaiting int
-	// EmitTokens asks for an event for each generated token, for hosts that
-	// stream. Without it only the first token and the end are told.
+	// EmitTokens requests an event for each generated token, for hosts that
+	// stream. Without it there are events only for the first token and the end.
 	EmitTokens bool
-	// EventTokens is how many tokens an event of an answer holds; 0 measures no pauses.
+	// EventTokens is the number of tokens in an event of an answer, for
+	// Event.LongestPause; 0 measures no pauses.
 	EventTokens int
 }
 
-// DecodeRate is the rated decode speed with all slots in use, in tokens per second.
+// DecodeRate returns the rated decode speed with all slots in use, in tokens per second.
 func (c Config) DecodeRate() float64 {
 	step := c.StepBase + time.Duration(c.Slots)*c.StepPerSeq
 	return float64(c.Slots) / step.Seconds()
@@ -76,67 +77,69 @@
 	Prefix []uint64
 }
 
-// EventKind tells what happened to a request.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 const (
-	// FirstToken: prefill is done and the first token is out.
+	// FirstToken means that prefill is done and the first token is generated.
 	FirstToken EventKind = iota
-	// Token: a further token is out; only with EmitTokens.
+	// Token means that a further token is generated; only with EmitTokens.
 	Token
-	// Finished: the whole answer is out.
+	// Finished means that the whole answer is generated.
 	Finished
 )
 
-// Event is one thing that happened to a request.
+// Event is a step in the progress of a request.
 type Event struct {
 	Kind EventKind
 	ID   uint64
 	At   time.Time
-	// CachedTokens is the prefix hit of the request, OutputTokens what is out so far.
+	// CachedTokens is the prefix hit of the request, OutputTokens the tokens
+	// generated so far.
 	CachedTokens, OutputTokens int
-	// Pause is the longest time between two events of the answer so far.
+	// LongestPause is the longest time between two events of the answer so far.
 	LongestPause time.Duration
 }
 
-// Load is what the engine reports of itself at one moment.
+// Load is the load of an engine at one moment.
 type Load struct {
 	Running, Waiting int
-	// WaitingTokens are prompt tokens not prefilled yet, of running and waiting requests.
+	// WaitingTokens are the prompt tokens of running and waiting requests that
+	// are not prefilled yet.
 	WaitingTokens int
-	// KVUsed is the reserved share of KV memory, 0 to 1.
+	// KVUsed is the reserved fraction of KV memory, 0 to 1.
 	KVUsed float64
 }
 
 // sequence is one request inside the engine.
 type sequence struct {
 	Request
-	order     uint64
+	arrival   uint64
 	cancelled bool
-	// todo are prompt tokens still to prefill; known at admission.
-	todo      int
+	// toPrefill are the prompt tokens still to prefill, set at admission.
+	toPrefill int
 	cached    int
 	generated int
 	pauses    pauses
 }
 
-func (s *sequence) kv() int { return s.PromptTokens + s.OutputTokens }
+func (s *sequence) reservedTokens() int { return s.PromptTokens + s.OutputTokens }
 
-// before is the order of the waiting queue and of prefill.
+// before compares sequences in the order of the waiting queue and of prefill.
 func before(a, b *sequence) int {
 	if a.Priority != b.Priority {
 		return b.Priority - a.Priority
 	}
-	return int(int64(a.order) - int64(b.order))
+	return int(int64(a.arrival) - int64(b.arrival))
 }
 
-// chunk is the part of one step that a prefilling sequence gets.
+// chunk is the number of tokens that a sequence prefills in one step.
 type chunk struct {
 	seq    *sequence
 	tokens int
 }
 
-// plan is a run of equal steps.
+// plan is a series of equal steps.
 type plan struct {
 	start    time.Time
 	step     time.Duration
@@ -149,28 +152,29 @@
 
 // Engine is the model of one engine. It is not safe for concurrent use.
 type Engine struct {
-	cfg     Config
-	speed   float64
-	down    bool
-	orders  uint64
-	waiting []*sequence
-	running []*sequence
-	kv      int
-	plan    plan
-	active  bool
-	cache   cache
-	out     []Event
-	busy    time.Duration
+	cfg      Config
+	speed    float64
+	down     bool
+	arrivals uint64
+	waiting  []*sequence
+	running  []*sequence
+	kv       int
+	plan     plan
+	active   bool
+	cache    cache
+	events   []Event
+	busy     time.Duration
 }
 
-// New returns an idle engine with a cold cache.
+// New returns an idle engine with an empty cache.
 func New(cfg Config) *Engine {
 	return &Engine{cfg: cfg, speed: 1, cache: newCache(cfg.CacheTokens / BlockTokens)}
 }
 
-// Enqueue puts a request into the waiting queue.
+// Enqueue adds a request to the waiting queue. It returns ErrFull, ErrTooLong or
+// ErrDown.
 func (e *Engine) Enqueue(now time.Time, r Request) error {
-	e.run(now)
+	e.advanceTo(now)
 	switch {
 	case e.down:
 		return ErrDown
@@ -179,18 +183,18 @@
 	case len(e.waiting) >= e.cfg.MaxWaiting:
 		return ErrFull
 	}
-	e.orders++
-	s := &sequence{Request: r, order: e.orders}
+	e.arrivals++
+	s := &sequence{Request: r, arrival: e.arrivals}
 	at, _ := slices.BinarySearchFunc(e.waiting, s, before)
 	e.waiting = slices.Insert(e.waiting, at, s)
 	e.interrupt(now)
 	return nil
 }
 
-// Cancel gives a request up. It tells whether the engine still had it; no
+// Cancel cancels a request. It reports whether the engine still had it; no
 // event of the request follows.
 func (e *Engine) Cancel(now time.Time, id uint64) bool {
-	e.run(now)
+	e.advanceTo(now)
 	if i := slices.IndexFunc(e.waiting, func(s *sequence) bool { return s.ID == id }); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 		return true
@@ -204,10 +208,10 @@
 	return true
 }
 
-// Crash loses every request and the cache, and returns the requests lost. The
-// engine takes nothing until Restart.
+// Crash drops all requests and the cache, and returns the IDs of the requests.
+// The engine accepts no requests until Restart.
 func (e *Engine) Crash(now time.Time) []uint64 {
-	e.run(now)
+	e.advanceTo(now)
 	var lost []uint64
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		if !s.cancelled {
@@ -221,46 +225,46 @@
 	return lost
 }
 
-// Restart brings a crashed or idle engine back with a cold cache.
+// Restart restarts a crashed or idle engine with an empty cache.
 func (e *Engine) Restart(now time.Time) {
-	e.run(now)
+	e.advanceTo(now)
 	e.down = false
 	e.cache = newCache(e.cfg.CacheTokens / BlockTokens)
 }
 
-// SetSpeed sets the speed factor: 1 is the rated speed, 0.25 a grey engine.
-// The step under way keeps its length.
+// SetSpeed sets the speed as a factor of the rated speed, above 0. The current
+// step keeps its duration.
 func (e *Engine) SetSpeed(now time.Time, factor float64) {
-	e.run(now)
+	e.advanceTo(now)
 	e.speed = factor
 	e.interrupt(now)
 }
 
-// NextEvent is when the engine wants Advance to be called; false means that it
-// has nothing to do.
+// NextEvent returns when Advance must be called next; false means that the
+// engine is idle.
 func (e *Engine) NextEvent() (time.Time, bool) {
-	if len(e.out) > 0 {
-		return e.out[0].At, true
+	if len(e.events) > 0 {
+		return e.events[0].At, true
 	}
 	return e.plan.end(), e.active
 }
 
-// Advance runs the engine up to now and returns what happened, in order. The
-// slice is valid until the next call.
+// Advance runs the engine up to now and returns the events in order. The slice
+// is valid until the next call.
 func (e *Engine) Advance(now time.Time) []Event {
-	e.run(now)
-	out := e.out
-	e.out = nil
+	e.advanceTo(now)
+	out := e.events
+	e.events = nil
 	return out
 }
 
 // Load returns the load at now.
 func (e *Engine) Load(now time.Time) Load {
-	e.run(now)
-	e.settle(now)
+	e.advanceTo(now)
+	e.applyElapsed(now)
 	l := Load{Running: len(e.running), Waiting: len(e.waiting)}
 	for _, s := range e.running {
-		l.WaitingTokens += s.todo
+		l.WaitingTokens += s.toPrefill
 	}
 	for _, s := range e.waiting {
 		l.WaitingTokens += s.PromptTokens
@@ -271,8 +275,8 @@
 	return l
 }
 
-// Busy is the total time in which the engine ran something.
+// Busy returns the total time in which the engine ran steps.
 func (e *Engine) Busy() time.Duration { return e.busy }
 
-// Idle tells whether nothing runs or waits.
+// Idle reports whether no request runs or waits.
 func (e *Engine) Idle() bool { return len(e.running)+len(e.waiting) == 0 }
--- a/standin/enginemodel/engine_test.go
+++ b/standin/enginemodel/engine_test.go
@@ -32,14 +32,14 @@
 	return r
 }
 
-// account is what a host knows of the requests it gave to an engine.
+// account is what a host knows of the requests that it sent to an engine.
 type account struct {
 	open   map[uint64]Request
 	firsts map[uint64]bool
 	last   time.Time
 }
 
-func (a *account) take(t *rapid.T, events []Event, now time.Time) {
+func (a *account) check(t *rapid.T, events []Event, now time.Time) {
 	for _, ev := range events {
 		r, ok := a.open[ev.ID]
 		if !ok {
@@ -67,7 +67,8 @@
 	}
 }
 
-// act does one thing to the engine: a crash, a change of speed, cancels or an arrival.
+// act performs one random action: a crash with a restart, a change of speed,
+// cancels or an arrival.
 func (a *account) act(t *rapid.T, e *Engine, now time.Time, id uint64) {
 	switch rapid.IntRange(0, 9).Draw(t, "action") {
 	case 0:
@@ -100,9 +101,9 @@
 	}
 }
 
-// Symptom: a request never ends, ends twice, or the memory bounds are passed.
-// Events: any interleaving of arrivals, cancels, crashes and speed changes.
-// Cause: runs of equal steps that are cut short are accounted wrongly.
+// Guards against requests that never end or end twice, and exceeded memory
+// bounds, in any interleaving of arrivals, cancels, crashes and speed changes:
+// a series of equal steps that is interrupted may be accounted wrongly.
 func TestNoRequestIsLostAndMemoryIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := small()
@@ -112,7 +113,7 @@
 		now := epoch
 		for id := range uint64(rapid.IntRange(1, 30).Draw(t, "steps")) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond)
-			a.take(t, e.Advance(now), now)
+			a.check(t, e.Advance(now), now)
 			a.act(t, e, now, id)
 			l := e.Load(now)
 			if l.KVUsed > 1 || l.KVUsed < 0 || l.Running > cfg.Slots || e.CachedTokens() > cfg.CacheTokens {
@@ -125,7 +126,7 @@
 				break
 			}
 			now = at
-			a.take(t, e.Advance(now), now)
+			a.check(t, e.Advance(now), now)
 		}
 		if len(a.open) != 0 || !e.Idle() {
 			t.Fatalf("%d requests left open", len(a.open))
@@ -133,10 +134,10 @@
 	})
 }
 
-// Symptom: the same work takes another time when the host looks more often.
-// Events: Load and Advance between steps. Cause: taking steps together is only
-// an optimisation and must not change when things happen.
-func TestLookingChangesNothing(t *testing.T) {
+// Guards against event times that depend on how often the host calls Load and
+// Advance between steps. Simulating steps together is only an optimisation and
+// must not change when events happen.
+func TestObservingChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quiet, watched := New(small()), New(small())
 		var want, got []Event
--- a/standin/enginemodel/feed.go
+++ b/standin/enginemodel/feed.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Feed delivers values late and in order, as load reports and cache events
-// come. Gaps are the host's: it leaves a value out.
+// Feed delivers values in order after a delay, as load reports and cache events
+// arrive. For a gap, the host omits a value. The zero value has no delay.
 type Feed[T any] struct {
-	// Lag is the time from Put to Take.
+	// Lag is the delay from Put until Take returns the value.
 	Lag   time.Duration
-	queue []late[T]
+	queue []delayed[T]
 }
 
-type late[T any] struct {
+type delayed[T any] struct {
 	due   time.Time
 	value T
 }
 
-// Put takes a value made at now.
+// Put adds a value made at now.
 func (f *Feed[T]) Put(now time.Time, v T) {
-	f.queue = append(f.queue, late[T]{now.Add(f.Lag), v})
+	f.queue = append(f.queue, delayed[T]{now.Add(f.Lag), v})
 }
 
-// Take returns the values that are due at now, oldest first.
+// Take removes and returns the values that are due at now, oldest first.
 func (f *Feed[T]) Take(now time.Time) []T {
 	var out []T
 	n := 0
--- a/standin/enginemodel/pause.go
+++ b/standin/enginemodel/pause.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// pauses measures the time between the events of one answer, each of which holds a number
-// of tokens.
+// pauses measures the time between the events of one answer, each of which has the same
+// number of tokens.
 type pauses struct {
-	// held are the tokens of the next event, made in the time took.
-	held int
-	took time.Duration
-	// longest is that of the whole events.
+	// tokens is the number of tokens generated for the next event, in the time elapsed.
+	tokens  int
+	elapsed time.Duration
+	// longest is the longest time of a complete event.
 	longest time.Duration
 }
 
-// add takes in n tokens that took a step each, of which size make an event.
+// add records n tokens generated in one step each; size tokens make an event.
 func (p *pauses) add(n int, step time.Duration, size int) {
-	if missing := size - p.held; n >= missing {
-		p.longest = max(p.longest, p.took+time.Duration(missing)*step)
-		p.held, p.took = 0, 0
+	if missing := size - p.tokens; n >= missing {
+		p.longest = max(p.longest, p.elapsed+time.Duration(missing)*step)
+		p.tokens, p.elapsed = 0, 0
 		n -= missing
 	}
 	if n >= size {
 		p.longest = max(p.longest, time.Duration(size)*step)
 		n %= size
 	}
-	p.held += n
-	p.took += time.Duration(n) * step
+	p.tokens += n
+	p.elapsed += time.Duration(n) * step
 }
 
-// Fetch has the engine keep what another one keeps of a prompt. It takes no time.
+// Fetch copies the cached blocks of a prompt's prefix from another engine. It takes no
+// virtual time.
 func (e *Engine) Fetch(from *Engine, prefix []uint64) {
 	e.cache.store(prefix[:from.cache.hit(prefix)])
 }
--- a/standin/enginemodel/pause_test.go
+++ b/standin/enginemodel/pause_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The pauses that are counted in groups of equal steps are those of the tokens one by one.
+// The longest pause is the same whether steps are added in groups or one by one.
 func TestPausesOfGroupedSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 9).Draw(t, "tokens of an event")
@@ -34,8 +34,8 @@
 	})
 }
 
-// An engine that has fetched a prompt's parts reads only the rest of it.
-func TestFetchedPartsAreNotRead(t *testing.T) {
+// An engine that has fetched a prompt's blocks prefills only the rest of it.
+func TestFetchedBlocksAreNotPrefilled(t *testing.T) {
 	at := time.Unix(0, 0)
 	config := Config{Slots: 4, ChunkTokens: 4096, PrefillRate: 1000, StepBase: time.Millisecond, KVTokens: 100000, CacheTokens: 100000, MaxWaiting: 4}
 	prefix := []uint64{1, 2, 3}
--- a/standin/enginemodel/step.go
+++ b/standin/enginemodel/step.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// run takes all plans that end at or before now.
-func (e *Engine) run(now time.Time) {
+// advanceTo executes all plans that end at or before now.
+func (e *Engine) advanceTo(now time.Time) {
 	for e.active && !e.plan.end().After(now) {
 		end := e.plan.end()
 		e.apply(e.plan.steps)
@@ -15,8 +15,8 @@
 	}
 }
 
-// settle accounts for the whole steps of the plan that have passed.
-func (e *Engine) settle(now time.Time) {
+// applyElapsed applies the steps of the plan that have ended by now.
+func (e *Engine) applyElapsed(now time.Time) {
 	if !e.active {
 		return
 	}
@@ -29,22 +29,22 @@
 	e.plan.steps -= passed
 }
 
-// interrupt ends the plan with the step under way, so that a change takes
-// effect at the next step, or starts an idle engine.
+// interrupt ends the plan with the current step, so that a change takes effect
+// at the next step. It starts an idle engine.
 func (e *Engine) interrupt(now time.Time) {
 	if !e.active {
 		e.schedule(now)
 		return
 	}
-	e.settle(now)
+	e.applyElapsed(now)
 	e.plan.steps = 1
 }
 
-// apply takes n steps of the plan. By construction of the plan, only its last
-// step completes anything.
+// apply applies n steps of the plan. By construction of the plan, only its last
+// step completes a prefill or a sequence.
 func (e *Engine) apply(n int) {
 	for _, c := range e.plan.prefill {
-		c.seq.todo -= n * c.tokens
+		c.seq.toPrefill -= n * c.tokens
 	}
 	for _, s := range e.plan.decoding {
 		s.generated += n
@@ -55,46 +55,47 @@
 	e.busy += time.Duration(n) * e.plan.step
 }
 
-// complete tells what the last step of a plan brought, and drops what ended.
+// complete emits the events of a plan's last step and removes the sequences that
+// ended.
 func (e *Engine) complete(at time.Time) {
 	for _, c := range e.plan.prefill {
-		if c.seq.todo == 0 {
+		if c.seq.toPrefill == 0 {
 			c.seq.generated = 1
 			e.cache.store(c.seq.Prefix)
-			e.tell(FirstToken, c.seq, at)
+			e.emit(FirstToken, c.seq, at)
 		}
 	}
 	for _, s := range e.plan.decoding {
 		switch {
 		case e.cfg.PrefillRate > 0:
 			if e.cfg.EmitTokens {
-				e.tell(Token, s, at)
+				e.emit(Token, s, at)
 			}
 		case s.generated == s.OutputTokens:
-			e.tell(FirstToken, s, at)
+			e.emit(FirstToken, s, at)
 		}
 	}
 	e.running = slices.DeleteFunc(e.running, func(s *sequence) bool {
-		done := s.todo == 0 && s.generated >= s.OutputTokens
+		done := s.toPrefill == 0 && s.generated >= s.OutputTokens
 		if done {
-			e.tell(Finished, s, at)
+			e.emit(Finished, s, at)
 		}
 		if done || s.cancelled {
-			e.kv -= s.kv()
+			e.kv -= s.reservedTokens()
 			return true
 		}
 		return false
 	})
 }
 
-func (e *Engine) tell(k EventKind, s *sequence, at time.Time) {
+func (e *Engine) emit(k EventKind, s *sequence, at time.Time) {
 	if s.cancelled {
 		return
 	}
-	e.out = append(e.out, Event{Kind: k, ID: s.ID, At: at, CachedTokens: s.cached, OutputTokens: s.generated, LongestPause: s.pauses.longest})
+	e.events = append(e.events, Event{Kind: k, ID: s.ID, At: at, CachedTokens: s.cached, OutputTokens: s.generated, LongestPause: s.pauses.longest})
 }
 
-// schedule admits what fits and plans the next steps.
+// schedule admits the requests that fit and plans the next steps.
 func (e *Engine) schedule(at time.Time) {
 	e.admit()
 	e.plan = plan{start: at, prefill: e.plan.prefill[:0], decoding: e.plan.decoding[:0]}
@@ -104,7 +105,7 @@
 	}
 	steps := 0
 	for _, s := range e.running {
-		if s.todo > 0 {
+		if s.toPrefill > 0 {
 			continue
 		}
 		e.plan.decoding = append(e.plan.decoding, s)
@@ -120,18 +121,19 @@
 	e.plan.step = e.stepTime(len(e.plan.decoding), tokens)
 }
 
-// planPrefill shares the chunk of a step among prefilling sequences in order.
-// steps is what the decoding sequences allow, 0 for any number.
+// planPrefill divides the prefill tokens of a step among the sequences in order.
+// steps bounds the plan's steps for the decoding sequences, 0 for no bound. It
+// returns the number of steps allowed and the prefill tokens of each.
 func (e *Engine) planPrefill(steps int) (allowed, tokens int) {
 	for _, s := range e.running {
-		if s.todo == 0 {
+		if s.toPrefill == 0 {
 			continue
 		}
 		room := e.cfg.ChunkTokens - tokens
 		if room == 0 {
 			break
 		}
-		take := min(room, s.todo)
+		take := min(room, s.toPrefill)
 		e.plan.prefill = append(e.plan.prefill, chunk{s, take})
 		tokens += take
 	}
@@ -141,7 +143,7 @@
 	case len(e.plan.prefill) > 1:
 		return 1, tokens
 	}
-	whole := e.plan.prefill[0].seq.todo / tokens
+	whole := e.plan.prefill[0].seq.toPrefill / tokens
 	if steps == 0 || whole < steps {
 		return whole, tokens
 	}
@@ -156,20 +158,20 @@
 	return max(time.Duration(float64(d)/e.speed), 1)
 }
 
-// admit moves the head of the waiting queue into free slots and memory. The
-// head is not overtaken by smaller ones behind it, so that it can't starve.
+// admit starts requests from the head of the waiting queue while slots and memory
+// are free. Smaller requests do not overtake the head, so that it can't starve.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.Slots {
 		s := e.waiting[0]
-		if e.kv+s.kv() > e.cfg.KVTokens {
+		if e.kv+s.reservedTokens() > e.cfg.KVTokens {
 			return
 		}
 		e.waiting = slices.Delete(e.waiting, 0, 1)
-		e.kv += s.kv()
+		e.kv += s.reservedTokens()
 		if e.cfg.PrefillRate > 0 {
 			// The last token is always computed: it yields the first answer token.
 			s.cached = min(e.cache.hit(s.Prefix)*BlockTokens, s.PromptTokens-1)
-			s.todo = s.PromptTokens - s.cached
+			s.toPrefill = s.PromptTokens - s.cached
 		}
 		at, _ := slices.BinarySearchFunc(e.running, s, before)
 		e.running = slices.Insert(e.running, at, s)
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// FaultKind names a fault.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // Kinds of faults. Chunk is Fault.Chunk, Delay is Fault.DelayMillis.
@@ -18,9 +18,9 @@
 	FaultSlow FaultKind = "slow"
 	// FaultLate waits Delay before the first chunk.
 	FaultLate FaultKind = "late"
-	// FaultCut breaks the connection after Chunk; the run can be resumed.
+	// FaultCut aborts the connection after Chunk; the run can be resumed.
 	FaultCut FaultKind = "cut"
-	// FaultLost is FaultCut, but the run can't be resumed.
+	// FaultLost aborts the connection after Chunk; the run can't be resumed.
 	FaultLost FaultKind = "lost"
 	// FaultShort ends the answer cleanly after Chunk, without an end mark.
 	FaultShort FaultKind = "short"
@@ -28,42 +28,41 @@
 	FaultDuplicate FaultKind = "duplicate"
 	// FaultReorder sends Chunk after the one that follows it.
 	FaultReorder FaultKind = "reorder"
-	// FaultGap leaves Chunk out.
+	// FaultGap omits Chunk.
 	FaultGap FaultKind = "gap"
 	// FaultForeign sends a chunk of another attempt before Chunk.
 	FaultForeign FaultKind = "foreign"
-	// FaultWrongAnswer answers as another attempt.
+	// FaultWrongAnswer sends the answer under the ID of another attempt.
 	FaultWrongAnswer FaultKind = "wrong_answer"
-	// FaultReject answers 429 and runs nothing.
+	// FaultReject answers 429 (a plain service 503) and runs nothing.
 	FaultReject FaultKind = "reject"
-	// FaultError runs, then answers 500.
+	// FaultError runs the request, then answers 500.
 	FaultError FaultKind = "error"
-	// FaultCrash ends the engine's life when it runs the request: all that runs
-	// there breaks off. A plain service breaks this connection only.
+	// FaultCrash crashes the engine when it runs the request: all its runs are
+	// aborted. A plain service aborts this connection only.
 	FaultCrash FaultKind = "crash"
-	// FaultHang runs and never answers.
+	// FaultHang runs the request and never answers.
 	FaultHang FaultKind = "hang"
-	// FaultStall stops after Chunk until the other side goes away, or for
+	// FaultStall stops after Chunk until the client disconnects, or for
 	// Delay if that is set.
 	FaultStall FaultKind = "stall"
 )
 
-// Fault is one fault to make.
+// Fault is one fault to inject.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// Match selects requests whose prompt, path or body holds it; empty means all.
+	// Match selects requests whose prompt, path or body contains it; empty selects all.
 	Match string `json:"match,omitempty"`
-	// Count is how many requests it hits; 0 means all.
+	// Count is the number of requests to which it applies; 0 means all.
 	Count int `json:"count,omitempty"`
-	// Chunk counts from 1.
-	Chunk int `json:"chunk,omitempty"`
-	// DelayMillis is in milliseconds.
+	// Chunk is the number of a chunk of the answer, from 1.
+	Chunk       int   `json:"chunk,omitempty"`
 	DelayMillis int64 `json:"delay_ms,omitempty"`
 }
 
 func (f Fault) delay() time.Duration { return time.Duration(f.DelayMillis) * time.Millisecond }
 
-// faults holds the faults set, and gives each out at most Count times.
+// faults holds the faults to inject and returns each at most Count times.
 type faults struct {
 	mu   sync.Mutex
 	list []Fault
@@ -75,8 +74,9 @@
 	f.list = slices.Clone(list)
 }
 
-// take returns the first fault that matches.
-func (f *faults) take(text []byte) Fault {
+// next returns the first fault that matches text and uses up one of its Count.
+// Without a match it returns the zero Fault.
+func (f *faults) next(text []byte) Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.list {
@@ -95,7 +95,7 @@
 	return Fault{}
 }
 
-// ServeHTTP takes a JSON array of faults that replaces those set.
+// ServeHTTP replaces the faults by the JSON array in the request's body.
 func (f *faults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var list []Fault
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -108,5 +108,5 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// drop breaks the connection of a request off.
-func drop() { panic(http.ErrAbortHandler) }
+// abortConnection aborts the connection of the request being served.
+func abortConnection() { panic(http.ErrAbortHandler) }
--- a/standin/loopback/loopback.go
+++ b/standin/loopback/loopback.go
@@ -1,8 +1,8 @@
-// Package loopback starts processes beside listeners whose addresses are used again.
+// Package loopback starts processes next to listeners whose addresses are reused.
 //
-// A process that is being started has a copy of every open file until it runs its program.
-// What goes wrong without this package: a listener that is closed meanwhile lives on in the
-// copy, and the next one at its address fails with "address already in use".
+// Between fork and exec a child process holds a copy of every open file. Without this
+// package, a listener closed during that time stays open in the child, and the next one at
+// its address fails with "address already in use".
 package loopback
 
 import (
@@ -15,15 +15,15 @@
 // starting is held while a process is started and while a listener is closed.
 var starting sync.Mutex
 
-// Start starts a process. Beside listeners whose addresses are used again no other way may
-// be taken.
+// Start starts a process. Next to listeners whose addresses are reused, processes must not
+// be started in any other way.
 func Start(cmd *exec.Cmd) error {
 	starting.Lock()
 	defer starting.Unlock()
 	return cmd.Start()
 }
 
-// Close closes a listener, or a server with those that it serves: their addresses are free
+// Close closes a listener, or a server with its listeners. Their addresses are free
 // afterwards.
 func Close(c io.Closer) error {
 	starting.Lock()
@@ -31,7 +31,8 @@
 	return c.Close()
 }
 
-// Try listens at an address for a moment, and reports why that is not possible.
+// CheckAvailable opens and closes a TCP listener at address, and returns the error if that
+// is not possible.
 func CheckAvailable(address string) error {
 	starting.Lock()
 	defer starting.Unlock()
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -10,14 +10,14 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// orders is what orders made of an engine.
+// orders is the state of an engine that orders change.
 type orders struct {
-	cfg   EngineConfig
-	mu    sync.Mutex
-	fence uint64
-	taken []ports.Order
-	until time.Time
-	drain bool
+	cfg      EngineConfig
+	mu       sync.Mutex
+	fence    uint64
+	accepted []ports.Order
+	loadedAt time.Time
+	drain    bool
 	// drainedBy is the id of the order that drained the engine.
 	drainedBy string
 	model     string
@@ -36,11 +36,11 @@
 	}
 }
 
-// Orders returns the orders taken, oldest first.
+// Orders returns the accepted orders, oldest first, without repeats.
 func (e *Engine) Orders() []ports.Order {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
-	return slices.Clone(e.orders.taken)
+	return slices.Clone(e.orders.accepted)
 }
 
 func (o *orders) draining() bool {
@@ -49,13 +49,13 @@
 	return o.drain
 }
 
-func (o *orders) fill(l *ports.LoadReport) {
+func (o *orders) fillReport(l *ports.LoadReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	l.Model, l.Version, l.Role = o.model, o.version, o.role
 	l.Adapters = slices.Clone(o.adapters)
 	l.Draining, l.DrainedBy = o.drain, o.drainedBy
-	l.Loading = l.At.Before(o.until)
+	l.Loading = l.At.Before(o.loadedAt)
 }
 
 func (o *orders) serve(w http.ResponseWriter, r *http.Request) {
@@ -64,7 +64,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	result, status := o.take(time.Now(), order)
+	result, status := o.accept(time.Now(), order)
 	if status != http.StatusOK {
 		http.Error(w, "order refused", status)
 		return
@@ -72,32 +72,34 @@
 	writeJSON(w, result)
 }
 
-// take obeys an order. An order sent again is answered by how far it is.
-func (o *orders) take(now time.Time, order ports.Order) (ports.OrderResult, int) {
+// accept applies an order and returns its result with an HTTP status: 412 for
+// an old fencing number, 400 for an unknown kind. A repeated order isn't
+// applied again; its result says whether it is done.
+func (o *orders) accept(now time.Time, order ports.Order) (ports.OrderResult, int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.cfg.IgnoresFence && order.Fence < o.fence {
 		return ports.OrderResult{}, http.StatusPreconditionFailed
 	}
 	o.fence = max(o.fence, order.Fence)
-	again := slices.ContainsFunc(o.taken, func(t ports.Order) bool { return t.ID == order.ID })
+	again := slices.ContainsFunc(o.accepted, func(t ports.Order) bool { return t.ID == order.ID })
 	if !again {
 		if !o.apply(now, order) {
 			return ports.OrderResult{}, http.StatusBadRequest
 		}
-		o.taken = append(o.taken, order)
+		o.accepted = append(o.accepted, order)
 	}
-	return ports.OrderResult{Done: !now.Before(o.until), Fence: o.fence}, http.StatusOK
+	return ports.OrderResult{Done: !now.Before(o.loadedAt), Fence: o.fence}, http.StatusOK
 }
 
 func (o *orders) apply(now time.Time, order ports.Order) bool {
 	switch order.Kind {
 	case ports.OrderLoadVersion:
 		o.model, o.version, o.adapters = order.Model, order.Version, nil
-		o.until = now.Add(o.cfg.LoadTime)
+		o.loadedAt = now.Add(o.cfg.LoadTime)
 	case ports.OrderLoadAdapter:
 		o.adapters = append(o.adapters, order.Adapter)
-		o.until = now.Add(o.cfg.LoadTime)
+		o.loadedAt = now.Add(o.cfg.LoadTime)
 	case ports.OrderRole:
 		o.role = order.Role
 	case ports.OrderDrain:
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// PlainAnswer is what a stand-in plain service answers.
+// PlainAnswer is the response of a stand-in plain service.
 type PlainAnswer struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -22,8 +22,9 @@
 	Execution int `json:"execution"`
 }
 
-// Plain is a stand-in plain service; it is an http.Handler. It runs each request
-// that reaches it, and counts the runs by key, so that a double run shows.
+// Plain is a stand-in plain service, an http.Handler. It runs each request that
+// reaches it and counts the runs by key, so that a test can detect a duplicate
+// run. It is safe for concurrent use.
 type Plain struct {
 	service string
 	faults  faults
@@ -31,13 +32,14 @@
 	runs    map[string]int
 }
 
-// NewPlain makes a plain service.
+// NewPlain returns a plain service of this name.
 func NewPlain(service string) *Plain { return &Plain{service: service, runs: map[string]int{}} }
 
-// SetFaults replaces the faults to make; they match by path and body.
+// SetFaults replaces the faults to inject; they match by path and body.
 func (p *Plain) SetFaults(list ...Fault) { p.faults.set(list) }
 
-// Runs counts the runs of a key: the Idempotency-Key, else method and path.
+// Runs returns the number of runs of a key: the Idempotency-Key, or else method
+// and path with a space between.
 func (p *Plain) Runs(key string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,7 +57,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := p.faults.take(append([]byte(r.URL.Path+"\n"), body...))
+	f := p.faults.next(append([]byte(r.URL.Path+"\n"), body...))
 	if f.Kind == FaultReject {
 		http.Error(w, "no room", http.StatusServiceUnavailable)
 		return
@@ -70,7 +72,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, known := p.runs[key]; known || len(p.runs) < maxCounted {
+	if _, known := p.runs[key]; known || len(p.runs) < maxCountedKeys {
 		p.runs[key]++
 	}
 	sum := sha256.Sum256(body)
@@ -86,7 +88,7 @@
 func (p *Plain) answer(w http.ResponseWriter, r *http.Request, f Fault, a PlainAnswer) {
 	switch f.Kind {
 	case FaultCrash:
-		drop()
+		abortConnection()
 	case FaultHang:
 		<-r.Context().Done()
 		return
@@ -102,7 +104,7 @@
 	if f.Kind == FaultCut || f.Kind == FaultShort {
 		_, _ = w.Write(out[:len(out)/2])
 		_ = http.NewResponseController(w).Flush()
-		drop()
+		abortConnection()
 	}
 	_, _ = w.Write(out)
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -11,31 +11,32 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// storePart is how much the weight store writes between two waits.
-const storePart = 64 << 10
+// storeWriteBytes is the size of the weight store's writes; each one waits for
+// the rate.
+const storeWriteBytes = 64 << 10
 
-// WeightStoreConfig sets up a stand-in weight store.
+// WeightStoreConfig configures a stand-in weight store.
 type WeightStoreConfig struct {
-	// Sizes of the objects by key, in bytes.
+	// Sizes are the sizes of the objects in bytes, by key.
 	Sizes map[string]int64
-	// BytesPerSecond bounds all reads together; zero means no bound.
+	// BytesPerSecond bounds all reads together; zero means unlimited.
 	BytesPerSecond int64
-	// MaxReads at once; beyond it answers 429. Default 4.
+	// MaxReads bounds concurrent reads; further ones get status 429. Default 4.
 	MaxReads int
 }
 
-// WeightStore is a stand-in weight store; it is an http.Handler. Its objects
-// hold the bytes 0 to 250 over and over.
+// WeightStore is a stand-in weight store, an http.Handler. Its objects repeat
+// the bytes 0 to 250. It is safe for concurrent use.
 type WeightStore struct {
-	cfg    WeightStoreConfig
-	faults faults
-	mu     sync.Mutex
-	reads  int
-	served int64
-	free   time.Time
+	cfg      WeightStoreConfig
+	faults   faults
+	mu       sync.Mutex
+	reads    int
+	served   int64
+	nextFree time.Time
 }
 
-// NewWeightStore makes a weight store.
+// NewWeightStore returns a weight store with the objects of cfg.
 func NewWeightStore(cfg WeightStoreConfig) *WeightStore {
 	if cfg.MaxReads <= 0 {
 		cfg.MaxReads = 4
@@ -43,17 +44,18 @@
 	return &WeightStore{cfg: cfg}
 }
 
-// SetFaults replaces the faults to make; they match by key.
+// SetFaults replaces the faults to inject; they match by key.
 func (s *WeightStore) SetFaults(list ...Fault) { s.faults.set(list) }
 
-// Served is the number of bytes given out.
+// Served returns the number of bytes sent, or about to be sent, of all reads.
 func (s *WeightStore) Served() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.served
 }
 
-// ServeHTTP serves HEAD and GET /weights/{key}, with ranges from an offset on.
+// ServeHTTP serves HEAD and GET /weights/{key}. Ranges without an end are
+// supported.
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	key := strings.TrimPrefix(r.URL.Path, "/weights/")
 	size, ok := s.cfg.Sizes[key]
@@ -65,13 +67,13 @@
 		w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
 		return
 	}
-	if !s.enter() {
+	if !s.beginRead() {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "at the rate", http.StatusTooManyRequests)
 		return
 	}
-	defer s.leave()
-	s.give(w, r, offsetOf(r), size, s.faults.take([]byte(key)))
+	defer s.endRead()
+	s.serveRead(w, r, offsetOf(r), size, s.faults.next([]byte(key)))
 }
 
 func offsetOf(r *http.Request) int64 {
@@ -80,7 +82,7 @@
 	return n
 }
 
-func (s *WeightStore) enter() bool {
+func (s *WeightStore) beginRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reads >= s.cfg.MaxReads {
@@ -90,13 +92,13 @@
 	return true
 }
 
-func (s *WeightStore) leave() {
+func (s *WeightStore) endRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads--
 }
 
-func (s *WeightStore) give(w http.ResponseWriter, r *http.Request, offset, size int64, f Fault) {
+func (s *WeightStore) serveRead(w http.ResponseWriter, r *http.Request, offset, size int64, f Fault) {
 	if f.Kind == FaultReject {
 		http.Error(w, "at the rate", http.StatusTooManyRequests)
 		return
@@ -110,8 +112,8 @@
 		end = offset + (size-offset)/2
 	}
 	for offset < end {
-		n := min(storePart, end-offset)
-		if !s.wait(r.Context(), n) {
+		n := min(storeWriteBytes, end-offset)
+		if !s.throttle(r.Context(), n) {
 			return
 		}
 		if _, err := w.Write(storeBytes(offset, n)); err != nil {
@@ -121,22 +123,23 @@
 	}
 	if f.Kind == FaultCut {
 		_ = http.NewResponseController(w).Flush()
-		drop()
+		abortConnection()
 	}
 }
 
-// wait lets n bytes pass at the rate.
-func (s *WeightStore) wait(ctx context.Context, n int64) bool {
+// throttle waits until n bytes may be sent at the rate. It returns false if ctx
+// ended.
+func (s *WeightStore) throttle(ctx context.Context, n int64) bool {
 	s.mu.Lock()
 	s.served += n
 	now := time.Now()
-	if s.free.Before(now) {
-		s.free = now
+	if s.nextFree.Before(now) {
+		s.nextFree = now
 	}
 	if s.cfg.BytesPerSecond > 0 {
-		s.free = s.free.Add(time.Duration(float64(n) / float64(s.cfg.BytesPerSecond) * float64(time.Second)))
+		s.nextFree = s.nextFree.Add(time.Duration(float64(n) / float64(s.cfg.BytesPerSecond) * float64(time.Second)))
 	}
-	d := s.free.Sub(now)
+	d := s.nextFree.Sub(now)
 	s.mu.Unlock()
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -151,18 +154,19 @@
 	}
 }
 
-// period of the bytes in each object.
-const period = 251
+// storePeriodBytes is the period of the contents of objects.
+const storePeriodBytes = 251
 
 func storeBytes(offset, n int64) []byte {
 	out := make([]byte, n)
 	for i := range out {
-		out[i] = byte((offset + int64(i)) % period)
+		out[i] = byte((offset + int64(i)) % storePeriodBytes)
 	}
 	return out
 }
 
-// InstanceList is a stand-in list of instances, which lags behind what was set.
+// InstanceList is a stand-in list of instances that lags behind its changes, an
+// http.Handler. It is safe for concurrent use.
 type InstanceList struct {
 	lag  time.Duration
 	now  func() time.Time
@@ -170,7 +174,8 @@
 	past []ports.InstanceSnapshot
 }
 
-// NewInstanceList makes a list that lags by lag. now may be nil.
+// NewInstanceList returns an empty list that shows changes after lag. now is the
+// clock; nil means time.Now.
 func NewInstanceList(lag time.Duration, now func() time.Time) *InstanceList {
 	if now == nil {
 		now = time.Now
@@ -178,17 +183,18 @@
 	return &InstanceList{lag: lag, now: now}
 }
 
-// Set changes the list; readers see it after the lag.
+// Set replaces the list; readers see the change after the lag.
 func (l *InstanceList) Set(list ...ports.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.past = append(l.past, ports.InstanceSnapshot{At: l.now(), Instances: list})
 }
 
-// ServeHTTP gives the newest list that is as old as the lag.
-func (l *InstanceList) ServeHTTP(w http.ResponseWriter, _ *http.Request) { writeJSON(w, l.seen()) }
+// ServeHTTP serves the newest list that is at least as old as the lag, with the
+// time at which it was set.
+func (l *InstanceList) ServeHTTP(w http.ResponseWriter, _ *http.Request) { writeJSON(w, l.visible()) }
 
-func (l *InstanceList) seen() ports.InstanceSnapshot {
+func (l *InstanceList) visible() ports.InstanceSnapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	until := l.now().Add(-l.lag)
--- a/standin/run.go
+++ b/standin/run.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// run is one request that an engine runs; its JSON form is the KV cache that
-// engines hand on.
+// run is one request that an engine runs. Its JSON form stands for the KV cache
+// that engines transfer.
 type run struct {
 	Attempt string `json:"attempt"`
 	Chat    bool   `json:"chat"`
@@ -15,80 +15,80 @@
 	Prompt  string `json:"prompt"`
 	Tokens  int    `json:"tokens"`
 
-	cancelled atomic.Bool
-	life      *life
+	cancelled   atomic.Bool
+	incarnation *incarnation
 }
 
-// in is the run taken up in a life of an engine.
-func (x *run) in(l *life) *run {
-	return &run{Attempt: x.Attempt, Chat: x.Chat, Model: x.Model, Prompt: x.Prompt, Tokens: x.Tokens, life: l}
+// copyFor returns a copy of the run that belongs to another incarnation, not cancelled.
+func (x *run) copyFor(l *incarnation) *run {
+	return &run{Attempt: x.Attempt, Chat: x.Chat, Model: x.Model, Prompt: x.Prompt, Tokens: x.Tokens, incarnation: l}
 }
 
-// runs are the requests that run, or broke off a short while ago.
+// runs holds the requests in flight and, for resumeTTL, interrupted ones.
 type runs struct {
-	keep   time.Duration
-	mu     sync.Mutex
-	live   map[string]*run
-	counts map[string]int
+	resumeTTL time.Duration
+	mu        sync.Mutex
+	byAttempt map[string]*run
+	counts    map[string]int
 }
 
 func newRuns(keep time.Duration) *runs {
-	return &runs{keep: keep, live: map[string]*run{}, counts: map[string]int{}}
+	return &runs{resumeTTL: keep, byAttempt: map[string]*run{}, counts: map[string]int{}}
 }
 
-// maxCounted bounds the prompts that are counted, for long measurements.
-const maxCounted = 1 << 16
+// maxCountedKeys bounds the prompts or keys whose runs are counted, so that
+// memory stays bounded in long load tests.
+const maxCountedKeys = 1 << 16
 
 func (r *runs) add(x *run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.live[x.Attempt] = x
-	if _, known := r.counts[x.Prompt]; known || len(r.counts) < maxCounted {
+	r.byAttempt[x.Attempt] = x
+	if _, known := r.counts[x.Prompt]; known || len(r.counts) < maxCountedKeys {
 		r.counts[x.Prompt]++
 	}
 }
 
-// takeUp keeps a run that began before, here or elsewhere.
-func (r *runs) takeUp(x *run) *run {
+// put registers a run that began earlier, here or at another engine, without counting it.
+func (r *runs) put(x *run) *run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.live[x.Attempt] = x
+	r.byAttempt[x.Attempt] = x
 	return x
 }
 
 func (r *runs) get(attempt string) (*run, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	x, ok := r.live[attempt]
+	x, ok := r.byAttempt[attempt]
 	return x, ok
 }
 
 func (r *runs) remove(attempt string) (*run, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	x, ok := r.live[attempt]
-	delete(r.live, attempt)
+	x, ok := r.byAttempt[attempt]
+	delete(r.byAttempt, attempt)
 	return x, ok
 }
 
-// clear forgets what runs.
 func (r *runs) clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.live)
+	clear(r.byAttempt)
 }
 
-// brokenOff keeps a run for resuming, for a while.
-func (r *runs) brokenOff(x *run) {
-	time.AfterFunc(r.keep, func() { r.ended(x) })
+// removeLater removes an interrupted run after resumeTTL, until when it can be resumed.
+func (r *runs) removeLater(x *run) {
+	time.AfterFunc(r.resumeTTL, func() { r.removeSame(x) })
 }
 
-// ended forgets a run, unless it was taken up meanwhile.
-func (r *runs) ended(x *run) {
+// removeSame removes x, unless a resumed copy has replaced it.
+func (r *runs) removeSame(x *run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.live[x.Attempt] == x {
-		delete(r.live, x.Attempt)
+	if r.byAttempt[x.Attempt] == x {
+		delete(r.byAttempt, x.Attempt)
 	}
 }
 
--- a/standin/slots.go
+++ b/standin/slots.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// slots bounds the requests that run at once; waiting ones start by priority,
-// then by arrival.
+// slots bounds the requests that run at once. Waiting ones start by priority,
+// highest first, then by arrival.
 type slots struct {
 	mu         sync.Mutex
 	free       int
@@ -23,7 +23,7 @@
 
 func newSlots(n, maxWaiting int) *slots { return &slots{free: n, maxWaiting: maxWaiting} }
 
-// acquire waits for a slot; false means that there is no room, or ctx ended.
+// acquire waits for a slot. It returns false if too many wait or ctx ended.
 func (s *slots) acquire(ctx context.Context, priority int) bool {
 	s.mu.Lock()
 	if s.free > 0 {
@@ -47,12 +47,12 @@
 	case <-w.start:
 		return true
 	case <-ctx.Done():
-		return s.leave(w)
+		return s.abandon(w)
 	}
 }
 
-// leave takes a waiter out; one that was started meanwhile gives its slot on.
-func (s *slots) leave(w *waiter) bool {
+// abandon removes a waiter. If it got a slot meanwhile, the slot is released.
+func (s *slots) abandon(w *waiter) bool {
 	s.mu.Lock()
 	i := slices.Index(s.waiting, w)
 	if i >= 0 {
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -8,44 +8,44 @@
 	"github.com/gullhaven/gullhaven/ports"
 )
 
-// stallForever outlasts any request.
+// stallForever is longer than any request.
 const stallForever = 24 * time.Hour
 
-// streaming gives one streamed answer.
-type streaming struct {
-	answering
+// streamWriter writes one streamed answer.
+type streamWriter struct {
+	answerOptions
 	engine  *Engine
 	w       http.ResponseWriter
 	r       *http.Request
 	run     *run
 	attempt string
 	flush   func() error
-	before  string
-	behind  string
+	prefix  string
+	suffix  string
 	buf     []byte
 }
 
-// toEnd writes chunks up to the end mark, or up to the fault.
-func (s *streaming) toEnd() {
+// writeAll writes chunks up to the end mark, or up to the fault.
+func (s *streamWriter) writeAll() {
 	s.w.Header().Set("Content-Type", ports.ContentTypeEvents)
 	s.flush = http.NewResponseController(s.w).Flush
-	s.before, s.behind = chunkForm(s.run)
+	s.prefix, s.suffix = chunkTemplate(s.run)
 	tokens := Tokens([]byte(s.run.Prompt), s.run.Tokens)
 	for i := s.after; i < len(tokens); i++ {
 		seq := i + 1
-		if !s.pause(i > s.after) || !s.numbered(seq, tokens) {
-			s.engine.gone(s.run)
+		if !s.pause(i > s.after) || !s.writeChunk(seq, tokens) {
+			s.engine.endCancelled(s.run)
 			return
 		}
-		if s.ends(seq) {
+		if s.endsAfter(seq) {
 			return
 		}
 	}
-	s.event(s.attempt, len(tokens)+1, ports.EndMark)
-	s.engine.done(s.run)
+	s.writeEvent(s.attempt, len(tokens)+1, ports.EndMark)
+	s.engine.endFinished(s.run)
 }
 
-func (s *streaming) pause(later bool) bool {
+func (s *streamWriter) pause(later bool) bool {
 	d := s.engine.cfg.PerToken
 	if !later {
 		d = 0
@@ -53,30 +53,32 @@
 	if s.fault.Kind == FaultSlow {
 		d += s.fault.delay()
 	}
-	return s.engine.sleep(s.r, s.run, d)
+	return s.engine.waitFor(s.r, s.run, d)
 }
 
-// numbered writes chunk seq, with the fault that is set for it.
-func (s *streaming) numbered(seq int, tokens []string) bool {
+// writeChunk writes chunk seq, with the fault that is set for it, and reports
+// whether the client is still connected.
+func (s *streamWriter) writeChunk(seq int, tokens []string) bool {
 	here := seq == s.fault.Chunk
 	switch {
 	case here && s.fault.Kind == FaultGap:
 		return true
 	case here && s.fault.Kind == FaultReorder && seq < len(tokens):
-		return s.token(seq+1, tokens) && s.token(seq, tokens)
+		return s.writeToken(seq+1, tokens) && s.writeToken(seq, tokens)
 	case seq == s.fault.Chunk+1 && s.fault.Kind == FaultReorder && seq > 1:
 		return true
 	case here && s.fault.Kind == FaultDuplicate:
-		s.token(seq, tokens)
-		return s.token(seq, tokens)
+		s.writeToken(seq, tokens)
+		return s.writeToken(seq, tokens)
 	case here && s.fault.Kind == FaultForeign:
-		return s.event("other-"+s.attempt, seq, s.before+"foreign"+s.behind) && s.token(seq, tokens)
+		return s.writeEvent("other-"+s.attempt, seq, s.prefix+"foreign"+s.suffix) && s.writeToken(seq, tokens)
 	}
-	return s.token(seq, tokens)
+	return s.writeToken(seq, tokens)
 }
 
-// ends breaks the answer off if the fault says so after chunk seq.
-func (s *streaming) ends(seq int) bool {
+// endsAfter applies the fault that interrupts the answer after chunk seq. It
+// reports whether the answer has ended.
+func (s *streamWriter) endsAfter(seq int) bool {
 	if seq != s.fault.Chunk {
 		return false
 	}
@@ -86,16 +88,16 @@
 		if wait == 0 {
 			wait = stallForever
 		}
-		if !s.engine.sleep(s.r, s.run, wait) {
-			s.engine.gone(s.run)
+		if !s.engine.waitFor(s.r, s.run, wait) {
+			s.engine.endCancelled(s.run)
 			return true
 		}
 	case FaultCut:
-		s.engine.runs.brokenOff(s.run)
-		drop()
+		s.engine.runs.removeLater(s.run)
+		abortConnection()
 	case FaultLost:
 		s.engine.runs.remove(s.run.Attempt)
-		drop()
+		abortConnection()
 	case FaultShort:
 		s.engine.runs.remove(s.run.Attempt)
 		return true
@@ -103,11 +105,11 @@
 	return false
 }
 
-func (s *streaming) token(seq int, tokens []string) bool {
-	return s.event(s.attempt, seq, s.before+tokens[seq-1]+s.behind)
+func (s *streamWriter) writeToken(seq int, tokens []string) bool {
+	return s.writeEvent(s.attempt, seq, s.prefix+tokens[seq-1]+s.suffix)
 }
 
-func (s *streaming) event(attempt string, seq int, data string) bool {
+func (s *streamWriter) writeEvent(attempt string, seq int, data string) bool {
 	s.buf = append(s.buf[:0], "id: "...)
 	s.buf = append(s.buf, attempt...)
 	s.buf = append(s.buf, ':')
--- a/standin/text.go
+++ b/standin/text.go
@@ -1,6 +1,6 @@
-// Package standin holds small servers that stand in for what gullhaven meets:
+// Package standin provides small servers in place of what gullhaven talks to:
 // model engines, plain services, the weight store and the list of instances.
-// They speak the published protocols, count what they ran, and make faults on
+// They speak the published protocols, count what they ran and inject faults on
 // demand, for tests, measurements and gullhavend --dev.
 package standin
 
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// defaultTokens is the length of an answer where the request bounds nothing.
+// defaultTokens is the length of an answer if the request sets no maximum.
 const defaultTokens = 16
 
 var words = [...]string{
@@ -18,9 +18,9 @@
 	"coast", "gate", "ash", "north", "frame", "licence", "ferry", "dawn",
 }
 
-// Tokens returns the answer to a prompt, a function of prompt and length alone,
-// so that a test can tell a whole answer from a part of it or from another's.
-// The first token is the digest of the prompt.
+// Tokens returns the answer to a prompt as n tokens, at least one. It depends on
+// prompt and n only, so that a test can tell a whole answer from a part of it or
+// from the answer to another prompt. The first token is a digest of the prompt.
 func Tokens(prompt []byte, n int) []string {
 	sum := sha256.Sum256(prompt)
 	out := make([]string, max(1, n))
@@ -31,5 +31,5 @@
 	return out
 }
 
-// Answer returns the whole text of Tokens.
+// Answer returns the tokens of Tokens as one text.
 func Answer(prompt []byte, n int) string { return strings.Join(Tokens(prompt, n), "") }
