--- a/experiment/replay/figures.go
+++ b/experiment/replay/figures.go
@@ -23,9 +23,9 @@
 
 // KindFigures are those of one kind of request.
 type KindFigures struct {
-	Asked, InTime, Late, Unfinished, Unserved, Refused int
+	Arrived, InTime, Late, Unfinished, Unserved, Refused int
 	// Worth that was asked for and earned.
-	Owed, Earned float64
+	Possible, Earned float64
 }
 
 // Figures are those of one run.
@@ -33,9 +33,9 @@
 	Pattern, Decider string
 	Kinds            map[string]*KindFigures
 	// Passed is how many requests were passed on to another region.
-	Passed int
+	Forwarded int
 	// Read are the prompt tokens that engines read until the first events.
-	Read int
+	PrefillTokens int
 }
 
 func newFigures(p *Pattern, decider string) *Figures {
@@ -48,8 +48,8 @@
 
 func (f *Figures) count(q *request, how ending) {
 	k := f.Kinds[q.kind.Name]
-	k.Asked++
-	k.Owed += q.kind.Worth
+	k.Arrived++
+	k.Possible += q.kind.Worth
 	switch how {
 	case unfinished:
 		k.Unfinished++
@@ -80,7 +80,7 @@
 	// In the order of names, as sums of fractions depend on theirs.
 	for _, name := range slices.Sorted(maps.Keys(f.Kinds)) {
 		k := f.Kinds[name]
-		owed, earned = owed+k.Owed, earned+k.Earned
+		owed, earned = owed+k.Possible, earned+k.Earned
 	}
 	return earned / max(owed, 1e-9)
 }
@@ -88,7 +88,7 @@
 // InTime is the share of a kind that was answered in time.
 func (f *Figures) InTime(kind string) float64 {
 	k := f.Kinds[kind]
-	return float64(k.InTime) / float64(max(1, k.Asked))
+	return float64(k.InTime) / float64(max(1, k.Arrived))
 }
 
 // WriteTable writes the worth of each pattern by decider, the mean of all seeds.
@@ -117,16 +117,16 @@
 		if err != nil {
 			return err
 		}
-		worth, passed = worth+f.Worth()/float64(seeds), passed+f.Passed
+		worth, passed = worth+f.Worth()/float64(seeds), passed+f.Forwarded
 		for name, k := range f.Kinds {
 			sums.Kinds[name].add(k)
-			asked += k.Asked
+			asked += k.Arrived
 		}
 	}
 	fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t", p.Name, decider, worth, float64(passed)/float64(max(1, asked)))
 	for _, k := range p.Kinds {
 		s := sums.Kinds[k.Name]
-		n := float64(max(1, s.Asked))
+		n := float64(max(1, s.Arrived))
 		fmt.Fprintf(t, "%s: %.2f %.2f %.2f %.2f  ", k.Name, float64(s.InTime)/n, float64(s.Late)/n, float64(s.Refused)/n, float64(s.Unfinished+s.Unserved)/n)
 	}
 	_, err := fmt.Fprintln(t)
@@ -134,7 +134,7 @@
 }
 
 func (k *KindFigures) add(o *KindFigures) {
-	k.Asked, k.InTime, k.Late = k.Asked+o.Asked, k.InTime+o.InTime, k.Late+o.Late
+	k.Arrived, k.InTime, k.Late = k.Arrived+o.Arrived, k.InTime+o.InTime, k.Late+o.Late
 	k.Unfinished, k.Unserved, k.Refused = k.Unfinished+o.Unfinished, k.Unserved+o.Unserved, k.Refused+o.Refused
-	k.Owed, k.Earned = k.Owed+o.Owed, k.Earned+o.Earned
+	k.Possible, k.Earned = k.Possible+o.Possible, k.Earned+o.Earned
 }
--- a/experiment/replay/pattern.go
+++ b/experiment/replay/pattern.go
@@ -147,7 +147,7 @@
 }
 
 // Faster is the pattern with engines so many times as fast.
-func (p *Pattern) Faster(times float64) *Pattern {
+func (p *Pattern) WithSpeed(times float64) *Pattern {
 	out := *p
 	out.Engine.ReadPerMilli *= times
 	out.Engine.StepMillis /= times
--- a/experiment/replay/replay_test.go
+++ b/experiment/replay/replay_test.go
@@ -37,8 +37,8 @@
 	p := load(t, "all-return")
 	f := play(t, p, site, 1)
 	check, reply := f.Kinds["check"], f.Kinds["reply"]
-	if check.Refused > 0 || reply.Refused > reply.Asked/100 {
-		t.Errorf("refused: %d of the first rank, %d of %d of the second", check.Refused, reply.Refused, reply.Asked)
+	if check.Refused > 0 || reply.Refused > reply.Arrived/100 {
+		t.Errorf("refused: %d of the first rank, %d of %d of the second", check.Refused, reply.Refused, reply.Arrived)
 	}
 	// What was sent in the 2.4 s without an instance is late in any case.
 	if got := f.InTime("check"); got < 0.86 {
@@ -55,7 +55,7 @@
 	if f.Worth() < 0.97 || f.Worth() < plain.Worth()+0.04 {
 		t.Errorf("worth %.3f, of least outstanding %.3f", f.Worth(), plain.Worth())
 	}
-	if f.Passed == 0 {
+	if f.Forwarded == 0 {
 		t.Error("nothing was passed on")
 	}
 }
@@ -73,10 +73,10 @@
 	}
 	asked := 0
 	for _, k := range f.Kinds {
-		asked += k.Asked
+		asked += k.Arrived
 	}
 	// The peaks have 0.8 of all arrivals, and half of the engines stand in other regions.
-	if share := float64(f.Passed) / float64(asked); share < 0.4 {
+	if share := float64(f.Forwarded) / float64(asked); share < 0.4 {
 		t.Errorf("%.2f of all passed on", share)
 	}
 }
@@ -116,7 +116,7 @@
 // Cause: a constant of one engine.
 func TestDecisionsFitOtherEngines(t *testing.T) {
 	for _, times := range []float64{8, 0.25} {
-		p := load(t, "peak-of-one-region").Faster(times)
+		p := load(t, "peak-of-one-region").WithSpeed(times)
 		p.Seconds /= 2
 		for i := range p.Regions {
 			p.Regions[i].PerSecond *= min(times, 2)
@@ -134,10 +134,10 @@
 	p.Seconds = 14
 	p.Faults = append(p.Faults, replay.Fault{Kind: "dark", At: 11, For: 1})
 	a, b, other := play(t, p, site, 1), play(t, p, site, 1), play(t, p, site, 2)
-	if a.Worth() != b.Worth() || a.Passed != b.Passed {
+	if a.Worth() != b.Worth() || a.Forwarded != b.Forwarded {
 		t.Error("equal seeds differ")
 	}
-	if a.Worth() == other.Worth() && a.Kinds["long"].Asked == other.Kinds["long"].Asked {
+	if a.Worth() == other.Worth() && a.Kinds["long"].Arrived == other.Kinds["long"].Arrived {
 		t.Error("another seed has the same arrivals")
 	}
 }
@@ -148,8 +148,8 @@
 		p.Seconds = 3
 		for _, d := range replay.Deciders {
 			for kind, k := range play(t, p, d, 3).Kinds {
-				if sum := k.InTime + k.Late + k.Unfinished + k.Unserved + k.Refused; sum != k.Asked || k.Asked == 0 {
-					t.Errorf("%s, %s: %d of %d %s ended", name, d, sum, k.Asked, kind)
+				if sum := k.InTime + k.Late + k.Unfinished + k.Unserved + k.Refused; sum != k.Arrived || k.Arrived == 0 {
+					t.Errorf("%s, %s: %d of %d %s ended", name, d, sum, k.Arrived, kind)
 				}
 			}
 		}
@@ -179,7 +179,7 @@
 	late, asked := 0, 0
 	for seed := range uint64(3) {
 		reply := play(t, p, site, seed+1).Kinds["reply"]
-		late, asked = late+reply.Late, asked+reply.Asked
+		late, asked = late+reply.Late, asked+reply.Arrived
 	}
 	if late > asked/50 {
 		t.Errorf("%d of %d answers late", late, asked)
@@ -195,8 +195,8 @@
 	never := *p
 	never.Engine.FetchPerKilo = 1e9
 	with, without := play(t, p, site, 1), play(t, &never, site, 1)
-	if with.Read > without.Read*95/100 {
-		t.Errorf("%d tokens read, %d without fetching", with.Read, without.Read)
+	if with.PrefillTokens > without.PrefillTokens*95/100 {
+		t.Errorf("%d tokens read, %d without fetching", with.PrefillTokens, without.PrefillTokens)
 	}
 	if with.Worth() < without.Worth()+0.008 {
 		t.Errorf("worth %.3f, without fetching %.3f", with.Worth(), without.Worth())
--- a/experiment/replay/world.go
+++ b/experiment/replay/world.go
@@ -213,7 +213,7 @@
 	d := r.chooser.choose(w.now, q, mayPass)
 	switch {
 	case d.region != nil:
-		w.figures.Passed++
+		w.figures.Forwarded++
 		w.at(w.now.Add(wideTrip), func() { w.decide(q, d.region, false) })
 	case d.engine == nil || d.engine.down:
 		d.sent.done(w.now, pick.Unreachable)
@@ -271,7 +271,7 @@
 		}
 		if happened.Kind == enginemodel.FirstToken {
 			q.first = happened.At
-			w.figures.Read += q.prompt - happened.CachedTokens
+			w.figures.PrefillTokens += q.prompt - happened.CachedTokens
 			q.sent.first(w.now)
 			continue
 		}
