--- a/experiment/replay/chooser.go
+++ b/experiment/replay/chooser.go
@@ -13,31 +13,31 @@
 	"github.com/gullhaven/gullhaven/route/place"
 )
 
-// Deciders are the names of what can be played: what serves a site, and plain balancers.
+// Deciders are the names of the routing schemes: that of a site, and plain balancers.
 var Deciders = []string{"site", "least_outstanding", "power_of_two", "round_robin"}
 
-// decision is an engine, another region, or neither to refuse.
+// decision names an engine or another region; with neither the request is refused.
 type decision struct {
 	engine *engine
 	region *region
-	// source is an engine to fetch kept prompt parts from; nil for none.
-	source *engine
-	sent   sent
+	// source is an engine to fetch cached prompt parts from; nil for none.
+	source  *engine
+	tracker tracker
 }
 
-// sent is told what becomes of a request at its engine.
-type sent interface {
-	first(now time.Time)
+// tracker is notified of the progress of a request at its engine.
+type tracker interface {
+	firstEvent(now time.Time)
 	done(now time.Time, r pick.Result)
 }
 
-// chooser decides for the callers of one region.
+// chooser routes the requests of one region's callers.
 type chooser interface {
-	choose(now time.Time, q *request, mayPass bool) decision
-	// loads adds up what is under way.
+	choose(now time.Time, q *request, mayForward bool) decision
+	// loads adds the region's requests in flight to sum.
 	loads(now time.Time, sum *pick.RegionLoad)
-	// forget loses all that is known.
-	forget(now time.Time)
+	// reset drops all state.
+	reset(now time.Time)
 }
 
 func newChooser(name string, w *world, r *region) (chooser, error) {
@@ -45,22 +45,22 @@
 	case "site":
 		return newSite(w, r), nil
 	case "least_outstanding", "power_of_two", "round_robin":
-		return &plain{w: w, r: r, rule: name, under: map[*engine]int{}, rng: rand.New(rand.NewPCG(uint64(len(r.Name)), 2))}, nil
+		return &plain{w: w, r: r, rule: name, inFlight: map[*engine]int{}, rng: rand.New(rand.NewPCG(uint64(len(r.Name)), 2))}, nil
 	}
 	return nil, errors.NotFoundf("decider %q", name)
 }
 
-// site is what serves a site: instances that each decide for the groups of engines that fall
-// to them, and know what the others have under way a moment later.
+// site routes as the instances of a site do. Each one owns some groups of engines, and learns
+// the others' requests in flight after a delay.
 type site struct {
 	w         *world
 	r         *region
 	instances []*instance
 	byID      map[string]*instance
-	// rng draws the instance that a caller meets.
+	// rng draws the instance that receives a request.
 	rng *rand.Rand
-	// live is the number of engines that the instances know of.
-	live int
+	// knownEngines is the number of engines in the instances' last update.
+	knownEngines int
 }
 
 // instance is an entry instance.
@@ -69,37 +69,38 @@
 	pool *pick.Pool
 }
 
-// siteSent are the choice of the instance that decided, and that of the one that sends.
-type siteSent []*pick.Choice
+// siteTracker holds the choice of the group owner, and that of the receiving instance if it is
+// another one.
+type siteTracker []*pick.Choice
 
-func (s siteSent) first(now time.Time) {
+func (s siteTracker) firstEvent(now time.Time) {
 	for _, c := range s {
 		c.FirstEvent(now)
 	}
 }
 
-func (s siteSent) done(now time.Time, r pick.Result) {
+func (s siteTracker) done(now time.Time, r pick.Result) {
 	for _, c := range s {
 		c.Done(now, r)
 	}
 }
 
-// noneSent is for requests that went nowhere.
-type noneSent struct{}
+// noTracker is for requests that were not sent to an engine.
+type noTracker struct{}
 
-func (noneSent) first(time.Time)             {}
-func (noneSent) done(time.Time, pick.Result) {}
+func (noTracker) firstEvent(time.Time)        {}
+func (noTracker) done(time.Time, pick.Result) {}
 
 func newSite(w *world, r *region) *site {
 	s := &site{w: w, r: r, rng: rand.New(rand.NewPCG(uint64(len(r.Name)), 3))}
-	s.forget(w.now)
+	s.reset(w.now)
 	if r.Instances > 1 {
-		w.every(tellNear, s.tellNear)
+		w.every(localExchangeInterval, s.exchangeLocal)
 	}
 	return s
 }
 
-func (s *site) forget(now time.Time) {
+func (s *site) reset(now time.Time) {
 	s.instances, s.byID = nil, map[string]*instance{}
 	for n := range max(1, s.r.Instances) {
 		id := s.r.Name + "/" + strconv.Itoa(n)
@@ -109,7 +110,7 @@
 	s.update(now)
 }
 
-// update tells the pools which engines are there, and what the others have under way.
+// update gives the pools the list of engines and the other instances' requests in flight.
 func (s *site) update(now time.Time) {
 	snapshot := pick.Snapshot{
 		Rules: map[string]pick.ServiceRules{service: {
@@ -119,48 +120,48 @@
 	for _, i := range s.instances {
 		snapshot.Entries = append(snapshot.Entries, i.id)
 	}
-	for _, e := range s.r.live() {
+	for _, e := range s.r.liveEngines() {
 		snapshot.Targets = append(snapshot.Targets, pick.Target{
 			ID: e.id, Service: service, Address: e.id, Zone: zone, Slots: s.w.p.Engine.Slots,
 		})
 	}
-	s.live = len(snapshot.Targets)
+	s.knownEngines = len(snapshot.Targets)
 	if len(s.instances) == 1 {
 		s.instances[0].pool.Update(now, snapshot)
 		return
 	}
-	all := s.sum(now)
+	all := s.totalLoads(now)
 	for _, i := range s.instances {
 		own := snapshot
-		own.Loads = without(all, i.pool.Loads(now))
+		own.Loads = subtractLoads(all, i.pool.Loads(now))
 		i.pool.Update(now, own)
 	}
 }
 
-// tellNear has the instances hear of each other.
-func (s *site) tellNear() { s.update(s.w.now) }
+// exchangeLocal exchanges the loads between the instances of the region.
+func (s *site) exchangeLocal() { s.update(s.w.now) }
 
-// sum is what all instances have under way.
-func (s *site) sum(now time.Time) map[string]pick.Load {
+// totalLoads returns the requests in flight of all instances, by engine.
+func (s *site) totalLoads(now time.Time) map[string]pick.Load {
 	all := map[string]pick.Load{}
 	for _, i := range s.instances {
 		for id, l := range i.pool.Loads(now) {
-			all[id] = plus(all[id], l, 1)
+			all[id] = addLoad(all[id], l, 1)
 		}
 	}
 	return all
 }
 
-// without are the loads of all but one.
-func without(all, own map[string]pick.Load) map[string]pick.Load {
+// subtractLoads returns the loads of all without an instance's own.
+func subtractLoads(all, own map[string]pick.Load) map[string]pick.Load {
 	out := maps.Clone(all)
 	for id, l := range own {
-		out[id] = plus(out[id], l, -1)
+		out[id] = addLoad(out[id], l, -1)
 	}
 	return out
 }
 
-func plus(a, b pick.Load, sign int) pick.Load {
+func addLoad(a, b pick.Load, sign int) pick.Load {
 	a.Running += sign * b.Running
 	a.PrefillMillis += sign * b.PrefillMillis
 	for rank, tokens := range b.PendingPrefill {
@@ -169,61 +170,62 @@
 	return a
 }
 
-// pick has the instance that decides for the request choose, for the one that sends.
-func (s *site) pick(now time.Time, asked *instance, q *request) (*pick.Choice, siteSent) {
-	decider := s.byID[asked.pool.Owner(q.call)]
-	choice, _ := decider.pool.Pick(now, q.call)
+// pick lets the request's group owner choose a target for the receiver, which sends the
+// request. It returns nil if there is none.
+func (s *site) pick(now time.Time, receiver *instance, q *request) (*pick.Choice, siteTracker) {
+	owner := s.byID[receiver.pool.Owner(q.call)]
+	choice, _ := owner.pool.Pick(now, q.call)
 	if choice == nil {
 		return nil, nil
 	}
-	if decider == asked {
-		return choice, siteSent{choice}
+	if owner == receiver {
+		return choice, siteTracker{choice}
 	}
-	own := asked.pool.PickAt(now, q.call, choice.ID)
+	own := receiver.pool.PickAt(now, q.call, choice.ID)
 	if own == nil {
 		choice.Done(now, pick.Neutral)
 		return nil, nil
 	}
 	own.Source, own.Cost, own.Wait, own.QueueWait, own.Tokens = choice.Source, choice.Cost, choice.Wait, choice.QueueWait, choice.Tokens
-	return own, siteSent{choice, own}
+	return own, siteTracker{choice, own}
 }
 
-func (s *site) choose(now time.Time, q *request, mayPass bool) decision {
-	if s.live != len(s.r.live()) {
+func (s *site) choose(now time.Time, q *request, mayForward bool) decision {
+	if s.knownEngines != len(s.r.liveEngines()) {
 		s.update(now)
 	}
-	asked := s.instances[0]
+	receiver := s.instances[0]
 	if len(s.instances) > 1 {
-		asked = s.instances[s.rng.IntN(len(s.instances))]
+		receiver = s.instances[s.rng.IntN(len(s.instances))]
 	}
-	choice, sent := s.pick(now, asked, q)
+	choice, sent := s.pick(now, receiver, q)
 	local := place.NoTargetCost
 	if choice != nil {
 		local = choice.Wait
 	}
-	if offer := place.ChooseRegion(local, s.offers(asked, q, mayPass)); offer != nil {
+	if candidate := place.ChooseRegion(local, s.candidates(receiver, q, mayForward)); candidate != nil {
 		sent.done(now, pick.Neutral)
-		return decision{region: s.region(offer.Region)}
+		return decision{region: s.region(candidate.Region)}
 	}
 	if choice == nil {
-		return decision{sent: noneSent{}}
+		return decision{tracker: noTracker{}}
 	}
 	if place.Overloaded(choice.QueueWait, time.Duration(q.kind.AimMillis)*time.Millisecond) {
 		sent.done(now, pick.Neutral)
-		return decision{sent: noneSent{}}
+		return decision{tracker: noTracker{}}
 	}
-	d := decision{engine: s.engine(choice.ID), sent: sent}
+	d := decision{engine: s.engine(choice.ID), tracker: sent}
 	if choice.Source != "" {
 		d.source = s.engine(choice.Source)
 	}
 	return d
 }
 
-func (s *site) offers(asked *instance, q *request, mayPass bool) []place.RegionCandidate {
+func (s *site) candidates(receiver *instance, q *request, mayForward bool) []place.RegionCandidate {
 	var out []place.RegionCandidate
 	for _, o := range s.w.regions {
-		if mayPass && o != s.r && o.told.Targets > 0 && !s.w.cut {
-			out = append(out, place.RegionCandidate{Region: o.Name, RoundTrip: s.w.trips.To(o.Name), Cost: asked.pool.RegionCost(o.Name, o.told, q.call)})
+		if mayForward && o != s.r && o.reportedLoad.Targets > 0 && !s.w.partitioned {
+			out = append(out, place.RegionCandidate{Region: o.Name, RoundTrip: s.w.trips.To(o.Name), Cost: receiver.pool.RegionCost(o.Name, o.reportedLoad, q.call)})
 		}
 	}
 	return out
@@ -240,67 +242,67 @@
 }
 
 func (s *site) loads(now time.Time, sum *pick.RegionLoad) {
-	for _, l := range s.sum(now) {
-		sum.Load = plus(sum.Load, l, 1)
+	for _, l := range s.totalLoads(now) {
+		sum.Load = addLoad(sum.Load, l, 1)
 	}
 	for _, i := range s.instances {
 		sum.Prefill.Add(i.pool.PrefillSums(now)[service])
 	}
 }
 
-// plain is a balancer that counts what is under way, never refuses, and passes on only
-// where its region has no engine.
+// plain is a balancer that counts requests in flight. It refuses only if it finds no engine,
+// and forwards only if its region has none.
 type plain struct {
-	w     *world
-	r     *region
-	rule  string
-	turn  int
-	under map[*engine]int
-	rng   *rand.Rand
+	w        *world
+	r        *region
+	rule     string
+	next     int
+	inFlight map[*engine]int
+	rng      *rand.Rand
 }
 
-type plainSent struct {
+type plainTracker struct {
 	p *plain
 	e *engine
 }
 
-func (plainSent) first(time.Time)               {}
-func (s plainSent) done(time.Time, pick.Result) { s.p.under[s.e]-- }
+func (plainTracker) firstEvent(time.Time)          {}
+func (s plainTracker) done(time.Time, pick.Result) { s.p.inFlight[s.e]-- }
 
-func (p *plain) choose(_ time.Time, _ *request, mayPass bool) decision {
-	live := p.r.live()
+func (p *plain) choose(_ time.Time, _ *request, mayForward bool) decision {
+	live := p.r.liveEngines()
 	if len(live) == 0 {
 		for _, o := range p.w.regions {
-			if mayPass && o != p.r && len(o.live()) > 0 && !p.w.cut {
+			if mayForward && o != p.r && len(o.liveEngines()) > 0 && !p.w.partitioned {
 				return decision{region: o}
 			}
 		}
-		return decision{sent: noneSent{}}
+		return decision{tracker: noTracker{}}
 	}
 	e := p.pick(live)
-	p.under[e]++
-	return decision{engine: e, sent: plainSent{p, e}}
+	p.inFlight[e]++
+	return decision{engine: e, tracker: plainTracker{p, e}}
 }
 
 func (p *plain) pick(live []*engine) *engine {
-	p.turn++
+	p.next++
 	switch p.rule {
 	case "round_robin":
-		return live[p.turn%len(live)]
+		return live[p.next%len(live)]
 	case "power_of_two":
 		a, b := live[p.rng.IntN(len(live))], live[p.rng.IntN(len(live))]
-		if p.under[b] < p.under[a] {
+		if p.inFlight[b] < p.inFlight[a] {
 			return b
 		}
 		return a
 	}
-	return slices.MinFunc(live, func(a, b *engine) int { return p.under[a] - p.under[b] })
+	return slices.MinFunc(live, func(a, b *engine) int { return p.inFlight[a] - p.inFlight[b] })
 }
 
 func (p *plain) loads(_ time.Time, sum *pick.RegionLoad) {
-	for _, n := range p.under {
+	for _, n := range p.inFlight {
 		sum.Running += n
 	}
 }
 
-func (p *plain) forget(time.Time) { clear(p.under) }
+func (p *plain) reset(time.Time) { clear(p.inFlight) }
--- a/experiment/replay/fault.go
+++ b/experiment/replay/fault.go
@@ -8,16 +8,16 @@
 	"github.com/gullhaven/gullhaven/route/pick"
 )
 
-// plan has a fault begin and end.
-func (w *world) plan(f Fault) {
+// scheduleFault schedules the begin and the end of a fault.
+func (w *world) scheduleFault(f Fault) {
 	begin, end := w.second(f.At), w.second(f.At+f.For)
 	switch f.Kind {
 	case "cut":
-		w.at(begin, func() { w.cut = true })
-		w.at(end, func() { w.cut = false })
+		w.at(begin, func() { w.partitioned = true })
+		w.at(end, func() { w.partitioned = false })
 	case "dark":
-		w.at(begin, func() { w.goDark() })
-		w.at(end, func() { w.dark = false })
+		w.at(begin, func() { w.losePower() })
+		w.at(end, func() { w.instancesDown = false })
 	case "crash":
 		for _, r := range w.regions {
 			if r.Name != f.Region && f.Region != "" {
@@ -31,16 +31,16 @@
 	}
 }
 
-// crash loses all that an engine has. Streams that had begun are lost, the others' callers
-// come again.
+// crash loses all requests of an engine. Answers that had begun are lost; the callers of
+// the other requests retry at once.
 func (w *world) crash(e *engine) {
 	e.down = true
 	e.model.Crash(w.now)
-	for _, q := range e.inOrder() {
-		q.sent.done(w.now, pick.Lost)
-		w.lose(q)
+	for _, q := range e.sortedRequests() {
+		q.tracker.done(w.now, pick.Lost)
+		w.loseRequest(q)
 	}
-	clear(e.has)
+	clear(e.requests)
 }
 
 func (w *world) restart(e *engine) {
@@ -48,7 +48,7 @@
 	e.model.Restart(w.now)
 }
 
-func (w *world) lose(q *request) {
+func (w *world) loseRequest(q *request) {
 	if !q.first.IsZero() {
 		w.end(q, unfinished)
 		return
@@ -56,29 +56,29 @@
 	w.at(w.now, func() { w.arrive(q) })
 }
 
-// goDark has all instances lose power: what they know, and their callers' connections.
-func (w *world) goDark() {
-	w.dark = true
+// losePower takes all instances down. They lose their state and their callers' connections.
+func (w *world) losePower() {
+	w.instancesDown = true
 	for _, r := range w.regions {
 		for _, e := range r.engines {
-			for _, q := range e.inOrder() {
+			for _, q := range e.sortedRequests() {
 				e.model.Cancel(w.now, q.id)
-				w.lose(q)
+				w.loseRequest(q)
 			}
-			clear(e.has)
+			clear(e.requests)
 		}
-		r.chooser.forget(w.now)
+		r.chooser.reset(w.now)
 	}
 }
 
-// inOrder are the requests of an engine in the order of their ids, as each run of a seed
-// must be the same.
-func (e *engine) inOrder() []*request {
-	return slices.SortedFunc(maps.Values(e.has), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+// sortedRequests returns the requests of an engine in the order of their IDs, as equal seeds
+// must give equal runs.
+func (e *engine) sortedRequests() []*request {
+	return slices.SortedFunc(maps.Values(e.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
 
-// live are the engines of a region that have not crashed.
-func (r *region) live() []*engine {
+// liveEngines returns the engines of a region that are not down.
+func (r *region) liveEngines() []*engine {
 	var out []*engine
 	for _, e := range r.engines {
 		if !e.down {
--- a/experiment/replay/figures.go
+++ b/experiment/replay/figures.go
@@ -8,33 +8,34 @@
 	"text/tabwriter"
 )
 
-// ending is how a request ended.
-type ending uint8
+// outcome is how a request ended.
+type outcome uint8
 
 const (
-	served ending = iota
-	// unfinished: the deadline passed while it ran, or its engine was lost.
+	served outcome = iota
+	// unfinished means that the deadline passed while it ran, or that its engine crashed.
 	unfinished
-	// unserved: nobody was there until its deadline.
+	// unserved means that no instance accepted it by its deadline.
 	unserved
-	// refused: twice.
+	// refused means that it was refused twice.
 	refused
 )
 
-// KindFigures are those of one kind of request.
+// KindFigures are the figures of one kind of request.
 type KindFigures struct {
 	Arrived, InTime, Late, Unfinished, Unserved, Refused int
-	// Worth that was asked for and earned.
+	// Possible is the worth of all requests answered in time, Earned that of the answers given.
 	Possible, Earned float64
 }
 
-// Figures are those of one run.
+// Figures are the figures of one run.
 type Figures struct {
 	Pattern, Decider string
 	Kinds            map[string]*KindFigures
-	// Passed is how many requests were passed on to another region.
+	// Forwarded is the number of requests forwarded to another region.
 	Forwarded int
-	// Read are the prompt tokens that engines read until the first events.
+	// PrefillTokens are the prompt tokens that engines prefilled, without cached ones, in
+	// requests that got a first event.
 	PrefillTokens int
 }
 
@@ -46,7 +47,7 @@
 	return f
 }
 
-func (f *Figures) count(q *request, how ending) {
+func (f *Figures) count(q *request, how outcome) {
 	k := f.Kinds[q.kind.Name]
 	k.Arrived++
 	k.Possible += q.kind.Worth
@@ -68,30 +69,31 @@
 	}
 }
 
-// inTime reports whether a whole answer began in time and did not pause for too long.
+// inTime reports whether a complete answer began in time and had no too long pause.
 func (q *request) inTime() bool {
 	gapAim := int64(q.kind.GapAimMillis)
 	return q.first.Sub(q.at).Milliseconds() <= int64(q.kind.AimMillis) && (gapAim == 0 || q.pause.Milliseconds() <= gapAim)
 }
 
-// Worth is the share of what was asked for that was earned.
+// Worth returns the earned fraction of the possible worth, 0 to 1.
 func (f *Figures) Worth() float64 {
-	owed, earned := 0.0, 0.0
-	// In the order of names, as sums of fractions depend on theirs.
+	possible, earned := 0.0, 0.0
+	// Sorted by name, as floating-point sums depend on the order.
 	for _, name := range slices.Sorted(maps.Keys(f.Kinds)) {
 		k := f.Kinds[name]
-		owed, earned = owed+k.Possible, earned+k.Earned
+		possible, earned = possible+k.Possible, earned+k.Earned
 	}
-	return earned / max(owed, 1e-9)
+	return earned / max(possible, 1e-9)
 }
 
-// InTime is the share of a kind that was answered in time.
+// InTime returns the fraction of a kind's requests that were answered in time.
 func (f *Figures) InTime(kind string) float64 {
 	k := f.Kinds[kind]
 	return float64(k.InTime) / float64(max(1, k.Arrived))
 }
 
-// WriteTable writes the worth of each pattern by decider, the mean of all seeds.
+// WriteTable runs each pattern with each decider and the seeds 1 to seeds, and writes a
+// table of the worth and the outcomes, as means over the seeds.
 func WriteTable(out io.Writer, names, deciders []string, seeds int) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "pattern\tdecider\tworth\tpassed on\tkind: in time, late, refused, unfinished or unserved\n")
@@ -110,20 +112,20 @@
 }
 
 func writeRow(t io.Writer, p *Pattern, decider string, seeds int) error {
-	worth, passed, asked := 0.0, 0, 0
+	worth, forwarded, arrived := 0.0, 0, 0
 	sums := newFigures(p, decider)
 	for seed := range seeds {
 		f, err := Run(p, decider, uint64(seed+1))
 		if err != nil {
 			return err
 		}
-		worth, passed = worth+f.Worth()/float64(seeds), passed+f.Forwarded
+		worth, forwarded = worth+f.Worth()/float64(seeds), forwarded+f.Forwarded
 		for name, k := range f.Kinds {
 			sums.Kinds[name].add(k)
-			asked += k.Arrived
+			arrived += k.Arrived
 		}
 	}
-	fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t", p.Name, decider, worth, float64(passed)/float64(max(1, asked)))
+	fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t", p.Name, decider, worth, float64(forwarded)/float64(max(1, arrived)))
 	for _, k := range p.Kinds {
 		s := sums.Kinds[k.Name]
 		n := float64(max(1, s.Arrived))
--- a/experiment/replay/pattern.go
+++ b/experiment/replay/pattern.go
@@ -1,9 +1,9 @@
-// Package replay plays recorded patterns of load against the decisions that serve a site,
-// in virtual time: package pick chooses among model engines, package place passes on and
-// refuses. Plain balancers are played on the same arrivals.
+// Package replay simulates recorded load patterns in virtual time to test the routing of a
+// site: package pick chooses among model engines, package place forwards and refuses. Plain
+// balancers run on the same arrivals for comparison.
 //
-// What is left out: the time that a decision takes, and the network inside a region. An engine's memory is reserved when a request begins
-// there, so nothing is taken out in the middle.
+// Not modelled: the time that a decision takes, and the network inside a region. An engine's
+// memory is reserved when a request starts there, so that no request is preempted.
 package replay
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/gullhaven/gullhaven/standin/enginemodel"
 )
 
-// Pattern is a recorded pattern of load.
+// Pattern is a recorded load pattern.
 type Pattern struct {
-	// Name of the pattern, and what it tells.
+	// Name identifies the pattern; Tells describes it.
 	Name, Tells string
-	// Seconds is its length; arrivals end then.
+	// Seconds is the time during which requests arrive.
 	Seconds float64
 	Engine  Engine
 	Regions []Region
@@ -31,70 +31,74 @@
 	Faults  []Fault
 }
 
-// Engine is what all engines of a pattern are like.
+// Engine describes all engines of a pattern.
 type Engine struct {
 	Slots int
-	// ChunkTokens are read in a step at most; ReadPerMilli is how many are read in a
-	// millisecond.
+	// ChunkTokens bounds the tokens prefilled in a step; ReadPerMilli is the prefill speed
+	// in tokens per millisecond.
 	ChunkTokens  int
 	ReadPerMilli float64
-	// StepMillis is a step of one running request, and StepPerRunning what each adds.
+	// StepMillis is the fixed duration of a step, StepPerRunning the time that each running
+	// request adds, both in milliseconds.
 	StepMillis, StepPerRunning float64
-	// EventTokens is how many tokens an event of an answer holds; 0 measures no pauses.
+	// EventTokens is the number of tokens in an event of an answer; 0 measures no pauses.
 	EventTokens int
-	// FetchPerKilo is what deciders are told that fetching 1,000 kept tokens from another
-	// engine takes, in milliseconds; 0 tells nothing. In the model it takes no time.
+	// FetchPerKilo is the time that deciders assume for fetching 1,000 cached tokens from
+	// another engine, in milliseconds; 0 disables fetching. In the model it takes no time.
 	FetchPerKilo float64
-	// MemoryTokens bounds what running requests and kept prompt parts take, half each.
+	// MemoryTokens bounds the tokens of running requests and of cached prompt parts, half
+	// each.
 	MemoryTokens int
 }
 
-// Region has engines and callers of its own.
+// Region is a region with its engines and callers.
 type Region struct {
 	Name    string
 	Engines int
-	// Instances is the number of entry instances, which each know what the others have under
-	// way tellNear later; 0 for one.
+	// Instances is the number of entry instances; 0 means one. They exchange their requests
+	// in flight every localExchangeInterval.
 	Instances int
-	// PerSecond are its arrivals at the mean, and Shape how many times that come from a
-	// second on.
+	// PerSecond is the mean arrival rate, and Shape changes it by factors over time.
 	PerSecond float64
 	Shape     []Step
 }
 
-// Step is a change of the arrivals.
+// Step multiplies the mean arrival rate by Times from second From on.
 type Step struct{ From, Times float64 }
 
 // Kind is one kind of request.
 type Kind struct {
 	Name string
-	// Share of the arrivals, Rank in the engines' queue.
+	// Share is the weight among all arrivals; Rank orders the engines' queues, 0 first.
 	Share float64
 	Rank  int
-	// Subjects is the number of shared prompt parts, Shared their length and Own that of
-	// the request's own part; Answer is the length of the answer at the median, all in
-	// tokens. Own and answers differ by a factor of Spread or so.
+	// Subjects is the number of different shared prompt parts. Shared is their length, Own
+	// the median length of the request's own part and Answer that of the answer, all in
+	// tokens. Spread is the standard deviation of the logarithm of own parts and answers.
 	Subjects, Shared, Own, Answer int
-	// Common is the length of the part before the subject's, which is one of Commons; 0 for
-	// none.
+	// Common is the length in tokens of the part before the subject's, which is one of
+	// Commons different ones; 0 for none.
 	Commons, Common int
 	Spread          float64
-	// AnswerSpread is that of answers; 0 for Spread. MostOwn and MostAnswer bound the lengths
-	// of own parts and of answers; 0 for any own part, and for four times Answer.
+	// AnswerSpread replaces Spread for answers unless it is 0. MostOwn and MostAnswer bound
+	// the lengths of own parts and answers in tokens; 0 means no bound for own parts and four
+	// times Answer for answers.
 	AnswerSpread        float64
 	MostOwn, MostAnswer int
-	// AimMillis is until the first event, DeadlineMillis until the last one.
+	// AimMillis is the objective for the first event, DeadlineMillis the deadline for the
+	// last one, both from arrival.
 	AimMillis, DeadlineMillis int
-	// GapAimMillis is the longest pause between events of an answer in time; 0 for any.
+	// GapAimMillis bounds the pauses between events of an answer in time; 0 for no bound.
 	GapAimMillis int
-	// Worth of an answer in time, and of a whole one that began late.
+	// Worth is the worth of an answer in time, LateWorth that of another complete answer.
 	Worth, LateWorth float64
 }
 
-// Fault is one thing that goes wrong.
+// Fault is a fault in a pattern.
 type Fault struct {
-	// Kind is crash (a share of a region's engines is down), cut (no region reaches
-	// another), or dark (all instances are down, and know nothing when they are back).
+	// Kind is crash (a share of a region's engines, or of each region's if Region is empty,
+	// is down), cut (no region reaches another), or dark (all instances are down and lose
+	// their state). It begins at second At and lasts For seconds.
 	Kind    string
 	At, For float64
 	Region  string
@@ -104,7 +108,7 @@
 //go:embed patterns/*.json
 var patterns embed.FS
 
-// Names lists the recorded patterns.
+// Names returns the names of the recorded patterns.
 func Names() []string {
 	entries, err := fs.ReadDir(patterns, "patterns")
 	if err != nil {
@@ -117,7 +121,7 @@
 	return out
 }
 
-// Load reads a recorded pattern by its name.
+// Load reads the recorded pattern with this name. An unknown name gives a NotFound error.
 func Load(name string) (*Pattern, error) {
 	data, err := patterns.ReadFile(path.Join("patterns", name+".json"))
 	if err != nil {
@@ -146,7 +150,7 @@
 	return nil
 }
 
-// Faster is the pattern with engines so many times as fast.
+// WithSpeed returns a copy of the pattern whose engines are faster by the factor times.
 func (p *Pattern) WithSpeed(times float64) *Pattern {
 	out := *p
 	out.Engine.ReadPerMilli *= times
@@ -155,7 +159,7 @@
 	return &out
 }
 
-// config is that of the engine model.
+// config returns the configuration of the engine model.
 func (e *Engine) config() enginemodel.Config {
 	return enginemodel.Config{
 		Slots: e.Slots, ChunkTokens: e.ChunkTokens, PrefillRate: e.ReadPerMilli * 1000,
@@ -164,7 +168,7 @@
 	}
 }
 
-// gapAim is the shortest of all kinds; 0 for none.
+// gapAim returns the shortest GapAimMillis of all kinds; 0 if none has one.
 func (p *Pattern) gapAim() time.Duration {
 	least := 0
 	for i := range p.Kinds {
@@ -175,7 +179,7 @@
 	return time.Duration(least) * time.Millisecond
 }
 
-// mostAnswer is the longest answer that is asked for.
+// mostAnswer returns the maximal length of an answer, in tokens.
 func (k *Kind) mostAnswer() int {
 	const times = 4
 	if k.MostAnswer > 0 {
@@ -193,7 +197,7 @@
 
 func millis(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// times is how many times the mean arrives at a moment.
+// times returns the factor of the mean arrival rate at a time.
 func (r *Region) times(second float64) float64 {
 	out := 1.0
 	for _, s := range r.Shape {
--- a/experiment/replay/replay_test.go
+++ b/experiment/replay/replay_test.go
@@ -10,7 +10,7 @@
 
 const site = "site"
 
-func play(t *testing.T, p *replay.Pattern, decider string, seed uint64) *replay.Figures {
+func run(t *testing.T, p *replay.Pattern, decider string, seed uint64) *replay.Figures {
 	t.Helper()
 	f, err := replay.Run(p, decider, seed)
 	if err != nil {
@@ -28,65 +28,62 @@
 	return p
 }
 
-// Symptom: urgent requests are refused as they would be late while their engine reads them
-// first.
-// Events: all instances lose power; all callers come back together, a quarter of them with
-// long prompts of the last rank.
-// Cause: what waits behind a request counted as in front of it.
-func TestUrgentRequestsAreServedWhenAllReturn(t *testing.T) {
+// Guards against urgent requests refused as late although their engine would prefill them
+// first. All instances lose power and all callers return together, a quarter of them with
+// long prompts of the last rank: requests behind another must not count as in front of it.
+func TestUrgentRequestsAreServedAfterPowerLoss(t *testing.T) {
 	p := load(t, "all-return")
-	f := play(t, p, site, 1)
+	f := run(t, p, site, 1)
 	check, reply := f.Kinds["check"], f.Kinds["reply"]
 	if check.Refused > 0 || reply.Refused > reply.Arrived/100 {
 		t.Errorf("refused: %d of the first rank, %d of %d of the second", check.Refused, reply.Refused, reply.Arrived)
 	}
-	// What was sent in the 2.4 s without an instance is late in any case.
+	// Requests of the 2.4 s without an instance are late in any case.
 	if got := f.InTime("check"); got < 0.86 {
 		t.Errorf("%.3f of the first rank in time", got)
 	}
 }
 
-// Symptom: a region's long prompts are late while the engines of others stand idle.
-// Events: one region is at 2.3 times its mean and the others at 0.3, in turn.
-// Cause: each region keeps its own, as plain balancers do.
-func TestPeakOfARegionIsSharedOut(t *testing.T) {
+// Guards against late long prompts in a region while the engines of others are idle. The
+// regions are in turn at 2.3 times their mean and the others at 0.3; plain balancers keep
+// all requests in their region.
+func TestPeakOfARegionSpillsOver(t *testing.T) {
 	p := load(t, "peak-of-one-region")
-	f, plain := play(t, p, site, 1), play(t, p, "least_outstanding", 1)
+	f, plain := run(t, p, site, 1), run(t, p, "least_outstanding", 1)
 	if f.Worth() < 0.97 || f.Worth() < plain.Worth()+0.04 {
 		t.Errorf("worth %.3f, of least outstanding %.3f", f.Worth(), plain.Worth())
 	}
 	if f.Forwarded == 0 {
-		t.Error("nothing was passed on")
+		t.Error("nothing was forwarded")
 	}
 }
 
-// Symptom: most long prompts are late or refused in a region at its peak, beside two regions
-// with a sixth of their load.
-// Events: three regions of 36, 26 and 18 engines with some sixty instances each reach 2.8
-// times their mean in turn; a quarter of all engines is lost for two seconds.
-// Cause: the idle regions were judged by the pace of the crowded one, and left alone.
-func TestPeaksOfALargeSiteAreSharedOut(t *testing.T) {
+// Guards against late or refused long prompts in a region at its peak, next to two regions
+// with a sixth of their load. Three regions of 36, 26 and 18 engines with some sixty
+// instances each reach 2.8 times their mean in turn; a quarter of all engines is lost for
+// two seconds. The idle regions must not be judged by the speed of the overloaded one.
+func TestPeaksOfALargeSiteSpillOver(t *testing.T) {
 	p := load(t, "large-regions-in-turn")
-	f, plain := play(t, p, site, 1), play(t, p, "least_outstanding", 1)
+	f, plain := run(t, p, site, 1), run(t, p, "least_outstanding", 1)
 	if f.Worth() < plain.Worth()+0.3 {
 		t.Errorf("worth %.3f, of least outstanding %.3f", f.Worth(), plain.Worth())
 	}
-	asked := 0
+	arrived := 0
 	for _, k := range f.Kinds {
-		asked += k.Arrived
+		arrived += k.Arrived
 	}
-	// The peaks have 0.8 of all arrivals, and half of the engines stand in other regions.
-	if share := float64(f.Forwarded) / float64(asked); share < 0.4 {
-		t.Errorf("%.2f of all passed on", share)
+	// The peaks have 0.8 of all arrivals, and half of the engines are in other regions.
+	if share := float64(f.Forwarded) / float64(arrived); share < 0.4 {
+		t.Errorf("%.2f of all forwarded", share)
 	}
 }
 
-// Symptom: in an overload all wait behind each other and all are late.
-// Events: for 10 s more comes everywhere than can be read.
-// Cause: nobody is refused; or the urgent are refused with the rest.
+// Guards against an overload in which all requests queue up and are late, as none is
+// refused, or urgent ones are refused with the rest. For 10 s more tokens arrive everywhere
+// than can be prefilled.
 func TestOverloadRefusesTheLeastUrgent(t *testing.T) {
 	p := load(t, "overload")
-	f, plain := play(t, p, site, 1), play(t, p, "least_outstanding", 1)
+	f, plain := run(t, p, site, 1), run(t, p, "least_outstanding", 1)
 	if f.Worth() < plain.Worth()+0.03 {
 		t.Errorf("worth %.3f, of least outstanding %.3f", f.Worth(), plain.Worth())
 	}
@@ -98,22 +95,19 @@
 	}
 }
 
-// Symptom: a thirtieth of the long answers is not whole at its deadline though the engines
-// have room for all.
-// Events: long prompts of a few subjects come among long answers.
-// Cause: long answers went to the few engines that read little, whatever ran there.
+// Guards against long answers that miss their deadline (one in thirty) although the engines
+// have room for all. Long prompts of a few subjects arrive among long answers: these must not
+// all go to the few engines with little prefill, whatever runs there.
 func TestLongAnswersDoNotCrowd(t *testing.T) {
 	p := load(t, "long-among-running")
-	f, plain := play(t, p, site, 1), play(t, p, "least_outstanding", 1)
+	f, plain := run(t, p, site, 1), run(t, p, "least_outstanding", 1)
 	if f.Worth() < plain.Worth()-0.004 {
 		t.Errorf("worth %.3f, of least outstanding %.3f", f.Worth(), plain.Worth())
 	}
 }
 
-// Symptom: the decisions fit one engine only.
-// Events: a peak of one region, with engines 8 times faster and 4 times slower, and as much
-// less or more that comes.
-// Cause: a constant of one engine.
+// Guards against decisions that depend on the constants of one engine: a peak of one region
+// with engines 8 times faster, at twice the load, and 4 times slower, at a quarter of it.
 func TestDecisionsFitOtherEngines(t *testing.T) {
 	for _, times := range []float64{8, 0.25} {
 		p := load(t, "peak-of-one-region").WithSpeed(times)
@@ -121,7 +115,7 @@
 		for i := range p.Regions {
 			p.Regions[i].PerSecond *= min(times, 2)
 		}
-		f, plain := play(t, p, site, 1), play(t, p, "least_outstanding", 1)
+		f, plain := run(t, p, site, 1), run(t, p, "least_outstanding", 1)
 		if f.Worth() < plain.Worth()-0.005 {
 			t.Errorf("engines %v times as fast: worth %.3f, of least outstanding %.3f", times, f.Worth(), plain.Worth())
 		}
@@ -133,7 +127,7 @@
 	p := load(t, "burst-with-losses")
 	p.Seconds = 14
 	p.Faults = append(p.Faults, replay.Fault{Kind: "dark", At: 11, For: 1})
-	a, b, other := play(t, p, site, 1), play(t, p, site, 1), play(t, p, site, 2)
+	a, b, other := run(t, p, site, 1), run(t, p, site, 1), run(t, p, site, 2)
 	if a.Worth() != b.Worth() || a.Forwarded != b.Forwarded {
 		t.Error("equal seeds differ")
 	}
@@ -147,7 +141,7 @@
 		p := load(t, name)
 		p.Seconds = 3
 		for _, d := range replay.Deciders {
-			for kind, k := range play(t, p, d, 3).Kinds {
+			for kind, k := range run(t, p, d, 3).Kinds {
 				if sum := k.InTime + k.Late + k.Unfinished + k.Unserved + k.Refused; sum != k.Arrived || k.Arrived == 0 {
 					t.Errorf("%s, %s: %d of %d %s ended", name, d, sum, k.Arrived, kind)
 				}
@@ -156,7 +150,7 @@
 	}
 }
 
-func TestPatternsAndDecidersThatAreNotThere(t *testing.T) {
+func TestUnknownPatternsAndDeciders(t *testing.T) {
 	if _, err := replay.Load("none"); err == nil || !strings.Contains(err.Error(), "all-return") {
 		t.Errorf("error %v", err)
 	}
@@ -169,32 +163,30 @@
 	}
 }
 
-// Symptom: one in twenty-five answers is late, each for one pause between events.
-// Events: long prompts come in a row among long answers, at engines that read a third
-// slower.
-// Cause: only the share of time that an engine reads was counted, not for how long it does
-// so without a break.
+// Guards against answers that are late (one in twenty-five) for one long pause between
+// events. Long prompts arrive in a row among long answers, at engines with a third less
+// prefill speed: not only an engine's share of prefill time counts, but also how long it
+// prefills without a break.
 func TestLongPromptsInARowDelayFewAnswers(t *testing.T) {
 	p := load(t, "long-prompts-in-a-row")
-	late, asked := 0, 0
+	late, arrived := 0, 0
 	for seed := range uint64(3) {
-		reply := play(t, p, site, seed+1).Kinds["reply"]
-		late, asked = late+reply.Late, asked+reply.Arrived
+		reply := run(t, p, site, seed+1).Kinds["reply"]
+		late, arrived = late+reply.Late, arrived+reply.Arrived
 	}
-	if late > asked/50 {
-		t.Errorf("%d of %d answers late", late, asked)
+	if late > arrived/50 {
+		t.Errorf("%d of %d answers late", late, arrived)
 	}
 }
 
-// Symptom: requests of hot subjects wait where their parts are kept, or have them read
-// again elsewhere.
-// Events: for 10 s more comes everywhere than can be read; prompts share some hundred subjects.
-// Cause: parts that another engine keeps counted as unread.
-func TestFetchedPartsSpareReading(t *testing.T) {
+// Guards against requests of hot subjects that wait where their parts are cached, or prefill
+// them again elsewhere. For 10 s more tokens arrive everywhere than can be prefilled, and
+// prompts share some hundred subjects: parts cached at another engine can be fetched.
+func TestFetchedPartsSavePrefill(t *testing.T) {
 	p := load(t, "overload")
 	never := *p
 	never.Engine.FetchPerKilo = 1e9
-	with, without := play(t, p, site, 1), play(t, &never, site, 1)
+	with, without := run(t, p, site, 1), run(t, &never, site, 1)
 	if with.PrefillTokens > without.PrefillTokens*95/100 {
 		t.Errorf("%d tokens read, %d without fetching", with.PrefillTokens, without.PrefillTokens)
 	}
--- a/experiment/replay/world.go
+++ b/experiment/replay/world.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// service is the name of the only one, and zone that of all engines.
+	// All engines serve the same service in the same zone.
 	service, zone = "s", "z"
-	// wideTrip is one way to another region.
-	wideTrip = 80 * time.Millisecond
-	// tellInterval is how often regions hear of each other, and of what they told last.
-	tellInterval = 500 * time.Millisecond
-	// tellNear is how often the instances of a region hear of each other.
-	tellNear = 250 * time.Millisecond
+	// regionDelay is the one-way delay to another region.
+	regionDelay = 80 * time.Millisecond
+	// loadExchangeInterval is how often regions report their loads to each other.
+	loadExchangeInterval = 500 * time.Millisecond
+	// localExchangeInterval is how often the instances of a region exchange their loads.
+	localExchangeInterval = 250 * time.Millisecond
 )
 
-// epoch is where virtual time starts.
+// epoch is the start of virtual time.
 var epoch = time.Unix(1_000_000, 0).UTC()
 
-// engine is one of a region, with the requests that it has.
+// engine is an engine of a region with its requests, by ID.
 type engine struct {
-	id     string
-	region *region
-	model  *enginemodel.Engine
-	down   bool
-	has    map[uint64]*request
+	id       string
+	region   *region
+	model    *enginemodel.Engine
+	down     bool
+	requests map[uint64]*request
 }
 
-// region is one with its decider.
+// region is a region with its decider.
 type region struct {
 	Region
 	engines []*engine
 	chooser chooser
-	// told is what the others know of it.
-	told pick.RegionLoad
+	// reportedLoad is the load that the other regions know.
+	reportedLoad pick.RegionLoad
 }
 
-// request is one request of a caller.
+// request is a request of a caller. prompt and answer are lengths in tokens.
 type request struct {
 	id             uint64
 	kind           *Kind
@@ -53,37 +53,37 @@
 	prompt, answer int
 	call           pick.Call
 	prefix         []uint64
-	// returned says that it was refused and has come back.
-	returned bool
-	ended    bool
-	// first is when the answer began; zero before.
+	// retried means that it was refused once.
+	retried bool
+	ended   bool
+	// first is the time of the first event; zero before.
 	first time.Time
-	// pause is the longest one between events of its answer.
-	pause  time.Duration
-	engine *engine
-	sent   sent
+	// pause is the longest time between two events of its answer.
+	pause   time.Duration
+	engine  *engine
+	tracker tracker
 }
 
 func (r *request) deadline() time.Time {
 	return r.at.Add(time.Duration(r.kind.DeadlineMillis) * time.Millisecond)
 }
 
-// world is one run.
+// world is the state of one run.
 type world struct {
-	p       *Pattern
-	now     time.Time
-	queue   vtime.Queue
-	regions []*region
-	rng     *rand.Rand
-	figures *Figures
-	dark    bool
-	cut     bool
-	// trips are never learned here: all take wideTrip.
+	p             *Pattern
+	now           time.Time
+	queue         vtime.Queue
+	regions       []*region
+	rng           *rand.Rand
+	figures       *Figures
+	instancesDown bool
+	partitioned   bool
+	// trips stays empty: round-trip times are not learned here.
 	trips    place.RoundTrips
 	requests uint64
 }
 
-// Run plays a pattern with one kind of decider. Equal seeds have equal arrivals.
+// Run simulates a pattern with a decider, one of Deciders. Equal seeds give equal arrivals.
 func Run(p *Pattern, decider string, seed uint64) (*Figures, error) {
 	w := &world{p: p, now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), figures: newFigures(p, decider)}
 	for _, r := range p.Regions {
@@ -93,9 +93,9 @@
 	}
 	w.arrivals()
 	for _, f := range p.Faults {
-		w.plan(f)
+		w.scheduleFault(f)
 	}
-	w.every(tellInterval, w.tell)
+	w.every(loadExchangeInterval, w.exchangeLoads)
 	for {
 		at, do, ok := w.queue.Next()
 		if !ok {
@@ -110,7 +110,7 @@
 	out := &region{Region: r}
 	for n := range r.Engines {
 		id := r.Name + "-" + strconv.Itoa(n)
-		out.engines = append(out.engines, &engine{id: id, region: out, model: enginemodel.New(w.p.Engine.config()), has: map[uint64]*request{}})
+		out.engines = append(out.engines, &engine{id: id, region: out, model: enginemodel.New(w.p.Engine.config()), requests: map[uint64]*request{}})
 	}
 	var err error
 	out.chooser, err = newChooser(decider, w, out)
@@ -124,14 +124,14 @@
 	return epoch.Add(time.Duration(s * float64(time.Second)))
 }
 
-// every does a thing again and again until the arrivals have ended.
+// every runs do at each interval until the arrivals have ended.
 func (w *world) every(interval time.Duration, do func()) {
 	for t := epoch; t.Before(w.second(w.p.Seconds)); t = t.Add(interval) {
 		w.at(t, do)
 	}
 }
 
-// arrivals draws all requests.
+// arrivals draws and schedules all requests.
 func (w *world) arrivals() {
 	for _, r := range w.regions {
 		for s := w.rng.ExpFloat64() / r.PerSecond; s < w.p.Seconds; {
@@ -142,17 +142,17 @@
 	}
 }
 
-// draw makes a request of a region's callers.
+// draw returns a random request of a region's callers.
 func (w *world) draw(r *region, at time.Time) *request {
 	k := w.kind()
 	w.requests++
 	q := &request{id: w.requests, kind: k, home: r, at: at}
 	subject := w.rng.IntN(k.Subjects)
-	own := max(1, int(w.around(k.Own, k.Spread)))
+	own := max(1, int(w.lognormal(k.Own, k.Spread)))
 	if k.MostOwn > 0 {
 		own = min(own, k.MostOwn)
 	}
-	q.answer = max(1, int(w.around(k.Answer, k.answerSpread())))
+	q.answer = max(1, int(w.lognormal(k.Answer, k.answerSpread())))
 	q.prompt = k.Common + k.Shared + own
 	if k.Commons > 0 {
 		q.addPart(uint64(subject%k.Commons+1)<<40^uint64(len(k.Name))<<50, k.Common)
@@ -166,7 +166,7 @@
 	return q
 }
 
-// addPart adds a part that the request shares with others.
+// addPart adds a prompt part that the request shares with others.
 func (q *request) addPart(key uint64, tokens int) {
 	for n := range tokens / enginemodel.BlockTokens {
 		q.prefix = append(q.prefix, key+uint64(n)<<8)
@@ -174,8 +174,8 @@
 	q.call.Parts = append(q.call.Parts, pick.Part{ID: key, Tokens: tokens})
 }
 
-// around draws a length, lognormal around its median.
-func (w *world) around(median int, spread float64) float64 {
+// lognormal draws a length from a lognormal distribution.
+func (w *world) lognormal(median int, spread float64) float64 {
 	return float64(median) * math.Exp(spread*w.rng.NormFloat64())
 }
 
@@ -193,46 +193,46 @@
 	return &w.p.Kinds[len(w.p.Kinds)-1]
 }
 
-// arrive has the decider of the home region choose; while all instances are down callers
-// come again when they are back.
+// arrive routes a request in its home region. While all instances are down, callers retry
+// until their deadline.
 func (w *world) arrive(q *request) {
 	switch {
 	case !w.now.Before(q.deadline()):
 		w.end(q, unserved)
-	case w.dark:
-		w.at(w.now.Add(darkPause), func() { w.arrive(q) })
+	case w.instancesDown:
+		w.at(w.now.Add(downRetryInterval), func() { w.arrive(q) })
 	default:
 		w.decide(q, q.home, true)
 	}
 }
 
-// darkPause is how long a caller waits for an instance that does not answer.
-const darkPause = 500 * time.Millisecond
+// downRetryInterval is the time after which a caller retries if no instance answers.
+const downRetryInterval = 500 * time.Millisecond
 
-func (w *world) decide(q *request, r *region, mayPass bool) {
-	d := r.chooser.choose(w.now, q, mayPass)
+func (w *world) decide(q *request, r *region, mayForward bool) {
+	d := r.chooser.choose(w.now, q, mayForward)
 	switch {
 	case d.region != nil:
 		w.figures.Forwarded++
-		w.at(w.now.Add(wideTrip), func() { w.decide(q, d.region, false) })
+		w.at(w.now.Add(regionDelay), func() { w.decide(q, d.region, false) })
 	case d.engine == nil || d.engine.down:
-		d.sent.done(w.now, pick.Unreachable)
-		w.refuse(q, !mayPass)
+		d.tracker.done(w.now, pick.Unreachable)
+		w.refuse(q, !mayForward)
 	default:
 		w.send(q, d)
 	}
 }
 
-// refuse sends a request back to its caller, who comes again once.
-func (w *world) refuse(q *request, passed bool) {
-	if q.returned {
+// refuse refuses a request; its caller retries once.
+func (w *world) refuse(q *request, forwarded bool) {
+	if q.retried {
 		w.end(q, refused)
 		return
 	}
-	q.returned = true
+	q.retried = true
 	back := w.now.Add(place.RetryAfter(place.Busy, q.deadline().Sub(w.now)))
-	if passed {
-		back = back.Add(wideTrip)
+	if forwarded {
+		back = back.Add(regionDelay)
 	}
 	w.at(back, func() { w.arrive(q) })
 }
@@ -246,45 +246,45 @@
 		ID: q.id, Priority: ranks - min(ranks, q.kind.Rank), PromptTokens: q.prompt, OutputTokens: q.answer, Prefix: q.prefix,
 	})
 	if err != nil {
-		d.sent.done(w.now, pick.Rejected)
+		d.tracker.done(w.now, pick.Rejected)
 		w.refuse(q, false)
 		return
 	}
-	q.engine, q.sent = d.engine, d.sent
-	d.engine.has[q.id] = q
-	w.at(q.deadline(), func() { w.giveUp(q) })
-	w.wake(d.engine)
+	q.engine, q.tracker = d.engine, d.tracker
+	d.engine.requests[q.id] = q
+	w.at(q.deadline(), func() { w.expire(q) })
+	w.scheduleAdvance(d.engine)
 }
 
-// wake looks at an engine when something happens there.
-func (w *world) wake(e *engine) {
+// scheduleAdvance schedules an advance of an engine at its next event.
+func (w *world) scheduleAdvance(e *engine) {
 	if at, ok := e.model.NextEvent(); ok {
 		w.at(at, func() { w.advance(e) })
 	}
 }
 
 func (w *world) advance(e *engine) {
-	for _, happened := range e.model.Advance(w.now) {
-		q := e.has[happened.ID]
+	for _, event := range e.model.Advance(w.now) {
+		q := e.requests[event.ID]
 		if q == nil {
 			continue
 		}
-		if happened.Kind == enginemodel.FirstToken {
-			q.first = happened.At
-			w.figures.PrefillTokens += q.prompt - happened.CachedTokens
-			q.sent.first(w.now)
+		if event.Kind == enginemodel.FirstToken {
+			q.first = event.At
+			w.figures.PrefillTokens += q.prompt - event.CachedTokens
+			q.tracker.firstEvent(w.now)
 			continue
 		}
-		delete(e.has, q.id)
-		q.sent.done(w.now, pick.Good)
-		q.pause = happened.LongestPause
+		delete(e.requests, q.id)
+		q.tracker.done(w.now, pick.Good)
+		q.pause = event.LongestPause
 		w.end(q, served)
 	}
-	w.wake(e)
+	w.scheduleAdvance(e)
 }
 
-// giveUp ends a request at its deadline.
-func (w *world) giveUp(q *request) {
+// expire cancels a request at its deadline.
+func (w *world) expire(q *request) {
 	if q.ended {
 		return
 	}
@@ -293,13 +293,13 @@
 		return
 	}
 	q.engine.model.Cancel(w.now, q.id)
-	delete(q.engine.has, q.id)
-	q.sent.done(w.now, pick.Neutral)
+	delete(q.engine.requests, q.id)
+	q.tracker.done(w.now, pick.Neutral)
 	w.end(q, unfinished)
-	w.wake(q.engine)
+	w.scheduleAdvance(q.engine)
 }
 
-func (w *world) end(q *request, how ending) {
+func (w *world) end(q *request, how outcome) {
 	if q.ended {
 		return
 	}
@@ -307,17 +307,17 @@
 	w.figures.count(q, how)
 }
 
-// tell has each region hear of the others.
-func (w *world) tell() {
+// exchangeLoads reports the load of each region to the others.
+func (w *world) exchangeLoads() {
 	for _, r := range w.regions {
-		told := pick.RegionLoad{}
+		load := pick.RegionLoad{}
 		for _, e := range r.engines {
 			if !e.down {
-				told.Targets++
-				told.Slots += w.p.Engine.Slots
+				load.Targets++
+				load.Slots += w.p.Engine.Slots
 			}
 		}
-		r.chooser.loads(w.now, &told)
-		w.at(w.now.Add(wideTrip), func() { r.told = told })
+		r.chooser.loads(w.now, &load)
+		w.at(w.now.Add(regionDelay), func() { r.reportedLoad = load })
 	}
 }
