--- a/experiment/bench_test.go
+++ b/experiment/bench_test.go
@@ -4,7 +4,7 @@
 
 // BenchmarkTrial runs one trial of each decider at 80% load with a lost region.
 func BenchmarkTrial(b *testing.B) {
-	for _, name := range []string{LeastName, RouterName} {
+	for _, name := range []string{LeastOutstandingName, RouterName} {
 		b.Run(name, func(b *testing.B) {
 			o := DefaultOptions()
 			o.Seeds, o.Workers = 1, 1
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -18,30 +18,30 @@
 )
 
 // Place is where an instance runs; Instances counts those of its region.
-type Place struct {
+type Location struct {
 	Region, Zone string
 	Instances    int
 }
 
 // Maker makes the decider of one instance.
-type Maker func(p Place, seed uint64) route.Decider
+type Factory func(p Location, seed uint64) route.Decider
 
-func makeRouter(p Place, seed uint64) route.Decider {
+func makeRouter(p Location, seed uint64) route.Decider {
 	return makeRouterOf(route.Config{}, p, seed)
 }
 
 // makeWhole makes a Router that looks at all targets of a service each time.
-func makeWhole(p Place, seed uint64) route.Decider {
+func makeWhole(p Location, seed uint64) route.Decider {
 	return makeRouterOf(route.Config{MaxScored: math.MaxInt32}, p, seed)
 }
 
-func makeRouterOf(cfg route.Config, p Place, seed uint64) route.Decider {
+func makeRouterOf(cfg route.Config, p Location, seed uint64) route.Decider {
 	cfg.Region, cfg.Zone, cfg.Instances = p.Region, p.Zone, p.Instances
 	return route.New(cfg, rand.New(rand.NewPCG(seed, 4)))
 }
 
-func baselineMaker(pick rule) Maker {
-	return func(p Place, seed uint64) route.Decider {
+func baselineMaker(pick rule) Factory {
+	return func(p Location, seed uint64) route.Decider {
 		return newBaseline(p.Region, seed, pick)
 	}
 }
@@ -51,44 +51,44 @@
 	// RouterName is route.Router with its defaults.
 	RouterName = "router"
 	// LeastName is the baseline that the aims are stated against.
-	LeastName = "least_outstanding"
+	LeastOutstandingName = "least_outstanding"
 	// WholeName is route.Router without a bound on the targets it looks at. It
 	// differs from RouterName only in large services, so it runs only if named.
-	WholeName = "router_whole"
+	UnboundedRouterName = "router_whole"
 )
 
 // makers lists the deciders in the order of the table.
 var makers = []struct {
 	name string
-	make Maker
+	make Factory
 }{
 	{"random", baselineMaker(pickRandom)},
 	{"round_robin", baselineMaker(pickRoundRobin)},
-	{LeastName, baselineMaker(pickLeast)},
+	{LeastOutstandingName, baselineMaker(pickLeast)},
 	{"power_of_two", baselineMaker(pickTwo)},
 	{"least_reported", baselineMaker(pickLeastReported)},
 	{RouterName, makeRouter},
-	{WholeName, makeWhole},
+	{UnboundedRouterName, makeWhole},
 }
 
 // Deciders lists the names of the deciders that run if none is named.
 func Deciders() []string {
 	var out []string
 	for _, m := range makers {
-		if m.name != WholeName {
+		if m.name != UnboundedRouterName {
 			out = append(out, m.name)
 		}
 	}
 	return out
 }
 
-func maker(name string) (Maker, error) {
+func maker(name string) (Factory, error) {
 	for _, m := range makers {
 		if m.name == name {
 			return m.make, nil
 		}
 	}
-	return nil, fmt.Errorf("unknown decider %q; known: %v", name, append(Deciders(), WholeName))
+	return nil, fmt.Errorf("unknown decider %q; known: %v", name, append(Deciders(), UnboundedRouterName))
 }
 
 // Options say what to run. Empty lists stand for all.
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -35,7 +35,7 @@
 // number of workers. Cause: order of maps, of goroutines, or a clock.
 func TestSameSeedsGiveTheSameTable(t *testing.T) {
 	o := quick()
-	o.Faults = []Fault{AllLost, Killer}
+	o.Faults = []Fault{AllLost, PoisonRequests}
 	first, _ := table(t, o)
 	o.Workers = 1
 	second, _ := table(t, o)
@@ -50,7 +50,7 @@
 	o := quick()
 	_, res := table(t, o)
 	o.Late = true
-	o.Faults, o.Deciders = []Fault{CutHalf, Killer}, []string{LeastName, RouterName}
+	o.Faults, o.Deciders = []Fault{CutHalf, PoisonRequests}, []string{LeastOutstandingName, RouterName}
 	_, late := table(t, o)
 	res.Rows = append(res.Rows, late.Rows...)
 	for i := range res.Rows {
@@ -84,7 +84,7 @@
 	run := func(change func(*baseline, time.Time, *route.Request, route.Decision) route.Decision) Figures {
 		tr := Trial{Workload: wl, Load: 0.5, Fault: NoFault, Seed: 1, Day: time.Minute, PerTarget: 2, Late: true}
 		tr.arrivals = wl.trace(tr.Seed, tr.Load, tr.PerTarget, tr.Day)
-		tr.make = func(p Place, seed uint64) route.Decider {
+		tr.make = func(p Location, seed uint64) route.Decider {
 			return odd{newBaseline(p.Region, seed, pickLeast), change}
 		}
 		w := newWorld(&tr)
@@ -131,7 +131,7 @@
 func TestAKillerTakesTwoTargetsOfARegion(t *testing.T) {
 	run := func(lone int, seed uint64) *world {
 		wl := Workloads()[0]
-		tr := Trial{Workload: wl, Load: 0.5, Fault: Killer, Seed: seed, Day: 200 * time.Second, PerTarget: 2, Lone: lone, make: makeRouter}
+		tr := Trial{Workload: wl, Load: 0.5, Fault: PoisonRequests, Seed: seed, Day: 200 * time.Second, PerTarget: 2, Lone: lone, make: makeRouter}
 		tr.arrivals = wl.trace(tr.Seed, tr.Load, tr.PerTarget, tr.Day)
 		w := newWorld(&tr)
 		w.run()
@@ -162,7 +162,7 @@
 // round. Cause: a share forced away that leaves out what the fault takes.
 func TestForcedCountsWhatTheFaultTakes(t *testing.T) {
 	o := quick()
-	o.Day, o.Deciders, o.Workloads = 100*time.Second, []string{LeastName}, []string{"sukmajaya"}
+	o.Day, o.Deciders, o.Workloads = 100*time.Second, []string{LeastOutstandingName}, []string{"sukmajaya"}
 	o.Loads, o.Faults = []float64{0.5}, []Fault{NoFault, CutOff, HalfLost, AllLost, CutHalf, Rolling}
 	_, res := table(t, o)
 	// The first region has 0.4 to 0.7 of the day and the time to load without
--- a/experiment/fault.go
+++ b/experiment/fault.go
@@ -25,14 +25,14 @@
 	// Grey: one model target runs at a quarter of its speed.
 	Grey Fault = "grey"
 	// Killer: requests that crash each target that runs them; their callers resend.
-	Killer Fault = "killer"
+	PoisonRequests Fault = "killer"
 	// Rolling: all model targets leave, load and come back cold, one by one.
 	Rolling Fault = "rolling"
 )
 
 // Faults lists all faults.
 func Faults() []Fault {
-	return []Fault{NoFault, HalfLost, AllLost, CutOff, CutHalf, Grey, Killer, Rolling}
+	return []Fault{NoFault, HalfLost, AllLost, CutOff, CutHalf, Grey, PoisonRequests, Rolling}
 }
 
 const (
@@ -77,7 +77,7 @@
 		grey := models[0]
 		w.at(start, func() { grey.engine.SetSpeed(w.now, greySpeed) })
 		w.at(end, func() { grey.engine.SetSpeed(w.now, 1) })
-	case Killer:
+	case PoisonRequests:
 		for i := range killers {
 			w.at(start+time.Duration(i)*killerEvery, func() { w.arrive(w.killer(i)) })
 		}
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -17,7 +17,7 @@
 type Spread struct{ Mean, Min, Max float64 }
 
 // Over makes the spread of one figure over a row's seeds.
-func (r *Row) Over(figure func(*Figures) float64) Spread {
+func (r *Row) SpreadOf(figure func(*Figures) float64) Spread {
 	s := Spread{Min: math.Inf(1), Max: math.Inf(-1)}
 	for i := range r.Seeds {
 		v := figure(&r.Seeds[i])
@@ -96,16 +96,16 @@
 }
 
 func (r *Row) write(out io.Writer) {
-	mean := func(figure func(*Figures) float64) float64 { return r.Over(figure).Mean }
+	mean := func(figure func(*Figures) float64) float64 { return r.SpreadOf(figure).Mean }
 	cells := []string{
 		r.Decider,
 		seconds(mean(func(f *Figures) float64 { return float64(f.P50) })),
 		seconds(mean(func(f *Figures) float64 { return float64(f.P95) })),
-		r.Over(p99).seconds(),
+		r.SpreadOf(p99).seconds(),
 		seconds(mean(func(f *Figures) float64 { return float64(f.P999) })),
 		seconds(mean(func(f *Figures) float64 { return float64(f.P99All) })),
 		fmt.Sprintf("%.0f", mean(func(f *Figures) float64 { return float64(f.PlainP99) })),
-		r.Over(inTime).percent(),
+		r.SpreadOf(inTime).percent(),
 		percent(mean(func(f *Figures) float64 { return f.RefusedShare })),
 		percent(mean(func(f *Figures) float64 { return f.FailedShare })),
 		percent(mean(func(f *Figures) float64 { return f.Away })),
@@ -116,7 +116,7 @@
 		fmt.Sprint(r.total(func(f *Figures) int { return f.Doubled + f.Violations })),
 		fmt.Sprint(r.total(func(f *Figures) int { return f.Lost })),
 		fmt.Sprint(r.total(func(f *Figures) int { return f.Crashes })),
-		fmt.Sprint(r.Over(func(f *Figures) float64 { return float64(f.MostKilled) }).Max),
+		fmt.Sprint(r.SpreadOf(func(f *Figures) float64 { return float64(f.MostKilled) }).Max),
 	}
 	for _, c := range cells {
 		fmt.Fprint(out, c, "\t")
@@ -171,7 +171,7 @@
 		if values[r.Decider] == nil {
 			deciders = append(deciders, r.Decider)
 		}
-		values[r.Decider] = append(values[r.Decider], r.Over(pn.figure).Mean)
+		values[r.Decider] = append(values[r.Decider], r.SpreadOf(pn.figure).Mean)
 	}
 	for i, d := range deciders {
 		bars, err := plotter.NewBarChart(values[d], vg.Points(barWidth))
--- a/experiment/workload.go
+++ b/experiment/workload.go
@@ -15,11 +15,11 @@
 )
 
 // Span is a range of integers, both ends included.
-type Span struct{ Min, Max int }
+type Range struct{ Min, Max int }
 
-func (s Span) draw(rng *rand.Rand) int { return s.Min + rng.IntN(s.Max-s.Min+1) }
+func (s Range) draw(rng *rand.Rand) int { return s.Min + rng.IntN(s.Max-s.Min+1) }
 
-func (s Span) mean() int { return (s.Min + s.Max) / 2 }
+func (s Range) mean() int { return (s.Min + s.Max) / 2 }
 
 // Class is one kind of request of a workload.
 type Class struct {
@@ -36,7 +36,7 @@
 	// Shared prefix tokens, own prompt tokens and answer tokens. For a plain
 	// service Output is the time of a call in milliseconds, and the rest is 0.
 	Shared        int
-	Own, Output   Span
+	Own, Output   Range
 	NonIdempotent bool
 }
 
@@ -66,11 +66,11 @@
 			Model: "briefing-llm", Plain: "booking-desk", ModelTargets: 4, PlainTargets: 1,
 			Classes: []Class{
 				{Name: "briefing", Service: "briefing-llm", Share: 0.30, Priority: 7, Deadline: 45 * time.Second,
-					Prefixes: 40, Shared: 4096, Own: Span{1000, 3000}, Output: Span{200, 500}},
+					Prefixes: 40, Shared: 4096, Own: Range{1000, 3000}, Output: Range{200, 500}},
 				{Name: "notes", Service: "briefing-llm", Share: 0.45, Priority: 4, Deadline: 20 * time.Second,
-					Prefixes: 12, Common: true, Shared: 640, Own: Span{100, 400}, Output: Span{80, 200}},
+					Prefixes: 12, Common: true, Shared: 640, Own: Range{100, 400}, Output: Range{80, 200}},
 				{Name: "confirmation", Service: "booking-desk", Share: 0.25, Priority: 8, Deadline: 5 * time.Second,
-					Output: Span{20, 80}, NonIdempotent: true},
+					Output: Range{20, 80}, NonIdempotent: true},
 			},
 		},
 		{
@@ -78,11 +78,11 @@
 			Model: "gullhaven-writers", Plain: "catalogue-api", ModelTargets: 4, PlainTargets: 1,
 			Classes: []Class{
 				{Name: "dossier", Service: "gullhaven-writers", Share: 0.06, Priority: 5, Deadline: 120 * time.Second,
-					Prefixes: 20, Shared: 6144, Own: Span{6000, 14000}, Output: Span{300, 700}, NonIdempotent: true},
+					Prefixes: 20, Shared: 6144, Own: Range{6000, 14000}, Output: Range{300, 700}, NonIdempotent: true},
 				{Name: "rewrite", Service: "gullhaven-writers", Share: 0.44, Priority: 6, Deadline: 10 * time.Second,
-					Prefixes: 12, Common: true, Shared: 256, Own: Span{50, 200}, Output: Span{40, 120}},
+					Prefixes: 12, Common: true, Shared: 256, Own: Range{50, 200}, Output: Range{40, 120}},
 				{Name: "lookup", Service: "catalogue-api", Share: 0.50, Priority: 5, Deadline: time.Second,
-					Output: Span{5, 15}},
+					Output: Range{5, 15}},
 			},
 		},
 	}
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -50,7 +50,7 @@
 	// once; 0 leaves suspects out.
 	Lone     int
 	arrivals []arrival
-	make     Maker
+	make     Factory
 }
 
 // target is one engine with its feeds.
@@ -166,7 +166,7 @@
 		w.addTargets(r, trial.Workload.Plain, trial.Workload.PlainTargets, plainEngine())
 		for j := range instancesPerRegion {
 			seed := trial.Seed*1000 + uint64(i*instancesPerRegion+j)
-			d := trial.make(Place{name, zone(name, j), instancesPerRegion}, seed)
+			d := trial.make(Location{name, zone(name, j), instancesPerRegion}, seed)
 			d.SetTargets(w.now, r.specs())
 			in := &instance{region: r, decider: d, tokens: retryBurst}
 			if trial.Lone > 0 {
