--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -8,18 +8,18 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// ejectTime is how long a baseline avoids a target after a failed attempt, as
-// passive health checks of plain balancers do.
+// ejectTime is how long a baseline ejects a target after a failed attempt, as
+// plain balancers with passive health checks do.
 const ejectTime = time.Second
 
-// retryAfter is what baselines tell callers that they refuse.
+// retryAfter is the Retry-After of baselines that refuse.
 const retryAfter = 5 * time.Second
 
-// peer is what a baseline knows of one target.
+// peer is the state of one target at a baseline.
 type peer struct {
 	route.TargetSpec
-	// outstanding are this instance's own open attempts; reported is the last
-	// report's running and waiting.
+	// outstanding is the number of this instance's open attempts; reported is
+	// that of running and waiting requests in the last report.
 	outstanding, reported int
 	ejected               time.Time
 }
@@ -27,15 +27,15 @@
 // rule picks one of the usable targets; there is at least one.
 type rule func(b *baseline, usable []*peer) *peer
 
-// baseline is a plain balancer behind the same steps as route.Router. It never
-// refuses for a deadline, and sends to a neighbour only when no local target of
-// the service takes work: to any reachable neighbour that, by its last
-// summary, has targets.
+// baseline is a plain balancer with the interface of route.Router. It never
+// refuses for a deadline, and spills only if no local target of the service
+// accepts work: to a random reachable neighbour that has targets in its last
+// summary.
 type baseline struct {
 	region   string
 	rng      *rand.Rand
 	pick     rule
-	turns    map[string]int
+	next     map[string]int
 	peers    map[route.TargetID]*peer
 	order    []*peer
 	links    []route.Link
@@ -49,7 +49,7 @@
 func newBaseline(region string, seed uint64, pick rule) *baseline {
 	return &baseline{
 		region: region, rng: rand.New(rand.NewPCG(seed, 3)), pick: pick,
-		turns:    make(map[string]int),
+		next:     make(map[string]int),
 		peers:    make(map[route.TargetID]*peer),
 		summary:  make(map[summaryKey]int),
 		attempts: make(map[route.AttemptID]route.TargetID),
@@ -58,22 +58,22 @@
 
 func pickRandom(b *baseline, usable []*peer) *peer { return usable[b.rng.IntN(len(usable))] }
 
-// pickRoundRobin takes the targets in turn; instances start at different ones.
+// pickRoundRobin picks the targets in turn; instances start at random ones.
 func pickRoundRobin(b *baseline, usable []*peer) *peer {
 	service := usable[0].Service
-	if _, ok := b.turns[service]; !ok {
-		b.turns[service] = b.rng.IntN(len(usable))
+	if _, ok := b.next[service]; !ok {
+		b.next[service] = b.rng.IntN(len(usable))
 	}
-	b.turns[service]++
-	return usable[b.turns[service]%len(usable)]
+	b.next[service]++
+	return usable[b.next[service]%len(usable)]
 }
 
-// pickLeast takes the least own outstanding; ties are broken at random.
+// pickLeast picks the fewest own outstanding attempts; ties are broken at random.
 func pickLeast(b *baseline, usable []*peer) *peer {
 	return b.least(usable, func(p *peer) int { return p.outstanding })
 }
 
-// pickLeastReported takes the least of the last report, as it came.
+// pickLeastReported picks the fewest requests in the last report, uncorrected.
 func pickLeastReported(b *baseline, usable []*peer) *peer {
 	return b.least(usable, func(p *peer) int { return p.reported })
 }
@@ -161,8 +161,8 @@
 	return route.Decision{Action: route.Refuse, Reason: route.ReasonNoTarget, RetryAfter: retryAfter}
 }
 
-// choose narrows the targets step by step and picks among the rest. Ejected
-// and already tried targets are taken only when there is no other.
+// choose filters the targets and picks among the rest. Ejected and already tried
+// targets are used only if there is no other.
 func (b *baseline) choose(now time.Time, r *route.Request) *peer {
 	if len(r.Regions) > 0 && !slices.Contains(r.Regions, b.region) {
 		return nil
--- a/experiment/bench_test.go
+++ b/experiment/bench_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// BenchmarkTrial runs one trial of each decider at 80% load with a lost region.
+// BenchmarkTrial runs one trial of each decider at 80% load in which all targets of a
+// region are lost.
 func BenchmarkTrial(b *testing.B) {
 	for _, name := range []string{LeastOutstandingName, RouterName} {
 		b.Run(name, func(b *testing.B) {
--- a/experiment/call.go
+++ b/experiment/call.go
@@ -10,16 +10,16 @@
 	"github.com/gullhaven/gullhaven/standin/enginemodel"
 )
 
-// The retry policy, the same for all deciders. An idempotent request is sent
-// again while nothing of an answer was passed on. A non-idempotent one is sent
-// again only when the target was not reached. Each retry or hedge takes one
-// token from its instance's budget, each success puts retryShare back.
+// The retry policy, the same for all deciders. An idempotent request is retried
+// until a part of an answer was relayed. A non-idempotent one is retried only if
+// the target was not reached and no other has started it. Each retry or hedge
+// consumes one token of its instance's budget; each success adds retryShare.
 const (
 	maxAttempts  = 3
 	retryShare   = 0.2
 	retryBurst   = 20
 	retryBackoff = 20 * time.Millisecond
-	// maxHeld bounds the requests that one instance holds.
+	// maxHeld bounds the requests held by one instance.
 	maxHeld = 256
 )
 
@@ -28,15 +28,16 @@
 
 const (
 	pending outcome = iota
-	// answered: the whole answer came, in time or late.
+	// answered means that the whole answer came, in time or late.
 	answered
-	// refused: told that it was not run.
+	// refused means that the caller got an error that says it was not run.
 	refused
-	// failed: told that it broke off and may have run, or given up by the caller.
+	// failed means that the caller got an error that says it may have run, or
+	// that the deadline passed.
 	failed
 )
 
-// call is one request on its way.
+// call is a request that has arrived.
 type call struct {
 	*arrival
 	req     route.Request
@@ -46,21 +47,21 @@
 	hedged  bool
 	// first is the time to first token and total the time to the final answer,
 	// as the caller sees them.
-	first, total time.Duration
-	passedOn     bool
-	outcome      outcome
-	finals       int
-	cached       int
+	first, total    time.Duration
+	responseStarted bool
+	outcome         outcome
+	finals          int
+	cached          int
 }
 
-// attempt is one sending of a call.
+// attempt is an attempt of a call at a target.
 type attempt struct {
 	id      uint64
 	call    *call
 	in      *instance
 	target  *target
 	running bool
-	// alone says that the target was kept free for it.
+	// alone means that the target was reserved for it.
 	alone bool
 }
 
@@ -73,37 +74,38 @@
 	w.calls = append(w.calls, c)
 	w.open++
 	if !w.trial.Late {
-		w.push(c.req.Deadline, func() { w.giveUp(c) })
+		w.schedule(c.req.Deadline, func() { w.expire(c) })
 	}
 	w.decide(c)
 }
 
-// giveUp ends a call at its deadline, as the request path does: its attempts are
-// cancelled and its caller has the final answer at once.
-func (w *world) giveUp(c *call) {
+// expire ends a call at its deadline, as the request path does: its attempts are
+// cancelled and its caller gets the final answer at once.
+func (w *world) expire(c *call) {
 	if c.outcome != pending {
 		return
 	}
-	w.abandon(c)
-	w.final(c, failed)
+	w.cancelAttempts(c)
+	w.finish(c, failed)
 }
 
-// abandon cancels what is under way of a call and holds it no longer.
-func (w *world) abandon(c *call) {
+// cancelAttempts cancels the open attempts of a call and removes it from the held
+// calls.
+func (w *world) cancelAttempts(c *call) {
 	for _, a := range slices.Clone(c.open) {
 		w.cancel(a)
 	}
 	c.in.held = slices.DeleteFunc(c.in.held, func(x *call) bool { return x == c })
 }
 
-// decide asks the instance's decider and follows it.
+// decide follows the decision of the instance's decider.
 func (w *world) decide(c *call) {
 	if c.outcome != pending {
 		return
 	}
 	switch c.suspicion() {
 	case suspect.Refuse:
-		w.giveBack(c)
+		w.endUnanswered(c)
 		return
 	case suspect.RunAlone:
 		w.runAlone(c)
@@ -117,15 +119,15 @@
 	case route.Hold:
 		w.hold(c, d)
 	default:
-		w.final(c, refused)
+		w.finish(c, refused)
 	}
 }
 
 func (w *world) send(c *call, d route.Decision, alone bool) {
 	t := w.targets[d.Target]
 	if t == nil || t.region != c.in.region || !c.mayRunIn(t.spec.Region) {
-		w.stray++
-		w.final(c, refused)
+		w.invalidSends++
+		w.finish(c, refused)
 		return
 	}
 	w.nextID++
@@ -138,7 +140,7 @@
 	}
 	w.after(targetDelay, func() { w.enqueue(a) })
 	if !d.HedgeAt.IsZero() && c.req.Idempotent && !c.hedged {
-		w.push(d.HedgeAt, func() { w.hedge(a) })
+		w.schedule(d.HedgeAt, func() { w.hedge(a) })
 	}
 }
 
@@ -150,12 +152,12 @@
 	if w.attempts[a.id] == nil {
 		return
 	}
-	if a.alone && !a.target.engine.Idle() || a.target.alone {
-		w.beside++
+	if a.alone && !a.target.engine.Idle() || a.target.runsAlone {
+		w.loneViolations++
 	}
-	a.target.alone = a.target.alone || a.alone
+	a.target.runsAlone = a.target.runsAlone || a.alone
 	err := a.target.engine.Enqueue(w.now, a.call.engineRequest(a.id, a.call.req.Priority))
-	w.wake(a.target)
+	w.scheduleAdvance(a.target)
 	switch {
 	case errors.Is(err, enginemodel.ErrDown):
 		w.attemptEnded(a, route.Unreached, 0, -1)
@@ -167,18 +169,18 @@
 	}
 }
 
-// spill passes a call to another region, which decides anew. Over a cut link
-// it comes back to its home, which may not spill it again.
+// spill forwards a call to another region, which decides again. Over a
+// partitioned link it returns to its home region, which may not spill it again.
 func (w *world) spill(c *call, d route.Decision) {
 	i := slices.IndexFunc(w.regions, func(r *region) bool { return r.name == d.Region })
 	if c.req.Forwarded || i < 0 || !c.mayRunIn(d.Region) {
-		w.loops++
-		w.final(c, refused)
+		w.invalidSpills++
+		w.finish(c, refused)
 		return
 	}
 	c.req.Forwarded = true
 	home, away := c.in.region, w.regions[i]
-	if home.cut || away.cut {
+	if home.partitioned || away.partitioned {
 		w.after(2*regionDelay, func() { w.decide(c) })
 		return
 	}
@@ -188,35 +190,35 @@
 
 func (w *world) hold(c *call, d route.Decision) {
 	if len(c.in.held) >= maxHeld {
-		w.final(c, refused)
+		w.finish(c, refused)
 		return
 	}
 	c.in.held = append(c.in.held, c)
-	w.push(d.DecideAgain, func() { w.unhold(c) })
+	w.schedule(d.DecideAgain, func() { w.decideAgain(c) })
 }
 
-func (w *world) unhold(c *call) {
+func (w *world) decideAgain(c *call) {
 	if i := slices.Index(c.in.held, c); i >= 0 {
 		c.in.held = slices.Delete(c.in.held, i, i+1)
 		w.decide(c)
 	}
 }
 
-// unholdSome decides held calls anew, oldest first, until one stays held.
-func (w *world) unholdSome(in *instance) {
+// decideHeldAgain decides held calls again, oldest first, until one stays held.
+func (w *world) decideHeldAgain(in *instance) {
 	for range len(in.held) {
 		c := in.held[0]
-		w.unhold(c)
+		w.decideAgain(c)
 		if slices.Contains(in.held, c) {
 			return
 		}
 	}
 }
 
-// hedge starts a second attempt if the first has brought nothing yet.
+// hedge starts a second attempt if the first has not produced a token yet.
 func (w *world) hedge(a *attempt) {
 	c := a.call
-	if c.outcome != pending || c.passedOn || c.suspicion() != suspect.Run || len(c.open) != 1 || c.open[0] != a || a.in.tokens < 1 {
+	if c.outcome != pending || c.responseStarted || c.suspicion() != suspect.Run || len(c.open) != 1 || c.open[0] != a || a.in.retryTokens < 1 {
 		return
 	}
 	second := c.req
@@ -228,16 +230,16 @@
 	}
 	c.hedged = true
 	c.req = second
-	a.in.tokens--
+	a.in.retryTokens--
 	w.hedges++
 	w.send(c, d, false)
 }
 
 func (w *world) firstToken(a *attempt, ev enginemodel.Event) {
 	c := a.call
-	if c.killer {
-		w.killed[killing{c.digest, a.target.region.name}]++
-		w.crashKiller(a.target)
+	if c.poison {
+		w.poisonCrashes[poisonKey{c.digest, a.target.region.name}]++
+		w.crashAndRestart(a.target)
 		return
 	}
 	a.in.decider.FirstToken(w.now, route.AttemptID(a.id))
@@ -246,13 +248,14 @@
 			w.cancel(o)
 		}
 	}
-	c.passedOn = true
-	c.first = w.seen(c)
+	c.responseStarted = true
+	c.first = w.callerTime(c)
 	c.cached = ev.CachedTokens
 }
 
-// seen is the time from arrival until the caller sees what happens now.
-func (w *world) seen(c *call) time.Duration {
+// callerTime returns the time from arrival until the caller learns of an event
+// that happens now.
+func (w *world) callerTime(c *call) time.Duration {
 	d := w.now.Sub(epoch) - c.at
 	if c.in.region != w.regions[c.region] {
 		d += regionDelay
@@ -260,8 +263,8 @@
 	return d
 }
 
-// forget takes an attempt off the books and tells its decider.
-func (w *world) forget(a *attempt, o route.Outcome, tokens, cached int) {
+// removeAttempt removes an attempt and notifies its decider.
+func (w *world) removeAttempt(a *attempt, o route.Outcome, tokens, cached int) {
 	delete(w.attempts, a.id)
 	a.call.open = slices.DeleteFunc(a.call.open, func(x *attempt) bool { return x == a })
 	a.in.decider.Ended(w.now, route.End{
@@ -278,74 +281,75 @@
 
 func (w *world) cancel(a *attempt) {
 	a.target.engine.Cancel(w.now, a.id)
-	w.wake(a.target)
-	w.forget(a, route.Cancelled, 0, -1)
+	w.scheduleAdvance(a.target)
+	w.removeAttempt(a, route.Cancelled, 0, -1)
 }
 
-// attemptEnded follows the end of an attempt that was not given up.
+// attemptEnded handles the end of an attempt that was not cancelled.
 func (w *world) attemptEnded(a *attempt, o route.Outcome, tokens, cached int) {
 	c := a.call
 	c.req.Tried = append(slices.Clip(c.req.Tried), a.target.spec.ID)
-	w.forget(a, o, tokens, cached)
+	w.removeAttempt(a, o, tokens, cached)
 	switch {
 	case o == route.Succeeded:
-		a.in.tokens = min(a.in.tokens+retryShare, retryBurst)
-		w.final(c, answered)
+		a.in.retryTokens = min(a.in.retryTokens+retryShare, retryBurst)
+		w.finish(c, answered)
 	case len(c.open) > 0:
-		// The other of two hedged attempts goes on.
+		// The other of two hedged attempts continues.
 	default:
 		w.retry(c, a.in, o)
 	}
-	w.unholdSome(a.in)
+	w.decideHeldAgain(a.in)
 }
 
-// retry sends a call again where the policy allows it, else ends it.
+// retry retries a call if the policy allows it, and otherwise ends it.
 func (w *world) retry(c *call, in *instance, o route.Outcome) {
-	safe := c.req.Idempotent && !c.passedOn || o == route.Unreached && c.started == 0
+	safe := c.req.Idempotent && !c.responseStarted || o == route.Unreached && c.started == 0
 	c.req.Attempt++
-	if safe && c.req.Attempt < maxAttempts && in.tokens >= 1 {
-		in.tokens--
+	if safe && c.req.Attempt < maxAttempts && in.retryTokens >= 1 {
+		in.retryTokens--
 		w.retries++
 		backoff := retryBackoff + time.Duration(w.rng.Int64N(int64(retryBackoff)))
 		w.after(backoff, func() { w.decide(c) })
 		return
 	}
-	w.giveBack(c)
+	w.endUnanswered(c)
 }
 
-// giveBack ends a call that is not answered, by what may have run of it.
-func (w *world) giveBack(c *call) {
+// endUnanswered ends a call without an answer: failed if it may have run, and
+// otherwise refused.
+func (w *world) endUnanswered(c *call) {
 	if c.started > 0 {
-		w.final(c, failed)
+		w.finish(c, failed)
 		return
 	}
-	w.final(c, refused)
+	w.finish(c, refused)
 }
 
-// cutCalls ends what is under way over the links of a region that is cut off.
-// Its home sends it again where the policy allows it.
-func (w *world) cutCalls(r *region) {
+// failRemoteCalls fails the calls in flight over the links of a partitioned
+// region. Their home region retries them if the policy allows it.
+func (w *world) failRemoteCalls(r *region) {
 	for _, c := range w.calls {
 		home := w.regions[c.region]
 		if c.outcome != pending || c.in.region == home || home != r && c.in.region != r {
 			continue
 		}
-		w.abandon(c)
+		w.cancelAttempts(c)
 		c.in = home.instances[0]
 		w.retry(c, c.in, route.Failed)
 	}
 }
 
-// final gives the caller its answer.
-func (w *world) final(c *call, o outcome) {
+// finish gives the caller its final answer.
+func (w *world) finish(c *call, o outcome) {
 	c.finals++
 	if c.outcome != pending {
 		return
 	}
 	c.outcome = o
-	c.total = w.seen(c)
+	c.total = w.callerTime(c)
 	w.open--
-	if c.killer && o != answered {
-		w.resendKiller(c.arrival)
+	if c.poison && o != answered {
+		w.resendPoisonRequest(c.arrival)
 	}
 }
--- a/experiment/command.go
+++ b/experiment/command.go
@@ -11,8 +11,8 @@
 	"github.com/gullhaven/gullhaven/experiment/replay"
 )
 
-// Command is the command line of the experiment, in the form of go-flags.
-// Repeat a flag to give several values; none stands for all.
+// Command is the command line of the experiment, for go-flags. A flag may be
+// repeated to give several values; without it all are selected.
 type Command struct {
 	Workloads []string      `long:"workload" description:"workload to run: sukmajaya or asociacion; all if not given"`
 	Loads     []float64     `long:"load" description:"arrivals as a share of the measured capacity, for example 0.8; 0.5, 0.8 and 0.95 if not given"`
@@ -34,11 +34,11 @@
 
 	Patterns []string `long:"pattern" description:"recorded pattern of load to play against the decisions of a site and plain balancers, in place of the workloads; all stands for every one"`
 
-	// Out takes the table; standard output if nil.
+	// Out is where the table is written; nil means standard output.
 	Out io.Writer `no-flag:"true"`
 }
 
-// Execute runs the experiment, prints the table and writes the files asked for.
+// Execute runs the experiment, prints the table and writes the requested files.
 func (c *Command) Execute(args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("unexpected argument %q", args[0])
@@ -79,7 +79,7 @@
 	return err
 }
 
-// replay plays recorded patterns.
+// replay simulates recorded patterns.
 func (c *Command) replay(out io.Writer) error {
 	names := c.Patterns
 	if slices.Contains(names, "all") {
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,9 +1,9 @@
 // Package experiment measures routing decisions in virtual time.
 //
 // Each trial feeds a seeded trace of arrivals to several deciders per region,
-// which send to models of engines. It is no cluster simulator: of the network
-// and of the instances there is only a delay and a lag for each report. All
-// deciders of a run see the same traces, faults, retry policy and budget.
+// which send requests to models of engines. It is not a cluster simulator: the
+// network and the instances are modelled only as delays and report lags. All
+// deciders of a run get the same traces, faults, retry policy and budget.
 package experiment
 
 import (
@@ -17,21 +17,22 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// Place is where an instance runs; Instances counts those of its region.
+// Location is where an instance runs; Instances is the number of instances in
+// its region.
 type Location struct {
 	Region, Zone string
 	Instances    int
 }
 
-// Maker makes the decider of one instance.
+// Factory returns a new decider for one instance.
 type Factory func(p Location, seed uint64) route.Decider
 
 func makeRouter(p Location, seed uint64) route.Decider {
 	return makeRouterOf(route.Config{}, p, seed)
 }
 
-// makeWhole makes a Router that looks at all targets of a service each time.
-func makeWhole(p Location, seed uint64) route.Decider {
+// makeUnboundedRouter returns a Router that scores all targets of a service.
+func makeUnboundedRouter(p Location, seed uint64) route.Decider {
 	return makeRouterOf(route.Config{MaxScored: math.MaxInt32}, p, seed)
 }
 
@@ -50,15 +51,15 @@
 const (
 	// RouterName is route.Router with its defaults.
 	RouterName = "router"
-	// LeastName is the baseline that the aims are stated against.
+	// LeastOutstandingName is the baseline to which the objectives refer.
 	LeastOutstandingName = "least_outstanding"
-	// WholeName is route.Router without a bound on the targets it looks at. It
-	// differs from RouterName only in large services, so it runs only if named.
+	// UnboundedRouterName is route.Router without a bound on the targets it scores.
+	// It differs from RouterName only in large services, so it runs only if named.
 	UnboundedRouterName = "router_whole"
 )
 
-// makers lists the deciders in the order of the table.
-var makers = []struct {
+// factories lists the deciders in the order of the table.
+var factories = []struct {
 	name string
 	make Factory
 }{
@@ -68,13 +69,13 @@
 	{"power_of_two", baselineMaker(pickTwo)},
 	{"least_reported", baselineMaker(pickLeastReported)},
 	{RouterName, makeRouter},
-	{UnboundedRouterName, makeWhole},
+	{UnboundedRouterName, makeUnboundedRouter},
 }
 
-// Deciders lists the names of the deciders that run if none is named.
+// Deciders returns the names of the deciders that run if none is named.
 func Deciders() []string {
 	var out []string
-	for _, m := range makers {
+	for _, m := range factories {
 		if m.name != UnboundedRouterName {
 			out = append(out, m.name)
 		}
@@ -82,8 +83,8 @@
 	return out
 }
 
-func maker(name string) (Factory, error) {
-	for _, m := range makers {
+func factoryOf(name string) (Factory, error) {
+	for _, m := range factories {
 		if m.name == name {
 			return m.make, nil
 		}
@@ -91,7 +92,7 @@
 	return nil, fmt.Errorf("unknown decider %q; known: %v", name, append(Deciders(), UnboundedRouterName))
 }
 
-// Options say what to run. Empty lists stand for all.
+// Options selects what to run. Empty lists select all.
 type Options struct {
 	Workloads, Deciders []string
 	Loads               []float64
@@ -100,24 +101,24 @@
 	Seeds int
 	// Day is the length of the compressed day, in virtual time.
 	Day time.Duration
-	// Workers is how many trials run at once.
+	// Workers is the number of concurrent trials.
 	Workers int
-	// Regions and Targets replace the workload's number of regions, at most
-	// its own, and of model targets in each; 0 keeps it.
+	// Regions and Targets replace the workload's numbers of regions and of model
+	// targets in each; 0 keeps them. Regions is at most the workload's own.
 	Regions, Targets int
-	// Late lets requests run on after their deadline.
+	// Late lets requests run past their deadline.
 	Late bool
-	// Lone is how many targets of a region may be kept free for suspects at
-	// once; 0 leaves suspects out.
+	// Lone bounds the targets of a region reserved for suspects at once; 0
+	// disables suspects.
 	Lone int
 }
 
-// DefaultOptions is one whole run.
+// DefaultOptions returns the options of a full run.
 func DefaultOptions() Options {
 	return Options{Loads: []float64{0.5, 0.8, 0.95}, Seeds: 5, Day: 400 * time.Second, Workers: 4}
 }
 
-// Row is the result of one decider under one setting, over all seeds.
+// Row is the result of one decider with one setting, over all seeds.
 type Row struct {
 	Workload string
 	Load     float64
@@ -130,13 +131,14 @@
 // Result is the outcome of a run.
 type Result struct {
 	Day time.Duration
-	// Capacity is the measured capacity of a model target by workload, in
-	// model requests per second.
+	// Capacity is the capacity of a model target by workload, in model requests
+	// per second.
 	Capacity map[string]float64
 	Rows     []Row
 }
 
-// Run runs all trials. The same options give the same result.
+// Run runs all trials. Equal options give equal results. Invalid options give an
+// error.
 func Run(o Options) (*Result, error) {
 	if o.Seeds < 1 || o.Workers < 1 || o.Day < time.Minute {
 		return nil, fmt.Errorf("seeds %d and workers %d must be at least 1, day %v at least a minute", o.Seeds, o.Workers, o.Day)
@@ -148,7 +150,7 @@
 	if err := o.resize(workloads); err != nil {
 		return nil, err
 	}
-	if err := o.fill(); err != nil {
+	if err := o.fillDefaults(); err != nil {
 		return nil, err
 	}
 	res := &Result{Day: o.Day, Capacity: make(map[string]float64)}
@@ -168,10 +170,10 @@
 	return res, nil
 }
 
-// job is the trials of one setting and seed: they share a trace.
+// job is the trials of one setting and seed, which share a trace.
 type job struct {
 	trial Trial
-	// row is the first of the setting's rows, seed the index into them.
+	// row is the index of the setting's first row, seed that in its Seeds.
 	row, seed int
 	deciders  []string
 }
@@ -211,7 +213,7 @@
 	for i, name := range j.deciders {
 		one := tr
 		one.Decider = name
-		one.make, _ = maker(name) // the names were checked by fill
+		one.make, _ = factoryOf(name) // fillDefaults has checked the names
 		w := newWorld(&one)
 		w.run()
 		res.Rows[j.row+i].Seeds[j.seed] = w.figures()
@@ -234,7 +236,7 @@
 	return out, nil
 }
 
-// resize puts the sizes asked for into the workloads.
+// resize applies Regions and Targets to the workloads.
 func (o *Options) resize(workloads []Workload) error {
 	if o.Targets < 0 || o.Regions < 0 {
 		return fmt.Errorf("regions %d and targets %d must not be negative", o.Regions, o.Targets)
@@ -255,13 +257,13 @@
 	return nil
 }
 
-// fill puts all in for empty lists and checks the rest.
-func (o *Options) fill() error {
+// fillDefaults replaces empty lists by all values and checks the others.
+func (o *Options) fillDefaults() error {
 	if len(o.Deciders) == 0 {
 		o.Deciders = Deciders()
 	}
 	for _, d := range o.Deciders {
-		if _, err := maker(d); err != nil {
+		if _, err := factoryOf(d); err != nil {
 			return err
 		}
 	}
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -31,8 +31,8 @@
 	return b.String(), res
 }
 
-// Symptom: a run can't be repeated. Events: the same options twice, on another
-// number of workers. Cause: order of maps, of goroutines, or a clock.
+// Guards against results that depend on the order of maps or goroutines, or on a
+// clock: equal options must give equal results with any number of workers.
 func TestSameSeedsGiveTheSameTable(t *testing.T) {
 	o := quick()
 	o.Faults = []Fault{AllLost, PoisonRequests}
@@ -44,8 +44,8 @@
 	}
 }
 
-// Symptom: figures look good because requests went missing. Events: every
-// fault. Cause: a path of a call that ends without an answer, or with two.
+// Guards against figures that look good because requests are missing: under every
+// fault, each call must end with exactly one answer.
 func TestEveryArrivalEndsOnce(t *testing.T) {
 	o := quick()
 	_, res := table(t, o)
@@ -66,26 +66,26 @@
 	}
 }
 
-// odd is a baseline whose decisions are changed.
-type odd struct {
+// changedDecider is a baseline whose decisions are changed.
+type changedDecider struct {
 	*baseline
 	change func(b *baseline, now time.Time, r *route.Request, d route.Decision) route.Decision
 }
 
-func (o odd) Decide(now time.Time, r *route.Request) route.Decision {
+func (o changedDecider) Decide(now time.Time, r *route.Request) route.Decision {
 	return o.change(o.baseline, now, r, o.baseline.Decide(now, r))
 }
 
-// Symptom: a decider breaks a promise and the table does not show it. Events:
-// deciders that send requests in a loop, out of the allowed region, or hold
-// them for ever. Cause: a driver that trusts decisions.
-func TestBrokenPromisesAreCounted(t *testing.T) {
+// Guards against a simulation that trusts decisions: the table must show deciders
+// that spill requests in a loop, send them out of the allowed region, or hold them
+// forever.
+func TestInvalidDecisionsAreCounted(t *testing.T) {
 	wl := Workloads()[0]
 	run := func(change func(*baseline, time.Time, *route.Request, route.Decision) route.Decision) Figures {
 		tr := Trial{Workload: wl, Load: 0.5, Fault: NoFault, Seed: 1, Day: time.Minute, PerTarget: 2, Late: true}
 		tr.arrivals = wl.trace(tr.Seed, tr.Load, tr.PerTarget, tr.Day)
 		tr.make = func(p Location, seed uint64) route.Decider {
-			return odd{newBaseline(p.Region, seed, pickLeast), change}
+			return changedDecider{newBaseline(p.Region, seed, pickLeast), change}
 		}
 		w := newWorld(&tr)
 		w.run()
@@ -123,12 +123,11 @@
 	}
 }
 
-// Symptom: one request takes target after target.
-// Events: killers whose callers send them again, retried by the deciders; regions
-// that don't tell each other of suspects. Cause: a suspect that runs beside
-// others, twice at once, or again after it was alone in a crash; or one whose
-// target is kept for ever.
-func TestAKillerTakesTwoTargetsOfARegion(t *testing.T) {
+// Guards against a poison request that crashes target after target. Callers resend
+// them, deciders retry them, and regions don't exchange suspects. A suspect must not
+// run next to others, twice at once, or again after it was alone in a crash, and its
+// target must not stay reserved forever.
+func TestAPoisonRequestCrashesTwoTargetsOfARegion(t *testing.T) {
 	run := func(lone int, seed uint64) *world {
 		wl := Workloads()[0]
 		tr := Trial{Workload: wl, Load: 0.5, Fault: PoisonRequests, Seed: seed, Day: 200 * time.Second, PerTarget: 2, Lone: lone, make: makeRouter}
@@ -138,36 +137,36 @@
 		return w
 	}
 	if f := run(0, 1); f.figures().MostKilled <= 2 {
-		t.Fatal("a killer takes no more than two without suspects: the test shows nothing")
+		t.Fatal("a poison request crashes no more than two without suspects: the test shows nothing")
 	}
 	for i, lone := range []int{1, 4, 1, 4, 1, 4} {
 		w := run(lone, uint64(i/2+1))
-		for k, n := range w.killed {
+		for k, n := range w.poisonCrashes {
 			if n > 2 {
-				t.Errorf("lone %d: killer %x took %d targets in %s", lone, k.killer, n, k.region)
+				t.Errorf("lone %d: poison request %x crashed %d targets in %s", lone, k.request, n, k.region)
 			}
 		}
 		if f := w.figures(); f.Answered+f.Refused+f.Failed != f.Arrivals || f.Doubled+f.Violations != 0 {
 			t.Errorf("lone %d: %+v", lone, f)
 		}
 		for _, x := range w.targets {
-			if x.held {
+			if x.reserved {
 				t.Errorf("lone %d: %s is held after the day", lone, x.spec.ID)
 			}
 		}
 	}
 }
 
-// Symptom: more is sent away than the table says is forced, or the other way
-// round. Cause: a share forced away that leaves out what the fault takes.
-func TestForcedCountsWhatTheFaultTakes(t *testing.T) {
+// Guards against a forced share that omits the capacity that a fault takes, so that
+// it doesn't match the spilled share.
+func TestForcedCountsLostCapacity(t *testing.T) {
 	o := quick()
 	o.Day, o.Deciders, o.Workloads = 100*time.Second, []string{LeastOutstandingName}, []string{"sukmajaya"}
 	o.Loads, o.Faults = []float64{0.5}, []Fault{NoFault, CutOff, HalfLost, AllLost, CutHalf, Rolling}
 	_, res := table(t, o)
 	// The first region has 0.4 to 0.7 of the day and the time to load without
 	// targets, after a warm-up of a tenth, and 0.88 of its requests may leave.
-	const lost = 0.4 / 0.9 / 3 * (1 - boundShare)
+	const lost = 0.4 / 0.9 / 3 * (1 - homeOnlyShare)
 	want := map[Fault][2]float64{
 		NoFault: {0, 0}, CutOff: {0, 0}, HalfLost: {0.0001, 0.2 * lost},
 		AllLost: {0.8 * lost, lost}, CutHalf: {0, 0.01 * lost}, Rolling: {0, 0},
--- a/experiment/fault.go
+++ b/experiment/fault.go
@@ -6,27 +6,29 @@
 	"github.com/gullhaven/gullhaven/route"
 )
 
-// Fault is a change fed to the decisions during a trial.
+// Fault is a fault during a trial.
 type Fault string
 
-// The faults. Those with a span last from faultStart to faultEnd of the day
-// and hit the first region.
+// The faults. Those with a duration last from faultStart to faultEnd of the day
+// and affect the first region.
 const (
-	// NoFault: nothing happens.
+	// NoFault is a trial without a fault.
 	NoFault Fault = "none"
-	// HalfLost: half of a region's model targets crash and come back cold at the end.
+	// HalfLost crashes half of a region's model targets and restarts them cold at
+	// the end.
 	HalfLost Fault = "half_lost"
-	// AllLost: all targets of a region crash and come back cold at the end.
+	// AllLost crashes all targets of a region and restarts them cold at the end.
 	AllLost Fault = "all_lost"
-	// CutOff: the region can't reach its neighbours, nor they it.
+	// CutOff partitions the region from its neighbours, in both directions.
 	CutOff Fault = "cut_off"
-	// CutHalf: the region is cut off and half of its model targets are lost.
+	// CutHalf is CutOff and HalfLost together.
 	CutHalf Fault = "cut_half_lost"
-	// Grey: one model target runs at a quarter of its speed.
+	// Grey slows one model target down to a quarter of its speed.
 	Grey Fault = "grey"
-	// Killer: requests that crash each target that runs them; their callers resend.
+	// PoisonRequests adds requests that crash each target that runs them; their
+	// callers resend them.
 	PoisonRequests Fault = "killer"
-	// Rolling: all model targets leave, load and come back cold, one by one.
+	// Rolling drains and restarts all model targets cold, one by one.
 	Rolling Fault = "rolling"
 )
 
@@ -36,70 +38,70 @@
 }
 
 const (
-	// faultStart and faultEnd are parts of the day.
+	// faultStart and faultEnd are fractions of the day.
 	faultStart, faultEnd = 0.4, 0.7
 	greySpeed            = 0.25
-	// loadTime is how long a target loads; restartTime is how long a crashed
-	// one is down before that.
+	// loadTime is how long a target loads; restartTime is how long a target
+	// crashed by a poison request is down before that.
 	loadTime    = 10 * time.Second
 	restartTime = 15 * time.Second
-	// crashLag is how late a crash is seen in the list of targets, planLag a
-	// planned change.
+	// crashLag is the delay until a crash shows in the list of targets, planLag
+	// that of a planned change.
 	crashLag = 2 * time.Second
 	planLag  = 250 * time.Millisecond
-	// Killers: their number, the time between them, the times that a caller
-	// sends one again, and the caller's wait. A killer crashes its target at
-	// the end of prefill.
-	killers       = 4
-	killerEvery   = 15 * time.Second
-	killerResends = 3
-	killerWait    = 2 * time.Second
-	// rollCheck is how often a leaving target is looked at.
-	rollCheck = 500 * time.Millisecond
+	// Poison requests: their number, the interval between them, and how often
+	// and after which delay a caller resends one. A poison request crashes its
+	// target at the end of prefill.
+	poisonCount       = 4
+	poisonInterval    = 15 * time.Second
+	poisonResends     = 3
+	poisonResendDelay = 2 * time.Second
+	// drainPollInterval is how often a leaving target is checked for idleness.
+	drainPollInterval = 500 * time.Millisecond
 )
 
-// plan puts the fault of a trial into the event queue.
-func (w *world) plan() {
+// scheduleFault schedules the fault of the trial.
+func (w *world) scheduleFault() {
 	start := time.Duration(faultStart * float64(w.trial.Day))
 	end := time.Duration(faultEnd * float64(w.trial.Day))
 	hit := w.regions[0]
-	models := hit.models(w.trial.Workload.Model)
+	models := hit.targetsOf(w.trial.Workload.Model)
 	if f := w.trial.Fault; f == CutOff || f == CutHalf {
-		w.at(start, func() { w.cut(hit, true) })
-		w.at(end, func() { w.cut(hit, false) })
+		w.at(start, func() { w.setPartitioned(hit, true) })
+		w.at(end, func() { w.setPartitioned(hit, false) })
 	}
 	switch w.trial.Fault {
 	case HalfLost, CutHalf:
-		w.lose(models[:len(models)/2], start, end)
+		w.scheduleCrashes(models[:len(models)/2], start, end)
 	case AllLost:
-		w.lose(hit.targets, start, end)
+		w.scheduleCrashes(hit.targets, start, end)
 	case Grey:
 		grey := models[0]
 		w.at(start, func() { grey.engine.SetSpeed(w.now, greySpeed) })
 		w.at(end, func() { grey.engine.SetSpeed(w.now, 1) })
 	case PoisonRequests:
-		for i := range killers {
-			w.at(start+time.Duration(i)*killerEvery, func() { w.arrive(w.killer(i)) })
+		for i := range poisonCount {
+			w.at(start+time.Duration(i)*poisonInterval, func() { w.arrive(w.newPoisonRequest(i)) })
 		}
 	case Rolling:
 		var all []*target
 		for _, r := range w.regions {
-			all = append(all, r.models(w.trial.Workload.Model)...)
+			all = append(all, r.targetsOf(w.trial.Workload.Model)...)
 		}
 		w.at(start/2, func() { w.roll(all) })
 	}
 }
 
-// lose crashes targets at start and brings them back at end.
-func (w *world) lose(targets []*target, start, end time.Duration) {
+// scheduleCrashes crashes targets at start and restarts them at end.
+func (w *world) scheduleCrashes(targets []*target, start, end time.Duration) {
 	for _, t := range targets {
 		w.at(start, func() { w.crash(t) })
 		w.at(end, func() { w.load(t) })
 	}
 }
 
-// crash takes a target down; who noticed is told at once by a broken
-// connection, the list of targets follows late.
+// crash crashes a target. Its open attempts fail at once, as their connections
+// break; the list of targets follows after crashLag.
 func (w *world) crash(t *target) {
 	if t.state == route.Down {
 		return
@@ -107,37 +109,38 @@
 	t.state = route.Down
 	w.crashes++
 	lost := t.engine.Crash(w.now)
-	w.suspectAll(t)
+	w.markSuspects(t)
 	for _, id := range lost {
 		w.attemptEnded(w.attempts[id], route.Failed, 0, -1)
 	}
-	w.announce(t.region, crashLag)
+	w.publishTargets(t.region, crashLag)
 }
 
-// crashKiller is what a killer request does to its target; it restarts by itself.
-func (w *world) crashKiller(t *target) {
+// crashAndRestart crashes the target of a poison request, which restarts by itself.
+func (w *world) crashAndRestart(t *target) {
 	w.crash(t)
 	w.after(restartTime, func() { w.load(t) })
 }
 
-// load restarts a target cold and lets it take work after loadTime. Its cache
-// events are numbered from the start again.
+// load restarts a target cold; it accepts work after loadTime. Its cache events
+// are numbered from 1 again.
 func (w *world) load(t *target) {
 	t.engine.Restart(w.now)
 	t.seq = 0
 	t.state = route.Loading
-	w.announce(t.region, planLag)
+	w.publishTargets(t.region, planLag)
 	w.after(loadTime, func() {
 		t.state = route.Warm
-		w.announce(t.region, planLag)
+		w.publishTargets(t.region, planLag)
 	})
 }
 
-// cut breaks or mends the links of a region; membership sees it late.
-func (w *world) cut(r *region, broken bool) {
-	r.cut = broken
+// setPartitioned breaks or restores the links of a region; deciders learn it
+// after crashLag.
+func (w *world) setPartitioned(r *region, broken bool) {
+	r.partitioned = broken
 	if broken {
-		w.cutCalls(r)
+		w.failRemoteCalls(r)
 	}
 	w.after(crashLag, func() {
 		for _, x := range w.regions {
@@ -146,8 +149,8 @@
 	})
 }
 
-// killer makes a request that crashes its targets.
-func (w *world) killer(i int) *arrival {
+// newPoisonRequest returns poison request i, of an idempotent model class.
+func (w *world) newPoisonRequest(i int) *arrival {
 	wl := &w.trial.Workload
 	var class *Class
 	for k := range wl.Classes {
@@ -158,39 +161,40 @@
 	}
 	a := wl.draw(w.rng, class, 0, uint64(1_000_000+i))
 	a.at = w.now.Sub(epoch)
-	a.killer = true
+	a.poison = true
 	return &a
 }
 
-// resendKiller lets the caller of a failed killer send it again, as a new request.
-func (w *world) resendKiller(a *arrival) {
-	if a.resend == killerResends {
+// resendPoisonRequest has the caller of a failed poison request send it again,
+// as a new request.
+func (w *world) resendPoisonRequest(a *arrival) {
+	if a.resend == poisonResends {
 		return
 	}
 	b := *a
 	b.resend++
-	w.after(killerWait, func() {
+	w.after(poisonResendDelay, func() {
 		b.at = w.now.Sub(epoch)
 		w.arrive(&b)
 	})
 }
 
-// roll takes the first target through leaving and loading, then the rest.
+// roll drains and reloads the first target, then the rest.
 func (w *world) roll(rest []*target) {
 	if len(rest) == 0 {
 		return
 	}
 	t := rest[0]
 	t.state = route.Leaving
-	w.announce(t.region, planLag)
+	w.publishTargets(t.region, planLag)
 	var drained func()
 	drained = func() {
 		if !t.engine.Idle() {
-			w.after(rollCheck, drained)
+			w.after(drainPollInterval, drained)
 			return
 		}
 		w.load(t)
-		w.after(loadTime+rollCheck, func() { w.roll(rest[1:]) })
+		w.after(loadTime+drainPollInterval, func() { w.roll(rest[1:]) })
 	}
-	w.after(rollCheck, drained)
+	w.after(drainPollInterval, drained)
 }
--- a/experiment/figures.go
+++ b/experiment/figures.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Millis is a time in milliseconds; infinite (null in JSON) where the quantile
-// falls among requests that were not answered.
+// Millis is a time in milliseconds. It is infinite (null in JSON) if the quantile
+// falls among requests without an answer.
 type Millis float64
 
 // MarshalJSON writes null for an infinite time.
@@ -20,48 +20,50 @@
 	return strconv.AppendFloat(nil, float64(m), 'f', 3, 64), nil
 }
 
-// Figures are the results of one trial. Shares are parts of all requests that
-// arrived after the warm-up, except where said otherwise.
+// Figures are the results of one trial. Shares are fractions of all requests that
+// arrived after the warm-up, except where noted.
 type Figures struct {
-	// Arrivals, Answered, Refused, Failed and Lost cover the whole day, killers
-	// included: Arrivals = Answered + Refused + Failed + Lost.
+	// Arrivals, Answered, Refused, Failed and Lost cover the whole day with poison
+	// requests: Arrivals = Answered + Refused + Failed + Lost.
 	Arrivals, Answered, Refused, Failed, Lost int
 	// Doubled counts non-idempotent requests that started at engines more than
 	// once, and requests with more than one final answer.
 	Doubled int
-	// Violations count spills of requests that had crossed, sendings outside
-	// the allowed regions, and requests beside one that was to run alone.
+	// Violations counts spills of already forwarded requests, attempts outside
+	// the allowed regions, and requests next to one that must run alone.
 	Violations int
-	// P50 to P999 are of the time to first token of answered model requests.
+	// P50 to P999 are quantiles of the time to first token of answered model
+	// requests.
 	P50, P95, P99, P999 Millis
-	// P99All counts refused, failed and lost model requests as infinite.
+	// P99All is P99 with refused, failed and lost model requests as infinite.
 	P99All Millis
-	// PlainP99 is of the whole answer of plain services.
+	// PlainP99 is the 99th percentile of the time to the whole answer of plain
+	// services.
 	PlainP99 Millis
-	// InTime is the share answered within the deadline.
+	// InTime is the share answered by the deadline.
 	InTime, RefusedShare, FailedShare float64
 	// Away is the share answered outside the home region. Forced is the share
-	// whose home had no capacity left for it; Fits is the part of it that the
-	// spare capacity elsewhere carries, if it is of average work.
+	// whose home region had no capacity for it; Fits is the part of it for which
+	// the other regions have capacity, at average work.
 	Away, Forced, Fits float64
-	// Cost is busy target-seconds for each answered request.
+	// Cost is the busy target-seconds per answered request.
 	Cost float64
-	// CacheHits is the share of the answered prompts' tokens that were cached.
+	// CacheHits is the fraction of the answered prompts' tokens that were cached.
 	CacheHits float64
-	// MostKilled is the most targets that one killer took.
+	// MostKilled is the most targets that one poison request crashed.
 	MostKilled int
-	// Crashes of targets; Retries and Hedges of all instances.
+	// Crashes counts those of targets, Retries and Hedges those of all instances.
 	Crashes, Retries, Hedges int
-	// InTimeByClass is InTime of each class, in the workload's order.
+	// InTimeByClass is InTime by class, in the workload's order.
 	InTimeByClass []float64
 }
 
-// warmPart is the part of the day whose arrivals are left out of the figures,
-// because all caches start cold.
-const warmPart = 0.1
+// warmUpShare is the fraction of the day whose arrivals are excluded from the
+// figures, because all caches start cold.
+const warmUpShare = 0.1
 
-// warmTime is when the warm-up ends.
-func (w *world) warmTime() time.Duration { return time.Duration(warmPart * float64(w.trial.Day)) }
+// warmUpEnd returns the time of day at which the warm-up ends.
+func (w *world) warmUpEnd() time.Duration { return time.Duration(warmUpShare * float64(w.trial.Day)) }
 
 // Bounds of the histograms in microseconds.
 const (
@@ -69,7 +71,7 @@
 	histDigits = 3
 )
 
-// tally adds up the calls of a trial.
+// tally accumulates the calls of a trial.
 type tally struct {
 	f              Figures
 	first, plain   *hdrhistogram.Histogram
@@ -88,17 +90,17 @@
 		first: hdrhistogram.New(1, histMax, histDigits), plain: hdrhistogram.New(1, histMax, histDigits),
 		class: make([]int, len(w.trial.Workload.Classes)), classOK: make([]int, len(w.trial.Workload.Classes)),
 	}
-	warm := w.warmTime()
+	warm := w.warmUpEnd()
 	for _, c := range w.calls {
-		t.conserve(c)
-		if c.at >= warm && !c.killer {
+		t.countOutcome(c)
+		if c.at >= warm && !c.poison {
 			t.measure(w, c)
 		}
 	}
 	f := t.f
-	f.Violations = w.loops + w.stray + w.beside
+	f.Violations = w.invalidSpills + w.invalidSends + w.loneViolations
 	f.Crashes, f.Retries, f.Hedges = w.crashes, w.retries, w.hedges
-	f.MostKilled = w.mostKilled()
+	f.MostKilled = w.mostPoisonCrashes()
 	f.Forced, f.Fits = w.forced()
 	f.Cost = w.busy().Seconds() / float64(max(f.Answered, 1))
 	t.quantiles(&f)
@@ -116,7 +118,7 @@
 	return sum
 }
 
-func (t *tally) conserve(c *call) {
+func (t *tally) countOutcome(c *call) {
 	t.f.Arrivals++
 	switch c.outcome {
 	case answered:
@@ -174,7 +176,7 @@
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	us := min(max(int64(d/time.Microsecond), 1), histMax)
 	if err := h.RecordValue(us); err != nil {
-		panic(err) // the value was put within the bounds above
+		panic(err) // can't happen: the value is clamped to the bounds
 	}
 }
 
--- a/experiment/replay/replay_test.go
+++ b/experiment/replay/replay_test.go
@@ -31,7 +31,7 @@
 // Guards against urgent requests refused as late although their engine would prefill them
 // first. All instances lose power and all callers return together, a quarter of them with
 // long prompts of the last rank: requests behind another must not count as in front of it.
-func TestUrgentRequestsAreServedAfterPowerLoss(t *testing.T) {
+func TestUrgentRequestsAreServedWhenAllReturn(t *testing.T) {
 	p := load(t, "all-return")
 	f := run(t, p, site, 1)
 	check, reply := f.Kinds["check"], f.Kinds["reply"]
@@ -47,7 +47,7 @@
 // Guards against late long prompts in a region while the engines of others are idle. The
 // regions are in turn at 2.3 times their mean and the others at 0.3; plain balancers keep
 // all requests in their region.
-func TestPeakOfARegionSpillsOver(t *testing.T) {
+func TestPeakOfARegionIsSharedOut(t *testing.T) {
 	p := load(t, "peak-of-one-region")
 	f, plain := run(t, p, site, 1), run(t, p, "least_outstanding", 1)
 	if f.Worth() < 0.97 || f.Worth() < plain.Worth()+0.04 {
@@ -62,7 +62,7 @@
 // with a sixth of their load. Three regions of 36, 26 and 18 engines with some sixty
 // instances each reach 2.8 times their mean in turn; a quarter of all engines is lost for
 // two seconds. The idle regions must not be judged by the speed of the overloaded one.
-func TestPeaksOfALargeSiteSpillOver(t *testing.T) {
+func TestPeaksOfALargeSiteAreSharedOut(t *testing.T) {
 	p := load(t, "large-regions-in-turn")
 	f, plain := run(t, p, site, 1), run(t, p, "least_outstanding", 1)
 	if f.Worth() < plain.Worth()+0.3 {
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -13,10 +13,10 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Spread is the mean, least and greatest value over the seeds.
+// Spread is the mean, minimum and maximum over the seeds.
 type Spread struct{ Mean, Min, Max float64 }
 
-// Over makes the spread of one figure over a row's seeds.
+// SpreadOf returns the spread of a figure over a row's seeds.
 func (r *Row) SpreadOf(figure func(*Figures) float64) Spread {
 	s := Spread{Min: math.Inf(1), Max: math.Inf(-1)}
 	for i := range r.Seeds {
@@ -28,7 +28,7 @@
 	return s
 }
 
-// total adds up a count over the seeds.
+// total returns the sum of a count over the seeds.
 func (r *Row) total(count func(*Figures) int) int {
 	sum := 0
 	for i := range r.Seeds {
@@ -40,7 +40,7 @@
 func p99(f *Figures) float64    { return float64(f.P99) }
 func inTime(f *Figures) float64 { return f.InTime }
 
-// seconds prints a time given in milliseconds.
+// seconds formats a time in milliseconds as seconds.
 func seconds(ms float64) string {
 	if math.IsInf(ms, 0) {
 		return "inf"
@@ -73,7 +73,7 @@
 
 const header = "decider\tp50\tp95\tp99\tp99.9\tp99all\tplain\tin time\trefused\tfailed\taway\tforced\tfits\tcost\thits\tdoubled\tlost\tcrashes\tkilled\t"
 
-// WriteTable prints the result, one block for each setting.
+// WriteTable writes the result as a table, one block per setting.
 func (res *Result) WriteTable(out io.Writer) error {
 	fmt.Fprint(out, legend)
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -124,7 +124,7 @@
 	fmt.Fprintln(out)
 }
 
-// WriteJSON writes all figures of all seeds.
+// WriteJSON writes the result with all figures of all seeds as JSON.
 func (res *Result) WriteJSON(out io.Writer) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
@@ -138,7 +138,7 @@
 	barWidth   = 9
 )
 
-// panel is one plot: a figure under each fault.
+// panel is a kind of plot: one figure for each fault.
 type panel struct {
 	name, label string
 	figure      func(*Figures) float64
@@ -149,10 +149,11 @@
 	{"p99", "p99 to first token of answered, seconds", func(f *Figures) float64 { return float64(f.P99) / 1000 }},
 }
 
-// legendRoom is the height of a plot over its highest bar, for the legend.
+// legendRoom is the height of a plot relative to its highest bar, which leaves
+// space for the legend.
 const legendRoom = 1.35
 
-// plot draws one panel for one workload and load, a group of bars for each fault.
+// plot draws a panel for one workload and load, with a group of bars for each fault.
 func (res *Result) plot(pn panel, workload string, load float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s at %s%% load", workload, percent(load))
@@ -188,8 +189,9 @@
 	return p, nil
 }
 
-// SavePlots writes two plots for each workload and load, of the share in time
-// and of the p99, to prefix-WORKLOAD-LOAD-NAME.format, and returns their names.
+// SavePlots writes two plots for each workload and load, of the share in time and
+// of the p99, to files named prefix-WORKLOAD-LOAD-NAME.format. It returns the names
+// of the written files. format is svg or png.
 func (res *Result) SavePlots(prefix, format string) ([]string, error) {
 	var names []string
 	for i := range res.Rows {
--- a/experiment/workload.go
+++ b/experiment/workload.go
@@ -14,27 +14,28 @@
 	"github.com/gullhaven/gullhaven/standin/enginemodel"
 )
 
-// Span is a range of integers, both ends included.
+// Range is a range of integers, both ends included.
 type Range struct{ Min, Max int }
 
 func (s Range) draw(rng *rand.Rand) int { return s.Min + rng.IntN(s.Max-s.Min+1) }
 
 func (s Range) mean() int { return (s.Min + s.Max) / 2 }
 
-// Class is one kind of request of a workload.
+// Class is a kind of request of a workload.
 type Class struct {
 	Name, Service string
-	// Share of the workload's requests, 0 to 1.
+	// Share is the fraction of the workload's requests, 0 to 1.
 	Share    float64
 	Priority int
-	// Deadline for the whole answer, from arrival.
+	// Deadline is the time from arrival to the whole answer.
 	Deadline time.Duration
 	// Prefixes is the number of distinct shared prefixes, drawn with weights
-	// 1, 1/2, 1/3 and so on. They differ between regions unless Common.
+	// 1, 1/2, 1/3 and so on. Unless Common, regions have different ones.
 	Prefixes int
 	Common   bool
-	// Shared prefix tokens, own prompt tokens and answer tokens. For a plain
-	// service Output is the time of a call in milliseconds, and the rest is 0.
+	// Shared is the number of shared prefix tokens, Own that of other prompt
+	// tokens and Output that of answer tokens. For a plain service Output is the
+	// duration of a call in milliseconds, and the others are 0.
 	Shared        int
 	Own, Output   Range
 	NonIdempotent bool
@@ -51,14 +52,14 @@
 	Classes                    []Class
 }
 
-// boundShare is the share of requests that only their home may serve.
-const boundShare = 0.12
+// homeOnlyShare is the fraction of requests that only their home region may serve.
+const homeOnlyShare = 0.12
 
-// peakAmplitude is how far the arrival rate of a region swings around its mean
-// over one compressed day. Regions peak a third of a day apart.
+// peakAmplitude is the amplitude of a region's arrival rate over one compressed
+// day, relative to its mean. Regions peak a third of a day apart.
 const peakAmplitude = 0.25
 
-// Workloads are the two users' workloads.
+// Workloads returns the workloads of both users.
 func Workloads() []Workload {
 	return []Workload{
 		{
@@ -88,7 +89,8 @@
 	}
 }
 
-// modelEngine and plainEngine are the engines of all targets.
+// modelEngine returns the configuration of all model targets; plainEngine that
+// of all plain targets.
 func modelEngine() enginemodel.Config {
 	return enginemodel.Config{
 		Slots: 32, ChunkTokens: 512, PrefillRate: 8000,
@@ -101,18 +103,18 @@
 	return enginemodel.Config{Slots: 16, StepBase: time.Millisecond, KVTokens: math.MaxInt32, MaxWaiting: 64}
 }
 
-// arrival is one request of a trace. It is shared by all deciders of a trial
-// and never written after the trace is made.
+// arrival is a request of a trace. The trials of all deciders share it, so it
+// must not be changed after the trace is made.
 type arrival struct {
 	at     time.Duration
 	region int
 	class  *Class
-	killer bool
-	// resend counts earlier sendings of the same request by its caller.
+	poison bool
+	// resend counts earlier sends of the same request by its caller.
 	resend int
-	// prompt and output are the true lengths; the decision sees estimates.
+	// prompt and output are the true lengths; deciders see estimates.
 	prompt, output int
-	// digest names the content; a resend has the same.
+	// digest identifies the content; a resend has the same.
 	digest suspect.Digest
 	req    route.Request
 }
@@ -132,7 +134,7 @@
 	return n - 1
 }
 
-// digests chains n block digests from a seed that names their content.
+// digests returns n chained block digests after parent, seeded with name.
 func digests(parent uint64, name string, n int) []uint64 {
 	out := make([]uint64, n)
 	h := parent ^ xxhash.Sum64String(name)
@@ -147,10 +149,10 @@
 	return out
 }
 
-// estimateError is how far the estimate of a prompt's length can be off.
+// estimateError bounds the relative error of the estimate of a prompt's length.
 const estimateError = 0.1
 
-// draw makes one request of a class.
+// draw returns a random request of a class.
 func (w *Workload) draw(rng *rand.Rand, c *Class, region int, id uint64) arrival {
 	a := arrival{region: region, class: c, output: c.Output.draw(rng), digest: digest(id)}
 	home := w.Regions[region]
@@ -158,7 +160,7 @@
 		Service: c.Service, Workspace: home + "-" + c.Name, Priority: c.Priority,
 		Idempotent: !c.NonIdempotent, Home: home,
 	}
-	if rng.Float64() < boundShare {
+	if rng.Float64() < homeOnlyShare {
 		a.req.Regions = []string{home}
 	}
 	if c.Prefixes == 0 {
@@ -178,7 +180,7 @@
 	return a
 }
 
-// pick draws a class by share among those that ok takes.
+// pick draws a class by share among those for which ok returns true.
 func (w *Workload) pick(rng *rand.Rand, ok func(*Class) bool) *Class {
 	total := 0.0
 	for i := range w.Classes {
@@ -203,7 +205,7 @@
 
 func (w *Workload) ofModel(c *Class) bool { return c.Service == w.Model }
 
-// modelShare is the share of requests for the model service.
+// modelShare returns the fraction of requests for the model service.
 func (w *Workload) modelShare() float64 {
 	s := 0.0
 	for i := range w.Classes {
@@ -214,14 +216,14 @@
 	return s
 }
 
-// rate is the arrival rate of a region at a time of the day, as a factor of its mean.
+// rate returns the arrival rate of a region at a time of the day, relative to its mean.
 func (w *Workload) rate(region int, at, day time.Duration) float64 {
 	phase := float64(region) / float64(len(w.Regions))
 	return 1 + peakAmplitude*math.Sin(2*math.Pi*(at.Seconds()/day.Seconds()-phase))
 }
 
-// trace draws the arrivals of one day, in order of time. perTarget is the
-// capacity of a model target in requests per second.
+// trace draws the arrivals of one day, in order of time. load is relative to the
+// capacity, and perTarget the capacity of a model target in requests per second.
 func (w *Workload) trace(seed uint64, load, perTarget float64, day time.Duration) []arrival {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	mean := load * perTarget * float64(w.ModelTargets) / w.modelShare()
@@ -243,15 +245,15 @@
 	}
 }
 
-// Calibration of a target's capacity: a closed loop that keeps one engine full.
+// Calibration of a target's capacity: a closed loop that saturates one engine.
 const (
-	calibrateOpen = 64
-	calibrateWarm = 60 * time.Second
-	calibrateTime = 300 * time.Second
+	calibrateInFlight = 64
+	calibrateWarmUp   = 60 * time.Second
+	calibrateTime     = 300 * time.Second
 )
 
-// capacity measures how many model requests per second one target finishes
-// when it alone serves the mix of its region and always has requests waiting.
+// capacity returns how many model requests per second one target finishes when
+// it alone serves the mix of its region and always has waiting requests.
 func (w *Workload) capacity() float64 {
 	rng := rand.New(rand.NewPCG(7, 7))
 	e := enginemodel.New(modelEngine())
@@ -260,20 +262,20 @@
 		id++
 		a := w.draw(rng, w.pick(rng, w.ofModel), 0, id)
 		if err := e.Enqueue(now, a.engineRequest(id, 0)); err != nil {
-			panic(err) // calibrateOpen is below MaxWaiting: a fault of this file
+			panic(err) // can't happen: calibrateInFlight is at most MaxWaiting
 		}
 	}
-	for range calibrateOpen {
+	for range calibrateInFlight {
 		add()
 	}
-	for now.Sub(epoch) < calibrateWarm+calibrateTime {
+	for now.Sub(epoch) < calibrateWarmUp+calibrateTime {
 		now, _ = e.NextEvent()
 		for _, ev := range e.Advance(now) {
 			if ev.Kind != enginemodel.Finished {
 				continue
 			}
 			add()
-			if now.Sub(epoch) > calibrateWarm {
+			if now.Sub(epoch) > calibrateWarmUp {
 				done++
 			}
 		}
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -11,8 +11,8 @@
 	"github.com/gullhaven/gullhaven/standin/enginemodel"
 )
 
-// The delays and lags of a trial; nothing else of the network, of processes
-// or of instances is modelled.
+// Delays and lags of a trial. Nothing else of the network, of processes or of
+// instances is modelled.
 const (
 	instancesPerRegion = 3
 	regionDelay        = 80 * time.Millisecond
@@ -20,17 +20,17 @@
 	reportPeriod       = 200 * time.Millisecond
 	reportLag          = 250 * time.Millisecond
 	cacheLag           = time.Second
-	// cacheGap is the share of cache events that never come.
+	// cacheGap is the fraction of cache events that get lost.
 	cacheGap      = 0.05
 	summaryPeriod = 600 * time.Millisecond
 	summaryLag    = reportLag + regionDelay
-	// maxShare is the bound of a link. The baselines know no bound, so there is
-	// none: at a half, the two links of a region that lost everything carry just
-	// its whole traffic, and a decider that keeps the bound refuses at the edge.
+	// maxShare is the bound of a link. 1 means none, as the baselines have no
+	// bound: at 0.5, the two links of a region that lost everything just carry its
+	// whole traffic, and a decider that keeps the bound refuses some of it.
 	maxShare = 1
 )
 
-// epoch is where virtual time starts.
+// epoch is the start of virtual time.
 var epoch = time.Unix(1_000_000, 0).UTC()
 
 // Trial is one run of one decider over one trace.
@@ -40,58 +40,59 @@
 	Fault    Fault
 	Seed     uint64
 	Decider  string
-	// Day is the length of the compressed day.
+	// Day is the length of the compressed day, in virtual time.
 	Day time.Duration
 	// PerTarget is the capacity of a model target in requests per second.
 	PerTarget float64
-	// Late lets requests run on after their deadline, and be answered late.
+	// Late lets requests run past their deadline and be answered late.
 	Late bool
-	// Lone is how many targets of a region may be kept free for suspects at
-	// once; 0 leaves suspects out.
+	// Lone bounds the targets of a region reserved for suspects at once; 0
+	// disables suspects.
 	Lone     int
 	arrivals []arrival
 	make     Factory
 }
 
-// target is one engine with its feeds.
+// target is an engine with its feeds of reports and cache events.
 type target struct {
-	spec    route.TargetSpec
-	state   route.State
-	region  *region
-	engine  *enginemodel.Engine
-	plain   bool
-	wake    time.Time
-	reports enginemodel.Feed[route.Report]
-	caches  enginemodel.Feed[route.CacheEvent]
-	seq     uint64
-	// life counts crashes; held says that it is kept free for a suspect.
-	life uint64
-	held bool
-	// alone says that a suspect runs there.
-	alone bool
+	spec     route.TargetSpec
+	state    route.State
+	region   *region
+	engine   *enginemodel.Engine
+	plain    bool
+	nextWake time.Time
+	reports  enginemodel.Feed[route.Report]
+	caches   enginemodel.Feed[route.CacheEvent]
+	seq      uint64
+	// incarnation counts crashes; reserved means reserved for a suspect.
+	incarnation uint64
+	reserved    bool
+	// runsAlone means that a suspect runs there.
+	runsAlone bool
 }
 
-// takesWork says that the target takes new requests, or would if it were not held.
-func (t *target) takesWork() bool { return t.state == route.Warm }
+// acceptsWork reports whether the target accepts new requests, or would if it
+// were not reserved.
+func (t *target) acceptsWork() bool { return t.state == route.Warm }
 
-// instance is one decider with the requests that it holds.
+// instance is a decider with the requests that it holds.
 type instance struct {
-	region  *region
-	decider route.Decider
-	held    []*call
-	tokens  float64 // of the retry budget
-	// table is nil if suspects are left out.
+	region      *region
+	decider     route.Decider
+	held        []*call
+	retryTokens float64 // of the retry budget
+	// table is nil if suspects are disabled.
 	table *suspect.Table
 }
 
 type region struct {
-	name      string
-	targets   []*target
-	instances []*instance
-	cut       bool
+	name        string
+	targets     []*target
+	instances   []*instance
+	partitioned bool
 }
 
-func (r *region) models(service string) []*target {
+func (r *region) targetsOf(service string) []*target {
 	var out []*target
 	for _, t := range r.targets {
 		if t.spec.Service == service {
@@ -106,7 +107,7 @@
 	for _, o := range w.regions {
 		if o != r {
 			links = append(links, route.Link{
-				Region: o.name, OneWay: regionDelay, MaxShare: maxShare, Reachable: !r.cut && !o.cut,
+				Region: o.name, OneWay: regionDelay, MaxShare: maxShare, Reachable: !r.partitioned && !o.partitioned,
 			})
 		}
 	}
@@ -120,7 +121,7 @@
 	for i, t := range r.targets {
 		out[i] = t.spec
 		out[i].State = t.state
-		if t.held && t.state == route.Warm {
+		if t.reserved && t.state == route.Warm {
 			out[i].State = route.Leaving
 		}
 	}
@@ -142,14 +143,15 @@
 	crashes  int
 	hedges   int
 	retries  int
-	// loops counts spills of requests that had crossed already or may not leave;
-	// stray counts sendings to targets that are unknown or not allowed.
-	loops, stray int
-	// beside counts requests that ran beside one that was to run alone.
-	beside int
-	// killed counts the targets that each killer took in each region.
-	killed map[killing]int
-	// samples are of the capacity, by region.
+	// invalidSpills counts spills of requests that were forwarded before or may
+	// not leave; invalidSends counts attempts at unknown or disallowed targets.
+	invalidSpills, invalidSends int
+	// loneViolations counts requests that ran next to one that must run alone.
+	loneViolations int
+	// poisonCrashes counts the targets that each poison request crashed in each
+	// region.
+	poisonCrashes map[poisonKey]int
+	// samples are the samples of the capacity, by region.
 	samples [][]sample
 }
 
@@ -157,7 +159,7 @@
 	w := &world{
 		trial: trial, now: epoch, rng: rand.New(rand.NewPCG(trial.Seed, 2)),
 		targets: make(map[route.TargetID]*target), attempts: make(map[uint64]*attempt),
-		killed: make(map[killing]int),
+		poisonCrashes: make(map[poisonKey]int),
 	}
 	for i, name := range trial.Workload.Regions {
 		r := &region{name: name}
@@ -168,7 +170,7 @@
 			seed := trial.Seed*1000 + uint64(i*instancesPerRegion+j)
 			d := trial.make(Location{name, zone(name, j), instancesPerRegion}, seed)
 			d.SetTargets(w.now, r.specs())
-			in := &instance{region: r, decider: d, tokens: retryBurst}
+			in := &instance{region: r, decider: d, retryTokens: retryBurst}
 			if trial.Lone > 0 {
 				in.table = suspect.New(suspect.DefaultConfig())
 			}
@@ -199,26 +201,26 @@
 	}
 }
 
-// zone spreads targets and instances over two availability zones.
+// zone distributes targets and instances over two availability zones.
 func zone(region string, i int) string { return fmt.Sprintf("%s-%c", region, 'a'+i%2) }
 
-// at puts an event at a time of the day.
-func (w *world) at(t time.Duration, do func()) { w.push(epoch.Add(t), do) }
+// at schedules do at a time of the day.
+func (w *world) at(t time.Duration, do func()) { w.schedule(epoch.Add(t), do) }
 
-func (w *world) after(d time.Duration, do func()) { w.push(w.now.Add(d), do) }
+func (w *world) after(d time.Duration, do func()) { w.schedule(w.now.Add(d), do) }
 
-func (w *world) push(at time.Time, do func()) {
+func (w *world) schedule(at time.Time, do func()) {
 	w.queue.Schedule(at, do)
 }
 
-// run takes events until every call has its final answer. drainLimit bounds
-// the time after the day; calls open then are lost.
+// run processes events until every call has its final answer. drainLimit bounds
+// the time after the day; calls still open then count as lost.
 func (w *world) run() {
 	const drainLimit = 10 * time.Minute
-	w.plan()
-	w.feed(w.trial.arrivals)
-	w.tick()
-	w.summaries()
+	w.scheduleFault()
+	w.scheduleArrivals(w.trial.arrivals)
+	w.exchangeReports()
+	w.exchangeSummaries()
 	w.sampleCapacity()
 	limit := epoch.Add(w.trial.Day + drainLimit)
 	for {
@@ -231,23 +233,23 @@
 	}
 }
 
-// feed brings the arrivals of the trace, one after the other.
-func (w *world) feed(rest []arrival) {
+// scheduleArrivals schedules the arrivals of the trace one after the other.
+func (w *world) scheduleArrivals(rest []arrival) {
 	if len(rest) == 0 {
 		return
 	}
 	a := &rest[0]
 	w.at(a.at, func() {
-		w.feed(rest[1:])
+		w.scheduleArrivals(rest[1:])
 		w.arrive(a)
 	})
 }
 
-// done tells whether the day is over and nothing is open.
+// done reports whether the day is over and no call is open.
 func (w *world) done() bool { return w.open == 0 && w.now.Sub(epoch) > w.trial.Day }
 
-// announce gives the region's instances the list of targets, late.
-func (w *world) announce(r *region, lag time.Duration) {
+// publishTargets gives the region's instances the list of targets after a lag.
+func (w *world) publishTargets(r *region, lag time.Duration) {
 	w.after(lag, func() {
 		for _, in := range r.instances {
 			in.decider.SetTargets(w.now, r.specs())
@@ -255,8 +257,9 @@
 	})
 }
 
-// tick takes load and cache events from the engines and gives out what is due.
-func (w *world) tick() {
+// exchangeReports collects loads and cache events from the engines and delivers
+// what is due to the instances.
+func (w *world) exchangeReports() {
 	for _, r := range w.regions {
 		for _, t := range r.targets {
 			w.observe(t)
@@ -273,7 +276,7 @@
 		}
 	}
 	if !w.done() {
-		w.after(reportPeriod, w.tick)
+		w.after(reportPeriod, w.exchangeReports)
 	}
 }
 
@@ -282,7 +285,7 @@
 		return
 	}
 	l := t.engine.Load(w.now)
-	w.wake(t)
+	w.scheduleAdvance(t)
 	t.reports.Put(w.now, route.Report{
 		Target: t.spec.ID, At: w.now, Running: l.Running, Waiting: l.Waiting,
 		WaitingTokens: l.WaitingTokens, KVUsed: l.KVUsed,
@@ -297,27 +300,27 @@
 	}
 }
 
-// summaries passes the summary of each region to its neighbours.
-func (w *world) summaries() {
+// exchangeSummaries sends the summary of each region to its neighbours.
+func (w *world) exchangeSummaries() {
 	for _, r := range w.regions {
 		sums := r.instances[0].decider.Summarise(w.now)
-		if r.cut {
+		if r.partitioned {
 			continue
 		}
 		w.after(summaryLag, func() {
 			for _, o := range w.regions {
-				if o != r && !o.cut {
-					o.hear(w.now, sums)
+				if o != r && !o.partitioned {
+					o.receiveSummaries(w.now, sums)
 				}
 			}
 		})
 	}
 	if !w.done() {
-		w.after(summaryPeriod, w.summaries)
+		w.after(summaryPeriod, w.exchangeSummaries)
 	}
 }
 
-func (r *region) hear(now time.Time, sums []route.RegionSummary) {
+func (r *region) receiveSummaries(now time.Time, sums []route.RegionSummary) {
 	for _, in := range r.instances {
 		for _, s := range sums {
 			in.decider.RegionSummary(now, s)
@@ -325,22 +328,22 @@
 	}
 }
 
-// wake sees to it that a target's engine is advanced when it wants to be.
-func (w *world) wake(t *target) {
+// scheduleAdvance schedules an advance of a target's engine at its next event.
+func (w *world) scheduleAdvance(t *target) {
 	at, ok := t.engine.NextEvent()
-	if !ok || at.Equal(t.wake) {
+	if !ok || at.Equal(t.nextWake) {
 		return
 	}
-	t.wake = at
-	w.push(at, func() {
-		if t.wake.Equal(at) {
+	t.nextWake = at
+	w.schedule(at, func() {
+		if t.nextWake.Equal(at) {
 			w.advance(t)
 		}
 	})
 }
 
 func (w *world) advance(t *target) {
-	t.wake = time.Time{}
+	t.nextWake = time.Time{}
 	for _, ev := range t.engine.Advance(w.now) {
 		a := w.attempts[ev.ID]
 		switch {
@@ -351,5 +354,5 @@
 			w.attemptEnded(a, route.Succeeded, ev.OutputTokens, ev.CachedTokens)
 		}
 	}
-	w.wake(t)
+	w.scheduleAdvance(t)
 }
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -303,7 +303,7 @@
 // Guards against a booking that runs twice though it was sent once: the target
 // closes an idle connection just as a request with an Idempotency-Key is sent on
 // it, and net/http retries such a request by itself.
-func TestOnceIsNotRetriedByTheTransport(t *testing.T) {
+func TestOnceIsNotSentAgainByTheTransport(t *testing.T) {
 	p := standin.NewPlain("desk")
 	address, tr := listen(t, p)
 	c := plainhttp.New(address, tr)
