--- a/soak/callers.go
+++ b/soak/callers.go
@@ -77,7 +77,7 @@
 			}
 			r.Outcome, stays = conn.Ask(r.ID, r.Path, deadline, r.Start.Add(2*(deadline+slack)))
 			r.End = time.Now()
-			w.Ledger.Ended(r)
+			w.Ledger.AddRequest(r)
 			_ = duty.Pause(ctx, time.Duration(rng.Int64N(int64(2*callerPause))))
 		}
 		conn.Close()
@@ -112,7 +112,7 @@
 		sent := platformtest.LargeDocument(version, fmt.Sprint("author ", author), more)
 		c := w.cores[rng.IntN(len(w.cores))]
 		if err := platformtest.Put(ctx, client, c.operators, sent); err == nil {
-			w.Ledger.Acknowledged(version, time.Now())
+			w.Ledger.AddAcknowledged(version, time.Now())
 		}
 		_ = duty.Pause(ctx, writePause)
 	}
@@ -125,7 +125,7 @@
 		c := w.cores[rng.IntN(len(w.cores))]
 		sent := time.Now()
 		if _, version, err := platformtest.Get(ctx, client, c.operators); err == nil {
-			w.Ledger.Read(version, sent, c.name())
+			w.Ledger.CheckRead(version, sent, c.name())
 		}
 		_ = duty.Pause(ctx, callerPause)
 	}
@@ -221,6 +221,6 @@
 	if err != nil {
 		return fmt.Errorf("the first configuration is not accepted: %w", err)
 	}
-	w.Ledger.Acknowledged(1, time.Now())
+	w.Ledger.AddAcknowledged(1, time.Now())
 	return nil
 }
--- a/soak/forwarder.go
+++ b/soak/forwarder.go
@@ -8,7 +8,7 @@
 )
 
 // Trouble is what a Forwarder does to the bytes that pass it.
-type Trouble struct {
+type Impairment struct {
 	// Delay of each piece.
 	Delay time.Duration
 	// HoldIn holds back what is sent to the process, HoldOut what it sends. What is held
@@ -22,7 +22,7 @@
 	l  net.Listener
 
 	mu      sync.Mutex
-	trouble Trouble
+	trouble Impairment
 	// changed is closed when trouble changes.
 	changed chan struct{}
 	conns   map[net.Conn]bool
@@ -45,7 +45,7 @@
 func (f *Forwarder) Address() string { return f.l.Addr().String() }
 
 // Set replaces the trouble.
-func (f *Forwarder) Set(t Trouble) {
+func (f *Forwarder) SetImpairment(t Impairment) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.trouble = t
@@ -68,7 +68,7 @@
 	f.closed = true
 	f.mu.Unlock()
 	_ = f.l.Close()
-	f.Set(Trouble{})
+	f.SetImpairment(Impairment{})
 	f.Reset()
 	f.wg.Wait()
 }
@@ -102,8 +102,8 @@
 	}
 	defer f.leave(in, out)
 	var wg sync.WaitGroup
-	wg.Go(func() { f.copy(out, in, func(t Trouble) bool { return t.HoldIn }) })
-	wg.Go(func() { f.copy(in, out, func(t Trouble) bool { return t.HoldOut }) })
+	wg.Go(func() { f.copy(out, in, func(t Impairment) bool { return t.HoldIn }) })
+	wg.Go(func() { f.copy(in, out, func(t Impairment) bool { return t.HoldOut }) })
 	wg.Wait()
 }
 
@@ -131,7 +131,7 @@
 
 // copy passes bytes on, and the end of them: a side that has ended its sending is still
 // sent to. After an error both sides end.
-func (f *Forwarder) copy(to, from net.Conn, held func(Trouble) bool) {
+func (f *Forwarder) copy(to, from net.Conn, held func(Impairment) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -154,7 +154,7 @@
 }
 
 // await waits until bytes may pass.
-func (f *Forwarder) await(held func(Trouble) bool) {
+func (f *Forwarder) await(held func(Impairment) bool) {
 	for {
 		f.mu.Lock()
 		t, changed := f.trouble, f.changed
--- a/soak/forwarder_test.go
+++ b/soak/forwarder_test.go
@@ -57,12 +57,12 @@
 		got, err := hear(settle)
 		So(err, ShouldBeNil)
 		So(got, ShouldEqual, "a\n")
-		for _, trouble := range []Trouble{{HoldIn: true}, {HoldOut: true}} {
-			f.Set(trouble)
+		for _, trouble := range []Impairment{{HoldIn: true}, {HoldOut: true}} {
+			f.SetImpairment(trouble)
 			say("b\n")
 			_, err = hear(50 * time.Millisecond)
 			So(err, ShouldNotBeNil)
-			f.Set(Trouble{Delay: time.Millisecond})
+			f.SetImpairment(Impairment{Delay: time.Millisecond})
 			got, err = hear(settle)
 			So(err, ShouldBeNil)
 			So(got, ShouldEqual, "b\n")
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -46,7 +46,7 @@
 	Runs func(id string) int
 	// Strange, if set, tells how often a request came to a target under another name than its
 	// workspace's, or with its caller's key.
-	Strange func() int
+	WrongWorkspace func() int
 	// Deadline is that of all requests, Slack the time beyond it in which an answer
 	// must have come at an instance that no fault befell.
 	Deadline, Slack time.Duration
@@ -64,21 +64,21 @@
 }
 
 // Ended takes in a request that has ended.
-func (l *Ledger) Ended(r Request) {
+func (l *Ledger) AddRequest(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requests = append(l.requests, r)
 }
 
 // Disturbed takes in a fault.
-func (l *Ledger) Disturbed(d Disturbance) {
+func (l *Ledger) AddDisturbance(d Disturbance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.disturbances = append(l.disturbances, d)
 }
 
 // Acknowledged takes in that a version was acknowledged.
-func (l *Ledger) Acknowledged(version uint64, at time.Time) {
+func (l *Ledger) AddAcknowledged(version uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acknowledged = append(l.acknowledged, write{version, at})
@@ -98,14 +98,14 @@
 }
 
 // Read takes in a version that was read, by a call that was sent at a time.
-func (l *Ledger) Read(version uint64, sent time.Time, from string) {
+func (l *Ledger) CheckRead(version uint64, sent time.Time, from string) {
 	if newest := l.Newest(sent); version < newest {
-		l.Fault("%s answers version %d, %d was acknowledged before", from, version, newest)
+		l.AddViolation("%s answers version %d, %d was acknowledged before", from, version, newest)
 	}
 }
 
 // Fault notes something that must not be.
-func (l *Ledger) Fault(format string, args ...any) {
+func (l *Ledger) AddViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = append(l.faults, fmt.Sprintf(format, args...))
@@ -126,12 +126,12 @@
 
 // Faults checks all requests, after the last process has ended, and returns what must not
 // be: one line each.
-func (l *Ledger) Faults() []string {
+func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := slices.Clone(l.faults)
-	if l.Strange != nil && l.Strange() > 0 {
-		out = append(out, fmt.Sprintf("%d requests came under another workspace's name or with a key", l.Strange()))
+	if l.WrongWorkspace != nil && l.WrongWorkspace() > 0 {
+		out = append(out, fmt.Sprintf("%d requests came under another workspace's name or with a key", l.WrongWorkspace()))
 	}
 	for i := range l.requests {
 		r := &l.requests[i]
--- a/soak/ledger_test.go
+++ b/soak/ledger_test.go
@@ -24,7 +24,7 @@
 	if r.End.IsZero() {
 		r.End = began.Add(100 * time.Millisecond)
 	}
-	l.Ended(r)
+	l.AddRequest(r)
 	return l
 }
 
@@ -62,7 +62,7 @@
 		{"one that has not run", ledgerOf(0, cut), ""},
 	} {
 		Convey(c.name, t, func() {
-			got := strings.Join(c.l.Faults(), "\n")
+			got := strings.Join(c.l.Violations(), "\n")
 			if c.want == "" {
 				So(got, ShouldEqual, "")
 				return
@@ -93,8 +93,8 @@
 	} {
 		Convey(c.name, t, func() {
 			l := ledgerOf(1, c.r)
-			l.Disturbed(c.d)
-			So(len(l.Faults()), ShouldEqual, c.faults)
+			l.AddDisturbance(c.d)
+			So(len(l.Violations()), ShouldEqual, c.faults)
 		})
 	}
 }
@@ -102,12 +102,12 @@
 func TestOldVersionsAreFound(t *testing.T) {
 	Convey("version 5 is acknowledged at 1 s", t, func() {
 		l := &Ledger{}
-		l.Acknowledged(5, began.Add(time.Second))
-		l.Read(4, began.Add(500*time.Millisecond), "a")
-		So(l.Faults(), ShouldBeEmpty)
-		l.Read(5, began.Add(2*time.Second), "a")
-		So(l.Faults(), ShouldBeEmpty)
-		l.Read(4, began.Add(2*time.Second), "a")
-		So(len(l.Faults()), ShouldEqual, 1)
+		l.AddAcknowledged(5, began.Add(time.Second))
+		l.CheckRead(4, began.Add(500*time.Millisecond), "a")
+		So(l.Violations(), ShouldBeEmpty)
+		l.CheckRead(5, began.Add(2*time.Second), "a")
+		So(l.Violations(), ShouldBeEmpty)
+		l.CheckRead(4, began.Add(2*time.Second), "a")
+		So(len(l.Violations()), ShouldEqual, 1)
 	})
 }
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -23,7 +23,7 @@
 	// Wipe kills a core instance, takes its disk away and starts it again.
 	Wipe Kind = "wipe"
 	// Tear kills a core instance and leaves half a record at the end of its log.
-	Tear Kind = "tear"
+	InterruptWrite Kind = "tear"
 	// Delay, HoldIn, HoldOut and Cut are troubles of the network before a process or
 	// a runner; ResetConns ends its connections.
 	Delay      Kind = "delay"
@@ -38,14 +38,14 @@
 	// Refuse has the platform's list answer with an error for For.
 	Refuse Kind = "refuse"
 	// Rebirth ends a runner, which starts again under its id after For.
-	Rebirth Kind = "rebirth"
+	RestartRunner Kind = "rebirth"
 	// Foreign has the platform's list carry entries of another writer for For, which must
 	// disturb nobody.
-	Foreign Kind = "foreign"
+	ForeignEntries Kind = "foreign"
 )
 
 // Planned reports whether the fault is planned work, which disturbs no request.
-func (k Kind) Planned() bool { return k == Restart || k == Reload || k == Drain || k == Foreign }
+func (k Kind) Planned() bool { return k == Restart || k == Reload || k == Drain || k == ForeignEntries }
 
 // network reports whether the fault is one of a Forwarder.
 func (k Kind) network() bool {
@@ -84,7 +84,7 @@
 // kinds are those that may befall a role.
 var kinds = map[Role][]Kind{
 	RoleEntry:  {Kill, Pause, Restart, Restart, Reload, Delay, HoldIn, HoldOut, Cut, ResetConns},
-	RoleCore:   {Kill, Pause, Restart, Restart, Reload, Wipe, Tear, Delay, HoldIn, HoldOut, Cut, ResetConns},
+	RoleCore:   {Kill, Pause, Restart, Restart, Reload, Wipe, InterruptWrite, Delay, HoldIn, HoldOut, Cut, ResetConns},
 	RoleRunner: {Crash, Drain, Delay, HoldIn, HoldOut, Cut, ResetConns},
 	RoleList:   {Refuse},
 }
@@ -104,7 +104,7 @@
 
 // Draw draws the faults of a seed over a time. At most one disk is lost: the site bears
 // the loss of one at once, and a lost one is filled again some time later.
-func Draw(seed uint64, s Shape, span time.Duration) []Fault {
+func DrawFaults(seed uint64, s Shape, span time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	roles := map[Role]int{RoleEntry: s.Entries, RoleCore: s.Cores, RoleRunner: s.Runners, RoleList: 1}
 	names := []Role{RoleEntry, RoleEntry, RoleCore, RoleCore, RoleRunner, RoleList}
@@ -140,13 +140,13 @@
 
 // DrawLater draws faults of the kinds that came when seeds had been kept: among the others
 // they would change the plans of these.
-func DrawLater(seed uint64, s Shape, span time.Duration) []Fault {
+func DrawExtraFaults(seed uint64, s Shape, span time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var out []Fault
 	for at := laterGap(rng); at < span; at += laterGap(rng) {
-		f := Fault{Kind: Foreign, Role: RoleList, At: at, For: length(rng)}
+		f := Fault{Kind: ForeignEntries, Role: RoleList, At: at, For: length(rng)}
 		if reborn := rng.IntN(s.Runners); rng.IntN(2) == 0 && seed%plannedOnly != 0 {
-			f.Kind, f.Role, f.Number = Rebirth, RoleRunner, reborn
+			f.Kind, f.Role, f.Number = RestartRunner, RoleRunner, reborn
 		}
 		out = append(out, f)
 	}
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -15,8 +15,8 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		shape := Shape{Cores: rapid.IntRange(1, 9).Draw(t, "cores"), Entries: rapid.IntRange(1, 9).Draw(t, "entries"), Runners: rapid.IntRange(1, 9).Draw(t, "runners")}
 		span := time.Duration(rapid.IntRange(0, 60).Draw(t, "span")) * time.Second
-		plan := Draw(seed, shape, span)
-		if !slices.Equal(plan, Draw(seed, shape, span)) {
+		plan := DrawFaults(seed, shape, span)
+		if !slices.Equal(plan, DrawFaults(seed, shape, span)) {
 			t.Fatal("two plans of one seed")
 		}
 		most := map[Role]int{RoleEntry: shape.Entries, RoleCore: shape.Cores, RoleRunner: shape.Runners, RoleList: 1}
@@ -42,7 +42,7 @@
 func TestEachKindIsDrawn(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(60) {
-		for _, f := range Draw(seed, Shape{4, 4, 9}, 15*time.Second) {
+		for _, f := range DrawFaults(seed, Shape{4, 4, 9}, 15*time.Second) {
 			seen[f.Kind] = true
 		}
 	}
@@ -59,7 +59,7 @@
 func TestLaterFaults(t *testing.T) {
 	drawn := map[Kind]int{}
 	for seed := range uint64(40) {
-		for _, f := range DrawLater(seed, Shape{Cores: 3, Entries: 3, Runners: 9}, time.Minute) {
+		for _, f := range DrawExtraFaults(seed, Shape{Cores: 3, Entries: 3, Runners: 9}, time.Minute) {
 			drawn[f.Kind]++
 			if seed%plannedOnly == 0 && !f.Kind.Planned() {
 				t.Errorf("seed %d of planned work has %v", seed, f)
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	if len(drawn) != 2 || drawn[Rebirth] == 0 || drawn[Foreign] == 0 {
+	if len(drawn) != 2 || drawn[RestartRunner] == 0 || drawn[ForeignEntries] == 0 {
 		t.Errorf("drawn: %v", drawn)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	problems := w.play(ctx, seed, shape, span, later)
-	for _, p := range append(problems, w.Ledger.Faults()...) {
+	for _, p := range append(problems, w.Ledger.Violations()...) {
 		t.Error(p)
 	}
 	t.Logf("%d requests served, %d runs, newest version %d", w.Ledger.Served(), w.book.Total(), w.Ledger.Newest(time.Now()))
@@ -126,12 +126,12 @@
 		return problems
 	}
 	stop := w.Start(ctx, seed)
-	faults := Draw(seed, shape, span)
+	faults := DrawFaults(seed, shape, span)
 	if later {
-		faults = append(faults, DrawLater(seed, shape, span)...)
+		faults = append(faults, DrawExtraFaults(seed, shape, span)...)
 		slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	}
-	w.Play(ctx, faults)
+	w.InjectFaults(ctx, faults)
 	note(w.AwaitServing(ctx, "after"))
 	stop()
 	note(w.AwaitAgreement(ctx))
--- a/soak/world.go
+++ b/soak/world.go
@@ -86,7 +86,7 @@
 // NewWorld starts the site and waits for nothing.
 func NewWorld(o Options) (*World, error) {
 	w := &World{o: o, book: &platformtest.Book{}, list: &platformtest.List{}}
-	w.Ledger = &Ledger{Events: events, Runs: w.book.Runs, Strange: w.book.Strange, Deadline: deadline, Slack: slack}
+	w.Ledger = &Ledger{Events: events, Runs: w.book.Runs, WrongWorkspace: w.book.Strange, Deadline: deadline, Slack: slack}
 	return w, w.build()
 }
 
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	addresses := map[string]string{"instances": l.instance(at), "instances_bind": bind}
-	p.binary, p.dir, p.fault = w.o.Binary, dir, w.Ledger.Fault
+	p.binary, p.dir, p.fault = w.o.Binary, dir, w.Ledger.AddViolation
 	p.settings = map[string]any{
 		"instance": filepath.Base(dir), "region": region(number), "zone": zone(number),
 		"regions": map[string]string{"z0": "r0", "z1": "r1", "z2": "r2"}, "listen": addresses, "seeds": l.seeds,
@@ -281,7 +281,7 @@
 }
 
 // Play carries out faults, each at its time, and returns when all are over.
-func (w *World) Play(ctx context.Context, faults []Fault) {
+func (w *World) InjectFaults(ctx context.Context, faults []Fault) {
 	began := time.Now()
 	var wg sync.WaitGroup
 	for _, f := range faults {
@@ -296,10 +296,10 @@
 				d.Entry = w.entries[f.Number].callers
 			}
 			if err := w.carryOut(f); err != nil {
-				w.Ledger.Fault("%v: %v", f, err)
+				w.Ledger.AddViolation("%v: %v", f, err)
 			}
 			d.To = time.Now().Add(settle)
-			w.Ledger.Disturbed(d)
+			w.Ledger.AddDisturbance(d)
 		})
 	}
 	wg.Wait()
@@ -333,7 +333,7 @@
 
 // troubleList makes a fault of the platform's list.
 func (w *World) troubleList(f Fault) {
-	if f.Kind == Foreign {
+	if f.Kind == ForeignEntries {
 		w.list.Foreign(foreignEntries...)
 		time.Sleep(f.For)
 		w.list.Foreign()
@@ -362,11 +362,11 @@
 		x.Reset()
 		return
 	}
-	x.Set(map[Kind]Trouble{
+	x.SetImpairment(map[Kind]Impairment{
 		Delay: {Delay: 60 * time.Millisecond}, HoldIn: {HoldIn: true}, HoldOut: {HoldOut: true}, Cut: {HoldIn: true, HoldOut: true},
 	}[f.Kind])
 	time.Sleep(f.For)
-	x.Set(Trouble{})
+	x.SetImpairment(Impairment{})
 }
 
 // befall makes a fault of a process.
@@ -389,7 +389,7 @@
 	switch f.Kind {
 	case Wipe:
 		err = p.wipe()
-	case Tear:
+	case InterruptWrite:
 		err = p.tear()
 	}
 	time.Sleep(f.For)
@@ -407,7 +407,7 @@
 		return err
 	}
 	time.Sleep(f.For)
-	if f.Kind != Rebirth {
+	if f.Kind != RestartRunner {
 		id = w.newID()
 	}
 	return w.succeed(r, server, id)
