--- a/soak/callers.go
+++ b/soak/callers.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// deadline is that of each request, below its route's timeout.
+	// deadline is the deadline of each request, below its route's timeout.
 	deadline = 4 * time.Second
-	// slack is how much later its end may come where no fault befell its entry instance:
-	// the machine may be busy with other tests.
+	// slack is how much later than its deadline a request may end without a fault at its
+	// entry instance, as the machine may be busy with other tests.
 	slack = 6 * time.Second
-	// dialTime bounds a connection of a caller.
-	dialTime = time.Second
-	// callers are so many, each with one request at a time and some pause after it.
-	callers     = 9
+	// dialTimeout bounds the dial of a caller's connection.
+	dialTimeout = time.Second
+	// callerCount is the number of callers, each with one request at a time and a pause
+	// after it.
+	callerCount = 9
 	callerPause = 40 * time.Millisecond
-	// perConn is how many requests a caller sends over a connection at most.
-	perConn = 25
+	// requestsPerConn bounds the requests that a caller sends over a connection.
+	requestsPerConn = 25
 	// writePause is the time between two configurations.
 	writePause = 300 * time.Millisecond
-	// One version in so many has largeRoutes routes more: a restart or a cut meets it on its
-	// way.
-	largeOneIn  = 4
+	// Every largeEvery-th version has largeRoutes more routes, so that restarts and cuts
+	// happen during its transfer.
+	largeEvery  = 4
 	largeRoutes = 3000
-	// callTime bounds a call of an operator and of the directory.
-	callTime = 2 * time.Second
-	// recovery bounds how long the site may take to serve after the last fault.
-	recovery = 40 * time.Second
+	// callTimeout bounds a call of an operator and of the directory.
+	callTimeout = 2 * time.Second
+	// recoveryTimeout bounds how long the site may take to serve after the last fault.
+	recoveryTimeout = 40 * time.Second
 )
 
 var paths = []string{
@@ -42,27 +43,29 @@
 	platformtest.PathStream + "events", platformtest.PathResumable + "events",
 }
 
-// Start begins to call; the returned function ends that and waits for the last answers.
+// Start starts the callers, operators and readers; stop ends them and waits for the last
+// answers.
 func (w *World) Start(ctx context.Context, seed uint64) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	for n := range callers {
+	for n := range callerCount {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)+2))
-		w.wg.Go(func() { w.call(ctx, n, rng) })
+		w.wg.Go(func() { w.runCaller(ctx, n, rng) })
 	}
 	for author := range 2 {
 		rng := rand.New(rand.NewPCG(seed, uint64(author)+100))
-		w.wg.Go(func() { w.write(ctx, author, rng) })
+		w.wg.Go(func() { w.runOperator(ctx, author, rng) })
 	}
-	w.wg.Go(func() { w.read(ctx, rand.New(rand.NewPCG(seed, 200))) })
+	w.wg.Go(func() { w.runReader(ctx, rand.New(rand.NewPCG(seed, 200))) })
 	return func() {
 		cancel()
 		w.wg.Wait()
 	}
 }
 
-// call is one caller: it keeps a connection until it ends or has served long.
-func (w *World) call(ctx context.Context, caller int, rng *rand.Rand) {
-	client := &http.Client{Timeout: callTime, Transport: &http.Transport{DisableKeepAlives: true}}
+// runCaller runs a caller, which uses a connection until it ends or has served
+// requestsPerConn requests.
+func (w *World) runCaller(ctx context.Context, caller int, rng *rand.Rand) {
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; ctx.Err() == nil; {
 		conn := w.connect(ctx, client, caller, rng)
 		if conn == nil {
@@ -70,7 +73,7 @@
 			continue
 		}
 		stays := true
-		for sent := 0; stays && sent < perConn && ctx.Err() == nil; sent++ {
+		for sent := 0; stays && sent < requestsPerConn && ctx.Err() == nil; sent++ {
 			n++
 			r := Request{
 				ID: fmt.Sprintf("c%d-%d", caller, n), Path: paths[rng.IntN(len(paths))], Entry: conn.Address, Start: time.Now(),
@@ -84,7 +87,8 @@
 	}
 }
 
-// connect asks the directory, near ones first, and connects to one of those that it names.
+// connect asks the directories in turn, from the caller's own on, and connects to one of the
+// addresses that they return. It returns nil if none can be reached.
 func (w *World) connect(ctx context.Context, client *http.Client, caller int, rng *rand.Rand) *platformtest.Conn {
 	for n := range w.entries {
 		e := w.entries[(caller+n)%len(w.entries)]
@@ -92,7 +96,7 @@
 		if err != nil || len(addresses) == 0 {
 			continue // It is down, or not ready.
 		}
-		conn, err := platformtest.Dial(addresses[rng.IntN(len(addresses))], dialTime)
+		conn, err := platformtest.Dial(addresses[rng.IntN(len(addresses))], dialTimeout)
 		if err == nil {
 			return conn
 		}
@@ -100,13 +104,13 @@
 	return nil
 }
 
-// write is one of two operators: both write the same versions, so that they race.
-func (w *World) write(ctx context.Context, author int, rng *rand.Rand) {
-	client := &http.Client{Timeout: callTime}
+// runOperator runs one of two operators. Both write the same versions, so that they race.
+func (w *World) runOperator(ctx context.Context, author int, rng *rand.Rand) {
+	client := &http.Client{Timeout: callTimeout}
 	for ctx.Err() == nil {
 		version := w.Ledger.Newest(time.Now()) + 1
 		more := 0
-		if version%largeOneIn == 0 {
+		if version%largeEvery == 0 {
 			more = largeRoutes
 		}
 		sent := platformtest.LargeDocument(version, fmt.Sprint("author ", author), more)
@@ -118,9 +122,9 @@
 	}
 }
 
-// read reads the configuration at all core instances by turns.
-func (w *World) read(ctx context.Context, rng *rand.Rand) {
-	client := &http.Client{Timeout: callTime}
+// runReader reads the configuration at random core instances.
+func (w *World) runReader(ctx context.Context, rng *rand.Rand) {
+	client := &http.Client{Timeout: callTimeout}
 	for ctx.Err() == nil {
 		c := w.cores[rng.IntN(len(w.cores))]
 		sent := time.Now()
@@ -131,8 +135,8 @@
 	}
 }
 
-// AwaitServing waits until every entry instance serves each kind of request. where names
-// the moment.
+// AwaitServing waits until every entry instance serves each kind of request, and returns an
+// error if one doesn't within recoveryTimeout. where names the phase, for request IDs and errors.
 func (w *World) AwaitServing(ctx context.Context, where string) error {
 	var wg sync.WaitGroup
 	errs := make([]error, len(w.entries))
@@ -149,10 +153,10 @@
 }
 
 func (w *World) awaitEntry(ctx context.Context, e *entry, name string) error {
-	end := time.Now().Add(recovery)
+	end := time.Now().Add(recoveryTimeout)
 	for _, path := range paths {
-		err := until(ctx, end, func(n int) error {
-			o := askOnce(e, fmt.Sprint(name, path, n), path)
+		err := retryUntil(ctx, end, func(n int) error {
+			o := sendOnce(e, fmt.Sprint(name, path, n), path)
 			if o.Status == http.StatusOK && o.Err == nil {
 				return nil
 			}
@@ -165,9 +169,9 @@
 	return nil
 }
 
-// until tries again and again until try succeeds, for as long as end allows, and returns
-// its last error. try is told its number, from 0.
-func until(ctx context.Context, end time.Time, try func(n int) error) error {
+// retryUntil calls try until it succeeds, end has passed or ctx ends, and returns its last
+// error. n is the number of the call, from 0.
+func retryUntil(ctx context.Context, end time.Time, try func(n int) error) error {
 	for n := 0; ; n++ {
 		err := try(n)
 		if err == nil || time.Now().After(end) || ctx.Err() != nil {
@@ -177,8 +181,8 @@
 	}
 }
 
-func askOnce(e *entry, id, path string) platformtest.Outcome {
-	conn, err := platformtest.Dial(e.callers, dialTime)
+func sendOnce(e *entry, id, path string) platformtest.Outcome {
+	conn, err := platformtest.Dial(e.callers, dialTimeout)
 	if err != nil {
 		return platformtest.Outcome{Err: err}
 	}
@@ -187,12 +191,12 @@
 	return o
 }
 
-// AwaitAgreement waits until all core instances read the same configuration, not older
-// than what was acknowledged.
+// AwaitAgreement waits until all core instances return the same configuration, not older
+// than the newest acknowledged one. It returns an error if they don't within recoveryTimeout.
 func (w *World) AwaitAgreement(ctx context.Context) error {
-	client := &http.Client{Timeout: callTime}
+	client := &http.Client{Timeout: callTimeout}
 	newest := w.Ledger.Newest(time.Now())
-	return until(ctx, time.Now().Add(recovery), func(int) error { return w.agreement(ctx, client, newest) })
+	return retryUntil(ctx, time.Now().Add(recoveryTimeout), func(int) error { return w.agreement(ctx, client, newest) })
 }
 
 func (w *World) agreement(ctx context.Context, client *http.Client, newest uint64) error {
@@ -212,10 +216,11 @@
 	return nil
 }
 
-// Configure has the first configuration accepted.
+// Configure writes the first configuration, and returns an error if it is not accepted within
+// recoveryTimeout.
 func (w *World) Configure(ctx context.Context) error {
-	client := &http.Client{Timeout: callTime}
-	err := until(ctx, time.Now().Add(recovery), func(n int) error {
+	client := &http.Client{Timeout: callTimeout}
+	err := retryUntil(ctx, time.Now().Add(recoveryTimeout), func(n int) error {
 		return platformtest.Put(ctx, client, w.cores[n%len(w.cores)].operators, platformtest.Document(1, "first"))
 	})
 	if err != nil {
--- a/soak/forwarder.go
+++ b/soak/forwarder.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// Trouble is what a Forwarder does to the bytes that pass it.
+// Impairment is what a Forwarder does to the bytes that it forwards. The zero value forwards
+// them at once.
 type Impairment struct {
-	// Delay of each piece.
+	// Delay is the delay of each piece of bytes.
 	Delay time.Duration
-	// HoldIn holds back what is sent to the process, HoldOut what it sends. What is held
-	// back is delivered when the trouble is over, as after a cut of a network.
+	// HoldIn holds back bytes to the process, HoldOut bytes from it. They are delivered when
+	// the impairment ends, as after a network partition.
 	HoldIn, HoldOut bool
 }
 
-// Forwarder stands before a process: it passes connections on.
+// Forwarder is a TCP proxy in front of a process or runner. It is safe for concurrent use.
 type Forwarder struct {
 	to string
 	l  net.Listener
 
-	mu      sync.Mutex
-	trouble Impairment
-	// changed is closed when trouble changes.
+	mu         sync.Mutex
+	impairment Impairment
+	// changed is closed and replaced when impairment changes.
 	changed chan struct{}
 	conns   map[net.Conn]bool
 	closed  bool
 	wg      sync.WaitGroup
 }
 
-// Forward listens at an address and passes on to another one.
+// Forward returns a running Forwarder from address listen to address to. The caller must
+// call Close.
 func Forward(listen, to string) (*Forwarder, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -41,19 +43,19 @@
 	return f, nil
 }
 
-// Address is where it listens.
+// Address returns the address at which it listens.
 func (f *Forwarder) Address() string { return f.l.Addr().String() }
 
-// Set replaces the trouble.
+// SetImpairment replaces the impairment, also for existing connections.
 func (f *Forwarder) SetImpairment(t Impairment) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.trouble = t
+	f.impairment = t
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// Reset ends all connections without a word.
+// Reset resets all connections.
 func (f *Forwarder) Reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,7 +64,7 @@
 	}
 }
 
-// Close ends it.
+// Close resets all connections, stops listening and waits for both.
 func (f *Forwarder) Close() {
 	f.mu.Lock()
 	f.closed = true
@@ -86,28 +88,28 @@
 		if err != nil {
 			return
 		}
-		f.wg.Go(func() { f.pass(in) })
+		f.wg.Go(func() { f.forward(in) })
 	}
 }
 
-// pass connects and copies both ways until one side ends.
-func (f *Forwarder) pass(in net.Conn) {
+// forward dials the target and copies both ways until both directions have ended.
+func (f *Forwarder) forward(in net.Conn) {
 	out, err := net.Dial("tcp", f.to)
 	if err != nil {
 		abort(in)
 		return
 	}
-	if !f.enter(in, out) {
+	if !f.track(in, out) {
 		return
 	}
-	defer f.leave(in, out)
+	defer f.untrack(in, out)
 	var wg sync.WaitGroup
 	wg.Go(func() { f.copy(out, in, func(t Impairment) bool { return t.HoldIn }) })
 	wg.Go(func() { f.copy(in, out, func(t Impairment) bool { return t.HoldOut }) })
 	wg.Wait()
 }
 
-func (f *Forwarder) enter(conns ...net.Conn) bool {
+func (f *Forwarder) track(conns ...net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range conns {
@@ -120,7 +122,7 @@
 	return !f.closed
 }
 
-func (f *Forwarder) leave(conns ...net.Conn) {
+func (f *Forwarder) untrack(conns ...net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range conns {
@@ -129,13 +131,13 @@
 	}
 }
 
-// copy passes bytes on, and the end of them: a side that has ended its sending is still
-// sent to. After an error both sides end.
+// copy copies bytes and the end of the stream. A side that has closed its sending direction
+// still receives. After an error both connections are reset.
 func (f *Forwarder) copy(to, from net.Conn, held func(Impairment) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		f.await(held)
+		f.waitToForward(held)
 		if n > 0 {
 			if _, failed := to.Write(buf[:n]); failed != nil {
 				abort(from)
@@ -153,11 +155,11 @@
 	}
 }
 
-// await waits until bytes may pass.
-func (f *Forwarder) await(held func(Impairment) bool) {
+// waitToForward waits until bytes are not held back any more, and for the delay.
+func (f *Forwarder) waitToForward(held func(Impairment) bool) {
 	for {
 		f.mu.Lock()
-		t, changed := f.trouble, f.changed
+		t, changed := f.impairment, f.changed
 		f.mu.Unlock()
 		if !held(t) {
 			if t.Delay > 0 {
--- a/soak/forwarder_test.go
+++ b/soak/forwarder_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// echo answers each line with itself.
+// echo starts a server that echoes all bytes, and returns its address.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,31 +44,31 @@
 	}
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
-	say := func(line string) {
+	write := func(line string) {
 		_, err := io.WriteString(c, line)
 		So(err, ShouldBeNil)
 	}
-	hear := func(wait time.Duration) (string, error) {
+	receive := func(wait time.Duration) (string, error) {
 		So(c.SetReadDeadline(time.Now().Add(wait)), ShouldBeNil)
 		return br.ReadString('\n')
 	}
 	Convey("bytes pass, are held one way and come afterwards, and connections are reset", t, func() {
-		say("a\n")
-		got, err := hear(settle)
+		write("a\n")
+		got, err := receive(effectTime)
 		So(err, ShouldBeNil)
 		So(got, ShouldEqual, "a\n")
-		for _, trouble := range []Impairment{{HoldIn: true}, {HoldOut: true}} {
-			f.SetImpairment(trouble)
-			say("b\n")
-			_, err = hear(50 * time.Millisecond)
+		for _, impairment := range []Impairment{{HoldIn: true}, {HoldOut: true}} {
+			f.SetImpairment(impairment)
+			write("b\n")
+			_, err = receive(50 * time.Millisecond)
 			So(err, ShouldNotBeNil)
 			f.SetImpairment(Impairment{Delay: time.Millisecond})
-			got, err = hear(settle)
+			got, err = receive(effectTime)
 			So(err, ShouldBeNil)
 			So(got, ShouldEqual, "b\n")
 		}
 		f.Reset()
-		_, err = hear(settle)
+		_, err = receive(effectTime)
 		So(err, ShouldNotBeNil)
 		So(err, ShouldNotEqual, io.EOF)
 	})
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -10,7 +10,7 @@
 	"github.com/gullhaven/gullhaven/platform/platformtest"
 )
 
-// Request is one request as its caller saw it.
+// Request is a request as observed by its caller.
 type Request struct {
 	ID   string
 	Path string
@@ -20,71 +20,71 @@
 	platformtest.Outcome
 }
 
-// once reports whether the request must not be run again.
-func (r *Request) once() bool {
+// atMostOnce reports whether the request must not run more than once.
+func (r *Request) atMostOnce() bool {
 	return strings.HasPrefix(r.Path, platformtest.PathUnsafe) || strings.HasPrefix(r.Path, platformtest.PathStream)
 }
 
-func (r *Request) stream() bool {
+func (r *Request) isStream() bool {
 	return strings.HasPrefix(r.Path, platformtest.PathStream) || strings.HasPrefix(r.Path, platformtest.PathResumable)
 }
 
-// Disturbance is a time in which a fault may have its effects.
+// Disturbance is a period in which a fault may have effects.
 type Disturbance struct {
 	Fault    Fault
 	From, To time.Time
-	// Entry is the address for callers of the entry instance that it befell.
+	// Entry is the callers' address of the affected entry instance; empty for others.
 	Entry string
 }
 
-// Ledger keeps what was asked, answered, written and read. It is safe for several
-// goroutines.
+// Ledger records requests with their answers, faults, and configurations written and read.
+// It is safe for concurrent use.
 type Ledger struct {
-	// Events is the length of a whole stream.
+	// Events is the number of events of a complete stream.
 	Events int
-	// Runs tells how often a request ran.
+	// Runs returns how often a request ran.
 	Runs func(id string) int
-	// Strange, if set, tells how often a request came to a target under another name than its
-	// workspace's, or with its caller's key.
+	// WrongWorkspace, if set, returns how often a request reached a target under another
+	// workspace's name, or with its caller's key.
 	WrongWorkspace func() int
-	// Deadline is that of all requests, Slack the time beyond it in which an answer
-	// must have come at an instance that no fault befell.
+	// Deadline is the deadline of all requests. Slack is the time after it within which a
+	// request must have ended at an entry instance without a fault.
 	Deadline, Slack time.Duration
 
 	mu           sync.Mutex
 	requests     []Request
 	disturbances []Disturbance
-	acknowledged []write
-	faults       []string
+	acknowledged []acknowledgement
+	violations   []string
 }
 
-type write struct {
+type acknowledgement struct {
 	version uint64
 	at      time.Time
 }
 
-// Ended takes in a request that has ended.
+// AddRequest adds a request that has ended.
 func (l *Ledger) AddRequest(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requests = append(l.requests, r)
 }
 
-// Disturbed takes in a fault.
+// AddDisturbance adds a fault with the period of its effects.
 func (l *Ledger) AddDisturbance(d Disturbance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.disturbances = append(l.disturbances, d)
 }
 
-// Acknowledged takes in that a version was acknowledged.
+// AddAcknowledged adds a version acknowledged at a time.
 func (l *Ledger) AddAcknowledged(version uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.acknowledged = append(l.acknowledged, write{version, at})
+	l.acknowledged = append(l.acknowledged, acknowledgement{version, at})
 }
 
-// Newest is the highest version that was acknowledged before a time.
+// Newest returns the highest version acknowledged before a time; 0 if none.
 func (l *Ledger) Newest(before time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,21 +97,22 @@
 	return newest
 }
 
-// Read takes in a version that was read, by a call that was sent at a time.
+// CheckRead adds a violation if a read that was sent at a time returned a version older than
+// the newest one acknowledged before. from names the instance.
 func (l *Ledger) CheckRead(version uint64, sent time.Time, from string) {
 	if newest := l.Newest(sent); version < newest {
 		l.AddViolation("%s answers version %d, %d was acknowledged before", from, version, newest)
 	}
 }
 
-// Fault notes something that must not be.
+// AddViolation adds a violation.
 func (l *Ledger) AddViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults = append(l.faults, fmt.Sprintf(format, args...))
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// Served counts requests with a whole good answer.
+// Served returns the number of requests with a complete answer of status 200.
 func (l *Ledger) Served() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,18 +125,18 @@
 	return n
 }
 
-// Faults checks all requests, after the last process has ended, and returns what must not
-// be: one line each.
+// Violations checks all requests and returns all violations, one line each. It must be called
+// after the last process has ended.
 func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := slices.Clone(l.faults)
+	out := slices.Clone(l.violations)
 	if l.WrongWorkspace != nil && l.WrongWorkspace() > 0 {
 		out = append(out, fmt.Sprintf("%d requests came under another workspace's name or with a key", l.WrongWorkspace()))
 	}
 	for i := range l.requests {
 		r := &l.requests[i]
-		for _, fault := range []string{l.runs(r), l.content(r), l.inTime(r), l.lost(r)} {
+		for _, fault := range []string{l.checkRuns(r), l.checkContent(r), l.checkInTime(r), l.checkLost(r)} {
 			if fault != "" {
 				out = append(out, fmt.Sprintf("%s %s at %s, %v to %v, status %d, %v: %s", r.Path, r.ID, r.Entry,
 					r.Start.Format(clockFormat), r.End.Format(clockFormat), r.Status, r.Err, fault))
@@ -147,14 +148,15 @@
 
 const clockFormat = "15:04:05.000"
 
-// notRun are the statuses that say that a request has not run and never will.
+// notRun are the statuses that mean that a request has not run and never will.
 var notRun = []int{408, 421, 429, 503}
 
-// runs: at most once, and "not run" is true.
-func (l *Ledger) runs(r *Request) string {
+// checkRuns checks that a request ran at most once if it must, that a refused request didn't
+// run, and that an answered one did.
+func (l *Ledger) checkRuns(r *Request) string {
 	runs := l.Runs(r.ID)
 	switch {
-	case r.once() && runs > 1:
+	case r.atMostOnce() && runs > 1:
 		return fmt.Sprintf("ran %d times", runs)
 	case runs > 0 && !r.Signed && r.Err == nil && slices.Contains(notRun, r.Status):
 		return fmt.Sprintf("was refused and ran %d times", runs)
@@ -164,13 +166,14 @@
 	return ""
 }
 
-// content: an answer is that of the request, whole or known as broken off.
-func (l *Ledger) content(r *Request) string {
+// checkContent checks that an answer belongs to the request, and is complete unless it ended
+// with an error.
+func (l *Ledger) checkContent(r *Request) string {
 	if r.Status != 200 {
 		return ""
 	}
 	want := platformtest.Answer(r.ID)
-	if r.stream() {
+	if r.isStream() {
 		want = platformtest.Stream(r.ID, l.Events)
 	}
 	switch {
@@ -182,28 +185,28 @@
 	return ""
 }
 
-// inTime: a final answer, or the end of the connection, comes in time where no fault
-// befell the entry instance.
-func (l *Ledger) inTime(r *Request) string {
-	if took := r.End.Sub(r.Start); took > l.Deadline+l.Slack && !l.disturbed(r, func(d *Disturbance) bool { return d.Entry == r.Entry }) {
+// checkInTime checks that a request ended in time, with an answer or an error, if there was
+// no fault at its entry instance.
+func (l *Ledger) checkInTime(r *Request) string {
+	if took := r.End.Sub(r.Start); took > l.Deadline+l.Slack && !l.isDisturbed(r, func(d *Disturbance) bool { return d.Entry == r.Entry }) {
 		return fmt.Sprintf("took %v", took)
 	}
 	return ""
 }
 
-// lost: planned work ends no request that ran.
-func (l *Ledger) lost(r *Request) string {
+// checkLost checks that planned work does not interrupt a request that ran.
+func (l *Ledger) checkLost(r *Request) string {
 	if r.Err == nil || l.Runs(r.ID) == 0 || r.End.Sub(r.Start) >= l.Deadline {
 		return ""
 	}
-	if l.disturbed(r, func(d *Disturbance) bool { return !d.Fault.Kind.Planned() }) {
+	if l.isDisturbed(r, func(d *Disturbance) bool { return !d.Fault.Kind.Planned() }) {
 		return ""
 	}
 	return "ran and was broken off without a fault"
 }
 
-// disturbed reports whether a fault that counts overlaps a request.
-func (l *Ledger) disturbed(r *Request, counts func(*Disturbance) bool) bool {
+// isDisturbed reports whether a disturbance for which counts returns true overlaps a request.
+func (l *Ledger) isDisturbed(r *Request, counts func(*Disturbance) bool) bool {
 	return slices.ContainsFunc(l.disturbances, func(d Disturbance) bool {
 		return counts(&d) && d.From.Before(r.End) && r.Start.Before(d.To)
 	})
--- a/soak/ledger_test.go
+++ b/soak/ledger_test.go
@@ -17,7 +17,7 @@
 
 var errCut = errors.New("cut")
 
-// ledgerOf holds one request that ran a number of times.
+// ledgerOf returns a ledger with one request that ran a number of times.
 func ledgerOf(runs int, r Request) *Ledger {
 	l := &Ledger{Events: 3, Runs: func(string) int { return runs }, Deadline: time.Second, Slack: time.Second}
 	r.ID, r.Entry, r.Start = "q", "e", began
@@ -32,7 +32,7 @@
 	return Request{Path: path, Outcome: platformtest.Outcome{Status: 200, Signed: true, Body: body}}
 }
 
-// Each promise is broken once: a check that finds nothing checks nothing.
+// Guards against checks that find nothing: each guarantee is violated once.
 func TestLedgerFindsWhatMustNotBe(t *testing.T) {
 	refused := Request{Path: unsafe, Outcome: platformtest.Outcome{Status: 503}}
 	cut := Request{Path: unsafe, Outcome: platformtest.Outcome{Err: errCut}}
@@ -73,7 +73,7 @@
 }
 
 func TestFaultsExplainOnlyWhatTheyOverlap(t *testing.T) {
-	befell := func(k Kind, entry string, from, to time.Duration) Disturbance {
+	disturbance := func(k Kind, entry string, from, to time.Duration) Disturbance {
 		return Disturbance{Fault: Fault{Kind: k}, Entry: entry, From: began.Add(from), To: began.Add(to)}
 	}
 	cut := Request{Path: unsafe, Outcome: platformtest.Outcome{Err: errCut}}
@@ -85,11 +85,11 @@
 		d      Disturbance
 		faults int
 	}{
-		{"a kill explains a cut", cut, befell(Kill, "other", 0, time.Second), 0},
-		{"planned work does not", cut, befell(Restart, "e", 0, time.Second), 1},
-		{"nor one that was over", cut, befell(Kill, "e", -time.Second, 0), 1},
-		{"a fault there explains a late answer", late, befell(Pause, "e", 0, time.Second), 0},
-		{"one elsewhere does not", late, befell(Pause, "other", 0, time.Second), 1},
+		{"a kill explains a cut", cut, disturbance(Kill, "other", 0, time.Second), 0},
+		{"planned work does not", cut, disturbance(Restart, "e", 0, time.Second), 1},
+		{"nor one that was over", cut, disturbance(Kill, "e", -time.Second, 0), 1},
+		{"a fault there explains a late answer", late, disturbance(Pause, "e", 0, time.Second), 0},
+		{"one elsewhere does not", late, disturbance(Pause, "other", 0, time.Second), 1},
 	} {
 		Convey(c.name, t, func() {
 			l := ledgerOf(1, c.r)
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -12,47 +12,48 @@
 
 // Kinds of faults.
 const (
-	// Kill ends a process at once; it starts again after For.
+	// Kill kills a process and starts it again after For.
 	Kill Kind = "kill"
-	// Pause stops a process for For and lets it go on.
+	// Pause pauses a process for For.
 	Pause Kind = "pause"
-	// Restart asks a process to end, as planned work does, and starts it again.
+	// Restart stops a process gracefully, as planned work does, and starts it again.
 	Restart Kind = "restart"
-	// Reload tells a process that its settings may have changed.
+	// Reload signals to a process that its settings may have changed.
 	Reload Kind = "reload"
-	// Wipe kills a core instance, takes its disk away and starts it again.
+	// Wipe kills a core instance, empties its disk and starts it again.
 	Wipe Kind = "wipe"
-	// Tear kills a core instance and leaves half a record at the end of its log.
+	// InterruptWrite kills a core instance, leaves a partial record at the end of its log
+	// and starts it again.
 	InterruptWrite Kind = "tear"
-	// Delay, HoldIn, HoldOut and Cut are troubles of the network before a process or
-	// a runner; ResetConns ends its connections.
+	// Delay, HoldIn, HoldOut and Cut impair the network in front of a process or a
+	// runner; ResetConns resets its connections.
 	Delay      Kind = "delay"
 	HoldIn     Kind = "hold_in"
 	HoldOut    Kind = "hold_out"
 	Cut        Kind = "cut"
 	ResetConns Kind = "reset"
-	// Crash ends a runner; another one comes under a new id after For.
+	// Crash ends a runner; another one starts under a new ID after For.
 	Crash Kind = "crash"
-	// Drain empties a runner as planned, and adds another one.
+	// Drain drains a runner as planned and replaces it by another one.
 	Drain Kind = "drain"
-	// Refuse has the platform's list answer with an error for For.
+	// Refuse has the platform's list return an error for For.
 	Refuse Kind = "refuse"
-	// Rebirth ends a runner, which starts again under its id after For.
+	// RestartRunner ends a runner, which starts again under its ID after For.
 	RestartRunner Kind = "rebirth"
-	// Foreign has the platform's list carry entries of another writer for For, which must
-	// disturb nobody.
+	// ForeignEntries adds entries of another writer to the platform's list for For, which
+	// must disturb no request.
 	ForeignEntries Kind = "foreign"
 )
 
-// Planned reports whether the fault is planned work, which disturbs no request.
+// Planned reports whether the fault is planned work, which must disturb no request.
 func (k Kind) Planned() bool { return k == Restart || k == Reload || k == Drain || k == ForeignEntries }
 
-// network reports whether the fault is one of a Forwarder.
+// network reports whether the fault is injected by a Forwarder.
 func (k Kind) network() bool {
 	return slices.Contains([]Kind{Delay, HoldIn, HoldOut, Cut, ResetConns}, k)
 }
 
-// Role is whom a fault concerns.
+// Role is the kind of component that a fault affects.
 type Role string
 
 // Roles.
@@ -63,25 +64,26 @@
 	RoleList   Role = "list"
 )
 
-// Fault is one fault of a plan.
+// Fault is a fault of a plan.
 type Fault struct {
 	Kind Kind
 	Role Role
-	// Number is the place among those of the role.
+	// Number is the index among the components of the role.
 	Number int
-	// At is counted from the start of the requests.
+	// At is the time from the start of the plan, For the duration.
 	At, For time.Duration
 }
 
-// String names the fault for logs.
+// String describes the fault for logs.
 func (f Fault) String() string {
 	return fmt.Sprintf("%v %s %s %d for %v", f.At, f.Kind, f.Role, f.Number, f.For)
 }
 
-// Shape is the size of a site.
+// Shape is the number of core instances, entry instances and runners of a site.
 type Shape struct{ Cores, Entries, Runners int }
 
-// kinds are those that may befall a role.
+// kinds are the faults that DrawFaults draws for each role; a kind that is listed twice is
+// twice as likely.
 var kinds = map[Role][]Kind{
 	RoleEntry:  {Kill, Pause, Restart, Restart, Reload, Delay, HoldIn, HoldOut, Cut, ResetConns},
 	RoleCore:   {Kill, Pause, Restart, Restart, Reload, Wipe, InterruptWrite, Delay, HoldIn, HoldOut, Cut, ResetConns},
@@ -90,20 +92,21 @@
 }
 
 const (
-	// shortest and longest bound a fault: from under a lost heartbeat to over an
-	// election and the life of what is reported.
-	shortest = 100 * time.Millisecond
-	longest  = 3500 * time.Millisecond
-	// meanGap is the mean time between the starts of two faults, so that they overlap.
+	// minFaultTime and maxFaultTime bound the duration of a fault: from less than a missed
+	// heartbeat to more than an election and the expiry of reports.
+	minFaultTime = 100 * time.Millisecond
+	maxFaultTime = 3500 * time.Millisecond
+	// meanGap is the mean time between the starts of two faults, short enough that they
+	// overlap.
 	meanGap = 450 * time.Millisecond
 )
 
-// plannedOnly is how many seeds there are for each one whose plan is planned work only:
-// what such work must not disturb shows only where no fault hides it.
-const plannedOnly = 4
+// plannedOnlyEvery is the interval of seeds whose plan is planned work only: what such work
+// disturbs shows only if no other fault hides it.
+const plannedOnlyEvery = 4
 
-// Draw draws the faults of a seed over a time. At most one disk is lost: the site bears
-// the loss of one at once, and a lost one is filled again some time later.
+// DrawFaults returns the faults of a seed within span, sorted by At. At most one disk is
+// wiped: the site tolerates the loss of one at a time, and restoring it takes a while.
 func DrawFaults(seed uint64, s Shape, span time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	roles := map[Role]int{RoleEntry: s.Entries, RoleCore: s.Cores, RoleRunner: s.Runners, RoleList: 1}
@@ -113,21 +116,21 @@
 	for at := gap(rng); at < span; at += gap(rng) {
 		role := names[rng.IntN(len(names))]
 		among := kinds[role]
-		if seed%plannedOnly == 0 {
+		if seed%plannedOnlyEvery == 0 {
 			among = slices.DeleteFunc(slices.Clone(among), func(k Kind) bool { return !k.Planned() })
 		}
 		if len(among) == 0 {
 			continue
 		}
 		kind := among[rng.IntN(len(among))]
-		f := Fault{Kind: kind, Role: role, Number: rng.IntN(roles[role]), At: at, For: length(rng)}
+		f := Fault{Kind: kind, Role: role, Number: rng.IntN(roles[role]), At: at, For: faultTime(rng)}
 		if kind == Wipe && wiped {
 			f.Kind = Kill
 		}
 		wiped = wiped || kind == Wipe
 		out = append(out, f)
 		if rng.IntN(4) == 0 && !kind.Planned() && kind != Wipe {
-			// The same befalls several at once.
+			// The same fault affects two components at once.
 			other := rng.IntN(roles[role])
 			if other != f.Number {
 				f.Number = other
@@ -138,14 +141,14 @@
 	return out
 }
 
-// DrawLater draws faults of the kinds that came when seeds had been kept: among the others
-// they would change the plans of these.
+// DrawExtraFaults returns faults of the kinds that DrawFaults must not draw, as they would
+// change the plans of the recorded seeds. They are sorted by At.
 func DrawExtraFaults(seed uint64, s Shape, span time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var out []Fault
-	for at := laterGap(rng); at < span; at += laterGap(rng) {
-		f := Fault{Kind: ForeignEntries, Role: RoleList, At: at, For: length(rng)}
-		if reborn := rng.IntN(s.Runners); rng.IntN(2) == 0 && seed%plannedOnly != 0 {
+	for at := extraGap(rng); at < span; at += extraGap(rng) {
+		f := Fault{Kind: ForeignEntries, Role: RoleList, At: at, For: faultTime(rng)}
+		if reborn := rng.IntN(s.Runners); rng.IntN(2) == 0 && seed%plannedOnlyEvery != 0 {
 			f.Kind, f.Role, f.Number = RestartRunner, RoleRunner, reborn
 		}
 		out = append(out, f)
@@ -153,13 +156,13 @@
 	return out
 }
 
-// laterGap is longer than a gap, as these faults come beside the others.
-func laterGap(rng *rand.Rand) time.Duration { return 3 * gap(rng) }
+// extraGap is longer than gap, as these faults are added to the others.
+func extraGap(rng *rand.Rand) time.Duration { return 3 * gap(rng) }
 
 func gap(rng *rand.Rand) time.Duration {
 	return time.Duration(rng.ExpFloat64() * float64(meanGap)).Round(time.Millisecond)
 }
 
-func length(rng *rand.Rand) time.Duration {
-	return (shortest + time.Duration(rng.Int64N(int64(longest-shortest)))).Round(time.Millisecond)
+func faultTime(rng *rand.Rand) time.Duration {
+	return (minFaultTime + time.Duration(rng.Int64N(int64(maxFaultTime-minFaultTime)))).Round(time.Millisecond)
 }
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -22,10 +22,10 @@
 		most := map[Role]int{RoleEntry: shape.Entries, RoleCore: shape.Cores, RoleRunner: shape.Runners, RoleList: 1}
 		wipes, last := 0, time.Duration(0)
 		for _, f := range plan {
-			if f.At < last || f.At >= span || f.For < shortest || f.For > longest || f.Number < 0 || f.Number >= most[f.Role] {
+			if f.At < last || f.At >= span || f.For < minFaultTime || f.For > maxFaultTime || f.Number < 0 || f.Number >= most[f.Role] {
 				t.Fatalf("%v", f)
 			}
-			if !slices.Contains(kinds[f.Role], f.Kind) || seed%plannedOnly == 0 && !f.Kind.Planned() {
+			if !slices.Contains(kinds[f.Role], f.Kind) || seed%plannedOnlyEvery == 0 && !f.Kind.Planned() {
 				t.Fatalf("%v", f)
 			}
 			if f.Kind == Wipe {
@@ -55,13 +55,13 @@
 	}
 }
 
-// Each of the later kinds comes, and seeds of planned work have nothing that disturbs.
+// Each extra kind is drawn, and seeds of planned work have no other faults.
 func TestLaterFaults(t *testing.T) {
 	drawn := map[Kind]int{}
 	for seed := range uint64(40) {
 		for _, f := range DrawExtraFaults(seed, Shape{Cores: 3, Entries: 3, Runners: 9}, time.Minute) {
 			drawn[f.Kind]++
-			if seed%plannedOnly == 0 && !f.Kind.Planned() {
+			if seed%plannedOnlyEvery == 0 && !f.Kind.Planned() {
 				t.Errorf("seed %d of planned work has %v", seed, f)
 			}
 			if f.At < 0 || f.At >= time.Minute || f.For <= 0 {
--- a/soak/process.go
+++ b/soak/process.go
@@ -14,25 +14,26 @@
 	"github.com/gullhaven/gullhaven/standin/loopback"
 )
 
-// killAfter is how long a process may take to end after it was asked to.
-const killAfter = 15 * time.Second
+// stopTimeout is how long a process may take to end after a signal.
+const stopTimeout = 15 * time.Second
 
-// process is one instance of the site, which may be started again and again.
+// process is an instance of the site. It can be restarted any number of times.
 type process struct {
 	binary, dir string
 	settings    map[string]any
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	ends chan struct{}
-	// wanted says that the process is to be there: an end by itself is a fault.
-	wanted bool
-	fault  func(format string, args ...any)
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{}
+	// shouldRun means that it is a violation if the process ends.
+	shouldRun bool
+	violation func(format string, args ...any)
 }
 
 func (p *process) name() string { return p.settings["instance"].(string) }
 
-// start runs the binary with the settings.
+// start starts the binary with the settings, unless it runs. first is the setting
+// first_start.
 func (p *process) start(first bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,61 +59,61 @@
 		return err
 	}
 	ends := make(chan struct{})
-	p.cmd, p.ends, p.wanted = cmd, ends, true
+	p.cmd, p.exited, p.shouldRun = cmd, ends, true
 	go func() {
 		err := cmd.Wait()
 		_ = out.Close()
-		p.ended(err)
+		p.handleExit(err)
 		close(ends)
 	}()
 	return nil
 }
 
-func (p *process) ended(err error) {
+func (p *process) handleExit(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.wanted {
-		p.fault("%s ended by itself: %v", p.name(), err)
+	if p.shouldRun {
+		p.violation("%s ended by itself: %v", p.name(), err)
 	}
 	p.cmd = nil
 }
 
-// signal reaches the process if it runs. expected says that it may end of it.
+// signal sends a signal to the process if it runs. expected means that it may end by it.
 func (p *process) signal(s syscall.Signal, expected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
-	p.wanted = p.wanted && !expected
+	p.shouldRun = p.shouldRun && !expected
 	if err := p.cmd.Process.Signal(s); err != nil {
-		// It has ended in this moment; Wait tells.
+		// It has just ended; Wait reports that.
 		return
 	}
 }
 
-// stop ends the process and waits for its end. One that does not end when asked is a
-// fault.
+// stop sends a signal to the process and waits for its end. If it does not end within
+// stopTimeout, that is a violation, and it is killed.
 func (p *process) stop(s syscall.Signal) {
 	p.signal(s, true)
-	// A paused process ends only when it goes on.
+	// A paused process ends only after it continues.
 	p.signal(syscall.SIGCONT, true)
 	p.mu.Lock()
-	cmd, ends := p.cmd, p.ends
+	cmd, ends := p.cmd, p.exited
 	p.mu.Unlock()
 	if cmd == nil {
 		return
 	}
 	select {
 	case <-ends:
-	case <-time.After(killAfter):
-		p.fault("%s did not end within %v of signal %v", p.name(), killAfter, s)
+	case <-time.After(stopTimeout):
+		p.violation("%s did not end within %v of signal %v", p.name(), stopTimeout, s)
 		p.signal(syscall.SIGKILL, true)
 		<-ends
 	}
 }
 
-// wipe takes the disk away.
+// wipe empties the disk.
 func (p *process) wipe() error {
 	disk := p.disk()
 	if err := os.RemoveAll(disk); err != nil {
@@ -121,9 +122,9 @@
 	return os.MkdirAll(disk, 0o700)
 }
 
-// tear leaves the beginning of a record at the end of the newest file of the log, as a
-// loss of power in the middle of a write does.
-func (p *process) tear() error {
+// interruptWrite appends the beginning of a record to the newest file of the log, as a power
+// loss during a write does.
+func (p *process) interruptWrite() error {
 	segments, err := filepath.Glob(filepath.Join(p.disk(), "log", "*.wal"))
 	if err != nil || len(segments) == 0 {
 		return err
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -40,21 +40,20 @@
 	os.Exit(code)
 }
 
-// shortSeeds are played by each run of the tests: one of mixed faults, and one of planned
-// work only.
+// shortSeeds run with all tests: one of mixed faults, and one of planned work only.
 var shortSeeds = []uint64{1, 4}
 
-// shortSpan is how long their faults are made.
+// shortSpan is the time within which their faults begin.
 const shortSpan = 6 * time.Second
 
 func TestShortSoak(t *testing.T) {
 	for _, seed := range shortSeeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playSeed(t, seed, shortSpan, true) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed, shortSpan, true) })
 	}
 }
 
-// failedOnce are seeds that showed a fault once, each with its cause.
-var failedOnce = []struct {
+// formerFailures are seeds that failed before, each with its cause.
+var formerFailures = []struct {
 	seed  uint64
 	span  time.Duration
 	cause string
@@ -64,8 +63,8 @@
 }
 
 func TestSeedsThatFailedOnce(t *testing.T) {
-	for _, s := range failedOnce {
-		t.Run(fmt.Sprint(s.seed, " ", s.cause), func(t *testing.T) { playSeed(t, s.seed, s.span, false) })
+	for _, s := range formerFailures {
+		t.Run(fmt.Sprint(s.seed, " ", s.cause), func(t *testing.T) { runSeed(t, s.seed, s.span, false) })
 	}
 }
 
@@ -83,13 +82,13 @@
 		t.Fatalf("seeds %q", *seeds)
 	}
 	for seed := first; seed <= last; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playSeed(t, seed, *span, true) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed, *span, true) })
 	}
 }
 
-// playSeed starts a site, makes the faults of a seed, waits until it serves again, ends
-// it, and checks all that was seen.
-func playSeed(t *testing.T, seed uint64, span time.Duration, later bool) {
+// runSeed starts a site, injects the faults of a seed, waits until the site serves again,
+// stops it, and checks all observations. extra adds the faults of DrawExtraFaults.
+func runSeed(t *testing.T, seed uint64, span time.Duration, extra bool) {
 	shape := Shape{Cores: 4, Entries: 4, Runners: 9}
 	dir := t.TempDir()
 	w, err := NewWorld(Options{Binary: binary, Dir: dir, Shape: shape, Log: t.Logf})
@@ -103,38 +102,39 @@
 	}()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	problems := w.play(ctx, seed, shape, span, later)
+	problems := w.runPlan(ctx, seed, shape, span, extra)
 	for _, p := range append(problems, w.Ledger.Violations()...) {
 		t.Error(p)
 	}
-	t.Logf("%d requests served, %d runs, newest version %d", w.Ledger.Served(), w.book.Total(), w.Ledger.Newest(time.Now()))
+	t.Logf("%d requests served, %d runs, newest version %d", w.Ledger.Served(), w.runLog.Total(), w.Ledger.Newest(time.Now()))
 	if w.Ledger.Served() == 0 {
 		t.Error("no request was served")
 	}
 }
 
-// play returns what keeps the site from serving; the processes have ended then.
-func (w *World) play(ctx context.Context, seed uint64, shape Shape, span time.Duration, later bool) (problems []string) {
+// runPlan runs the plan of a seed and returns what keeps the site from serving. The processes
+// have ended when it returns.
+func (w *World) runPlan(ctx context.Context, seed uint64, shape Shape, span time.Duration, extra bool) (problems []string) {
 	defer w.End()
-	note := func(err error) bool {
+	record := func(err error) bool {
 		if err != nil {
 			problems = append(problems, err.Error())
 		}
 		return err == nil
 	}
-	if !note(w.Configure(ctx)) || !note(w.AwaitServing(ctx, "start")) {
+	if !record(w.Configure(ctx)) || !record(w.AwaitServing(ctx, "start")) {
 		return problems
 	}
 	stop := w.Start(ctx, seed)
 	faults := DrawFaults(seed, shape, span)
-	if later {
+	if extra {
 		faults = append(faults, DrawExtraFaults(seed, shape, span)...)
 		slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	}
 	w.InjectFaults(ctx, faults)
-	note(w.AwaitServing(ctx, "after"))
+	record(w.AwaitServing(ctx, "after"))
 	stop()
-	note(w.AwaitAgreement(ctx))
+	record(w.AwaitAgreement(ctx))
 	return problems
 }
 
--- a/soak/subnet.go
+++ b/soak/subnet.go
@@ -9,18 +9,17 @@
 	"github.com/gullhaven/gullhaven/standin/loopback"
 )
 
-// Ports are handed out below the range that the system takes the local ports of
-// connections and of listeners at any port from: one of that range can be taken by any
-// program between the end of a runner and the start of its successor.
+// Ports are allocated below the range of ephemeral ports: one of that range can be taken by
+// any program between the end of a runner and the start of its successor.
 const (
 	firstPort = 10000
 	lastPort  = 14999
 )
 
-// subnet is a part of the loopback network for one World, so that several may run.
+// subnet is a part of the loopback network for one World, so that several can run at once.
 type subnet struct {
 	b, c int
-	// next is the port that is tried next: none is given out twice.
+	// next is the next port to try; none is allocated twice.
 	next int
 }
 
@@ -31,7 +30,7 @@
 
 func (s *subnet) host(n int) string { return fmt.Sprintf("127.%d.%d.%d", s.b, s.c, n+1) }
 
-// address is one of a host, with a port that is given out once.
+// address returns an address of a host with a free port, which is not allocated again.
 func (s *subnet) address(host string) (string, error) {
 	for s.next <= lastPort {
 		address := fmt.Sprintf("%s:%d", host, s.next)
@@ -43,7 +42,7 @@
 	return "", fmt.Errorf("no port is left at %s", host)
 }
 
-// port is one that is free at a number of hosts.
+// port returns a port that is free at the first hosts of the subnet.
 func (s *subnet) port(hosts int) (int, error) {
 	for s.next <= lastPort {
 		port := s.next
@@ -64,7 +63,7 @@
 	return true
 }
 
-// server is an HTTP server whose address is used again after its end.
+// server is an HTTP server whose address is reused after its end.
 type server struct {
 	http http.Server
 	l    net.Listener
@@ -75,13 +74,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &server{http: http.Server{Handler: h, ReadHeaderTimeout: settle}, l: l}
+	s := &server{http: http.Server{Handler: h, ReadHeaderTimeout: effectTime}, l: l}
 	go func() { _ = s.http.Serve(l) }()
 	return s, nil
 }
 
-// end closes the listener too: one that does not serve yet would be closed later, while a
-// process may be starting.
+// end closes the server and its listener. Without the latter, a listener that is not served
+// yet would be closed later, while a process may be starting.
 func (s *server) end() error {
 	err := loopback.Close(&s.http)
 	_ = loopback.Close(s.l)
--- a/soak/subnet_test.go
+++ b/soak/subnet_test.go
@@ -13,10 +13,9 @@
 	"github.com/gullhaven/gullhaven/standin/loopback"
 )
 
-// Symptom: the successor of a runner cannot listen, "address already in use", seconds after
-// the runner has ended.
-// Events: a runner ends; before its successor starts, another program listens at any port.
-// Cause: the port was one of those that the system gives out.
+// Guards against the successor of a runner that can't listen ("address already in use")
+// seconds after the runner has ended: if its port is an ephemeral one, another program can
+// take it in between.
 func TestPortsAreNotThoseThatTheSystemGivesOut(t *testing.T) {
 	data, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
@@ -41,9 +40,8 @@
 	}
 }
 
-// Symptom: the same.
-// Events: processes are started while the server of a runner is closed.
-// Cause: a process that was being started held a copy of the closed listener.
+// Guards against the same failure when processes are started while the server of a runner is
+// closed: a starting process holds a copy of the listener.
 func TestAddressIsFreeOnceItsServerIsClosed(t *testing.T) {
 	s := newSubnet()
 	address, err := s.address(s.host(0))
--- a/soak/world.go
+++ b/soak/world.go
@@ -15,82 +15,84 @@
 	"github.com/gullhaven/gullhaven/platform/platformtest"
 )
 
-// Options of a World.
+// Options configures a World.
 type Options struct {
-	// Binary is the daemon's, Dir a folder for settings, disks and logs.
+	// Binary is the path of the daemon, Dir a folder for settings, disks and logs.
 	Binary, Dir string
 	Shape       Shape
 	Log         func(format string, args ...any)
 }
 
 const (
-	// zones, each a region of its own, as a zone's loss must be borne.
+	// zones is the number of zones. Each is a region of its own, as the site must
+	// tolerate the loss of a zone.
 	zones = 3
-	// work is the time that a runner takes for an answer and between two events.
-	work = 30 * time.Millisecond
-	// events is the length of a stream.
-	events = 12
-	// firstRunner is the number of the first runner's address, behind those of processes.
+	// workTime is the time that a runner takes for an answer and between two events.
+	workTime = 30 * time.Millisecond
+	// streamEvents is the number of events of a stream.
+	streamEvents = 12
+	// firstRunner is the number of the first runner's host, after those of processes.
 	firstRunner = 100
-	// grace is the time that a process has to end.
-	grace = 6
-	// drained is how long a drained runner stays there: the time within which no request
-	// comes to it any more, and that of what it runs.
-	drained = 7 * time.Second
-	// settle is how long after its end a fault may still have effects: what was held back
-	// is sent again, links are dialled again, what was lost is missed.
-	settle = 4 * time.Second
+	// graceSeconds is the time that a process has to end.
+	graceSeconds = 6
+	// drainTime is how long a drained runner stays: the time until no more requests
+	// come to it, and that of the requests that it runs.
+	drainTime = 7 * time.Second
+	// effectTime is how long after its end a fault may still have effects: held bytes are
+	// delivered, links are dialled again, losses are detected.
+	effectTime = 4 * time.Second
 )
 
-// World is a site of processes with stand-ins of the platform around it.
+// World is a site of processes with a stand-in for the platform.
 type World struct {
-	o       Options
-	Ledger  *Ledger
-	book    *platformtest.Book
-	list    *platformtest.List
-	entries []*entry
-	cores   []*coreInstance
-	runners []*runner
-	listing *http.Server
-	// next numbers the ids of runners.
-	next int
-	mu   sync.Mutex
-	wg   sync.WaitGroup
+	o          Options
+	Ledger     *Ledger
+	runLog     *platformtest.Book
+	list       *platformtest.List
+	entries    []*entry
+	cores      []*coreInstance
+	runners    []*runner
+	listServer *http.Server
+	// nextID numbers the IDs of runners.
+	nextID int
+	mu     sync.Mutex
+	wg     sync.WaitGroup
 }
 
-// behind is what stands behind a Forwarder.
-type behind struct{ forwarder *Forwarder }
+// forwarded is embedded in everything behind a Forwarder.
+type forwarded struct{ forwarder *Forwarder }
 
 type entry struct {
-	behind
+	forwarded
 	process
 	callers, directory, region string
 }
 
 type coreInstance struct {
-	behind
+	forwarded
 	process
 	operators string
 }
 
-// runner is a runner's address; one after the other runs there, under new ids or the same.
+// runner is a runner's address, where one runner after the other runs, under a new ID or
+// the same.
 type runner struct {
-	behind
+	forwarded
 	service, zone string
 	server        *server
-	listed        platformtest.Listed
-	// replacing is held while a runner is followed by another one.
+	listEntry     platformtest.Listed
+	// replacing is held while a runner is replaced.
 	replacing sync.Mutex
 }
 
-// NewWorld starts the site and waits for nothing.
+// NewWorld starts the site without waiting until it serves. The caller must call End.
 func NewWorld(o Options) (*World, error) {
-	w := &World{o: o, book: &platformtest.Book{}, list: &platformtest.List{}}
-	w.Ledger = &Ledger{Events: events, Runs: w.book.Runs, WrongWorkspace: w.book.Strange, Deadline: deadline, Slack: slack}
+	w := &World{o: o, runLog: &platformtest.Book{}, list: &platformtest.List{}}
+	w.Ledger = &Ledger{Events: streamEvents, Runs: w.runLog.Runs, WrongWorkspace: w.runLog.Strange, Deadline: deadline, Slack: slack}
 	return w, w.build()
 }
 
-// build makes the stand-ins, the forwarders and the processes, and starts them.
+// build creates and starts the stand-ins, the forwarders and the processes.
 func (w *World) build() error {
 	listen, err := w.serveList()
 	if err != nil {
@@ -100,7 +102,7 @@
 	if err := w.addRunners(net); err != nil {
 		return err
 	}
-	// All instances are reached at the same port, each at an address of its own.
+	// All instances use the same port, each at its own IP.
 	port, err := net.port(w.o.Shape.Cores + w.o.Shape.Entries)
 	if err != nil {
 		return err
@@ -122,22 +124,22 @@
 	return w.startAll(true)
 }
 
-// layout is where the instances of a World are.
+// layout holds the addresses of a World.
 type layout struct {
 	net *subnet
-	// port is where other instances reach each of them.
+	// port is the port at which other instances reach each instance.
 	port  int
 	list  string
 	seeds []string
 }
 
-// instance is the address for other instances of the n-th of all.
+// instance returns the address for other instances of instance n, core instances first.
 func (l *layout) instance(n int) string { return fmt.Sprintf("%s:%d", l.net.host(n), l.port) }
 
-// addCore makes a core instance; they come first among all.
+// addCore adds core instance n.
 func (w *World) addCore(l *layout, n int) error {
 	c := &coreInstance{}
-	addresses, err := w.prepare(l, &c.process, &c.behind, "core", n, n)
+	addresses, err := w.prepare(l, &c.process, &c.forwarded, "core", n, n)
 	if err != nil {
 		return err
 	}
@@ -149,10 +151,10 @@
 	return nil
 }
 
-// addEntry makes an entry instance.
+// addEntry adds entry instance n.
 func (w *World) addEntry(l *layout, n int) error {
 	e, at := &entry{region: region(n)}, w.o.Shape.Cores+n
-	addresses, err := w.prepare(l, &e.process, &e.behind, "entry", n, at)
+	addresses, err := w.prepare(l, &e.process, &e.forwarded, "entry", n, at)
 	if err != nil {
 		return err
 	}
@@ -166,10 +168,10 @@
 	return nil
 }
 
-// prepare fills in what both roles have: the settings of the number-th of a role, at a
-// place among all, its folder and its forwarder. It returns the addresses of the settings,
-// to which the role adds its own.
-func (w *World) prepare(l *layout, p *process, b *behind, role string, number, at int) (map[string]string, error) {
+// prepare sets up what both roles have: the settings, the folder and the forwarder of the
+// instance with this number in its role and index at among all. It returns the addresses of
+// the settings, to which the caller adds those of the role.
+func (w *World) prepare(l *layout, p *process, b *forwarded, role string, number, at int) (map[string]string, error) {
 	dir := filepath.Join(w.o.Dir, fmt.Sprint(role, "-", number))
 	disk := filepath.Join(dir, "disk")
 	if err := os.MkdirAll(disk, 0o700); err != nil {
@@ -180,11 +182,11 @@
 		return nil, err
 	}
 	addresses := map[string]string{"instances": l.instance(at), "instances_bind": bind}
-	p.binary, p.dir, p.fault = w.o.Binary, dir, w.Ledger.AddViolation
+	p.binary, p.dir, p.violation = w.o.Binary, dir, w.Ledger.AddViolation
 	p.settings = map[string]any{
 		"instance": filepath.Base(dir), "region": region(number), "zone": zone(number),
 		"regions": map[string]string{"z0": "r0", "z1": "r1", "z2": "r2"}, "listen": addresses, "seeds": l.seeds,
-		"instance_list": l.list, "data_dir": disk, "grace_seconds": grace, "log_level": "debug",
+		"instance_list": l.list, "data_dir": disk, "grace_seconds": graceSeconds, "log_level": "debug",
 		"retries": map[string]any{"share": 0.2, "allowance": 50},
 	}
 	b.forwarder, err = Forward(l.instance(at), bind)
@@ -194,7 +196,7 @@
 func zone(n int) string   { return fmt.Sprint("z", n%zones) }
 func region(n int) string { return fmt.Sprint("r", n%zones) }
 
-// startAll starts what does not run.
+// startAll starts all processes that don't run.
 func (w *World) startAll(first bool) error {
 	for _, p := range w.processes() {
 		if err := p.start(first); err != nil {
@@ -220,12 +222,12 @@
 	if err != nil {
 		return "", err
 	}
-	w.listing = &http.Server{Handler: w.list, ReadHeaderTimeout: settle}
-	go func() { _ = w.listing.Serve(l) }()
+	w.listServer = &http.Server{Handler: w.list, ReadHeaderTimeout: effectTime}
+	go func() { _ = w.listServer.Serve(l) }()
 	return l.Addr().String(), nil
 }
 
-// addRunners adds the runners of both services by turns to all zones.
+// addRunners adds runners of both services to all zones in turn.
 func (w *World) addRunners(net *subnet) error {
 	for n := range w.o.Shape.Runners {
 		service := platformtest.ServiceDesk
@@ -255,32 +257,33 @@
 func (w *World) newID() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next++
-	return fmt.Sprint("i-", w.next)
+	w.nextID++
+	return fmt.Sprint("i-", w.nextID)
 }
 
-// serve starts a runner under an id and lists it.
+// serve starts a runner with this ID and lists it.
 func (w *World) serve(r *runner, id string) error {
-	server, err := serve(r.forwarder.to, &platformtest.Runner{ID: id, Book: w.book, Work: work, Events: events})
+	server, err := serve(r.forwarder.to, &platformtest.Runner{ID: id, Book: w.runLog, Work: workTime, Events: streamEvents})
 	if err != nil {
 		return err
 	}
 	listed := platformtest.Listed{ID: id, Service: r.service, Address: r.forwarder.Address(), Zone: r.zone, Slots: 16, Born: time.Now().UnixMilli()}
 	w.mu.Lock()
-	r.server, r.listed = server, listed
+	r.server, r.listEntry = server, listed
 	w.mu.Unlock()
 	w.list.Add(listed)
 	return nil
 }
 
-// held is what a runner is now.
-func (w *World) held(r *runner) (*server, string) {
+// current returns the server and the ID that run at a runner's address.
+func (w *World) current(r *runner) (*server, string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return r.server, r.listed.ID
+	return r.server, r.listEntry.ID
 }
 
-// Play carries out faults, each at its time, and returns when all are over.
+// InjectFaults injects faults, each at its time, and returns when all are over. faults must
+// be sorted by At.
 func (w *World) InjectFaults(ctx context.Context, faults []Fault) {
 	began := time.Now()
 	var wg sync.WaitGroup
@@ -295,44 +298,43 @@
 			if f.Role == RoleEntry {
 				d.Entry = w.entries[f.Number].callers
 			}
-			if err := w.carryOut(f); err != nil {
+			if err := w.inject(f); err != nil {
 				w.Ledger.AddViolation("%v: %v", f, err)
 			}
-			d.To = time.Now().Add(settle)
+			d.To = time.Now().Add(effectTime)
 			w.Ledger.AddDisturbance(d)
 		})
 	}
 	wg.Wait()
 }
 
-func (w *World) carryOut(f Fault) error {
+func (w *World) inject(f Fault) error {
 	if f.Kind.network() {
-		f.trouble(w.forwarder(f))
+		f.injectNetworkFault(w.forwarder(f))
 		return nil
 	}
 	switch f.Role {
 	case RoleList:
-		w.troubleList(f)
+		w.injectListFault(f)
 		return nil
 	case RoleRunner:
 		return w.replace(w.runners[f.Number], f)
 	case RoleCore:
-		return w.cores[f.Number].befall(f)
+		return w.cores[f.Number].inject(f)
 	default:
-		return w.entries[f.Number].befall(f)
+		return w.entries[f.Number].inject(f)
 	}
 }
 
-// foreignEntries have fields of another type or none, and states and services that are not
-// known.
+// foreignEntries have fields of other types or none, and unknown states and services.
 var foreignEntries = []string{
 	`{"id":7,"service":["x"],"address":null}`, `"i-1"`, `{}`, `null`,
 	`{"id":"i-1","service":"desk","address":"127.0.0.1:1","zone":"z0","slots":4,"state":"resting","coldRemainingMs":0}`,
 	`{"id":"w-1","service":"elsewhere","address":"127.0.0.1:1","zone":"z9","slots":"many","state":"ready","born":"now"}`,
 }
 
-// troubleList makes a fault of the platform's list.
-func (w *World) troubleList(f Fault) {
+// injectListFault injects a fault of the platform's list.
+func (w *World) injectListFault(f Fault) {
 	if f.Kind == ForeignEntries {
 		w.list.Foreign(foreignEntries...)
 		time.Sleep(f.For)
@@ -344,7 +346,7 @@
 	w.list.Refuse(0)
 }
 
-// forwarder is the one that a fault of the network concerns.
+// forwarder returns the forwarder for a network fault.
 func (w *World) forwarder(f Fault) *Forwarder {
 	switch f.Role {
 	case RoleRunner:
@@ -356,8 +358,8 @@
 	}
 }
 
-// trouble makes a fault of the network.
-func (f Fault) trouble(x *Forwarder) {
+// injectNetworkFault injects a network fault at a forwarder.
+func (f Fault) injectNetworkFault(x *Forwarder) {
 	if f.Kind == ResetConns {
 		x.Reset()
 		return
@@ -369,8 +371,8 @@
 	x.SetImpairment(Impairment{})
 }
 
-// befall makes a fault of a process.
-func (p *process) befall(f Fault) error {
+// inject injects a fault into a process.
+func (p *process) inject(f Fault) error {
 	switch f.Kind {
 	case Pause:
 		p.signal(syscall.SIGSTOP, false)
@@ -390,18 +392,18 @@
 	case Wipe:
 		err = p.wipe()
 	case InterruptWrite:
-		err = p.tear()
+		err = p.interruptWrite()
 	}
 	time.Sleep(f.For)
 	return errors.Join(err, p.start(false))
 }
 
-// replace ends a runner, by a crash or as planned, and starts another one there.
+// replace ends a runner, by a crash or as planned, and starts another one at its address.
 func (w *World) replace(r *runner, f Fault) error {
-	server, id := w.held(r)
+	server, id := w.current(r)
 	if f.Kind == Drain {
 		w.list.Drain(id)
-		time.Sleep(drained)
+		time.Sleep(drainTime)
 	}
 	if err := server.end(); err != nil {
 		return err
@@ -410,22 +412,22 @@
 	if f.Kind != RestartRunner {
 		id = w.newID()
 	}
-	return w.succeed(r, server, id)
+	return w.startSuccessor(r, server, id)
 }
 
-// succeed starts a runner in the place of one that has ended, unless another fault has
-// done so.
-func (w *World) succeed(r *runner, ended *server, id string) error {
+// startSuccessor starts a runner at the address of one that has ended, unless another fault
+// has already done so.
+func (w *World) startSuccessor(r *runner, ended *server, id string) error {
 	r.replacing.Lock()
 	defer r.replacing.Unlock()
-	if now, _ := w.held(r); now != ended {
+	if now, _ := w.current(r); now != ended {
 		return nil
 	}
-	w.list.Remove(r.listed.ID)
+	w.list.Remove(r.listEntry.ID)
 	return w.serve(r, id)
 }
 
-// End stops all processes and stand-ins. Nothing runs afterwards.
+// End stops all processes and stand-ins, and waits for them.
 func (w *World) End() {
 	var wg sync.WaitGroup
 	for _, p := range w.processes() {
@@ -440,8 +442,8 @@
 	}
 	for _, r := range w.runners {
 		r.forwarder.Close()
-		server, _ := w.held(r)
+		server, _ := w.current(r)
 		_ = server.end()
 	}
-	_ = w.listing.Close()
+	_ = w.listServer.Close()
 }
