--- a/e2e/answers_test.go
+++ b/e2e/answers_test.go
@@ -8,13 +8,12 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// Symptom: a caller gets another's answer, or takes a part of one for the whole.
-// Events: many callers ask at once through all instances of a region; engines
-// double, reorder, delay, cut, lose, forge and leave out chunks, and break off.
-// Cause: answers matched by order or connection, or an end of bytes that is
-// taken for the end of an answer.
+// Guards against callers that get another caller's answer or take a part for a complete
+// one, if answers are matched by order or connection, or the end of bytes is taken for
+// the end of an answer. Many callers send requests through all instances of a region,
+// while engines duplicate, reorder, delay, cut, lose, forge and omit chunks.
 func TestWholeAnswersUnderFaults(t *testing.T) {
-	c := startShape(t, shape{perRegion: 3, engines: 3, sites: true})
+	c := startShape(t, shape{perRegion: 3, engines: 3, inProcessTargets: true})
 	kinds := []standin.FaultKind{
 		standin.FaultDuplicate, standin.FaultReorder, standin.FaultLate, standin.FaultCut, standin.FaultLost,
 		standin.FaultGap, standin.FaultForeign, standin.FaultShort, standin.FaultSlow, standin.FaultWrongAnswer, standin.FaultError,
@@ -23,8 +22,8 @@
 	for _, kind := range kinds {
 		faults = append(faults, standin.Fault{Kind: kind, Match: "<" + string(kind) + ">", Chunk: 3, DelayMillis: 20})
 	}
-	c.sites["jatim"].setFaults(faults...)
-	// Kinds whose answers come whole all the same.
+	c.targets["jatim"].setFaults(faults...)
+	// Kinds of faults whose answers must be complete.
 	whole := map[standin.FaultKind]bool{
 		"": true, standin.FaultDuplicate: true, standin.FaultReorder: true, standin.FaultLate: true,
 		standin.FaultCut: true, standin.FaultForeign: true, standin.FaultSlow: true,
@@ -34,7 +33,7 @@
 	var wg sync.WaitGroup
 	for n := range rounds * len(kinds) {
 		kind := kinds[n%len(kinds)]
-		i := c.in("jatim")[n%3]
+		i := c.inRegion("jatim")[n%3]
 		wg.Go(func() {
 			prompt := fmt.Sprintf("caller %d <%s>", n, kind)
 			tokens := 6 + n%9
--- a/e2e/caller_test.go
+++ b/e2e/caller_test.go
@@ -12,29 +12,29 @@
 	"github.com/gullhaven/gullhaven/pipeline"
 )
 
-// standinTokenTime is the time that an engine of a site takes for a token.
+// standinTokenTime is the time per token of an engine in the test's process.
 const standinTokenTime = 2 * time.Millisecond
 
 // headers of a request.
 type headers map[string]string
 
-// Marks of a sending.
+// Marks of an attempt.
 var (
-	firstSending = headers{pipeline.HeaderResend: "false"}
-	resent       = headers{pipeline.HeaderResend: "true"}
+	markedFirst  = headers{pipeline.HeaderResend: "false"}
+	markedResend = headers{pipeline.HeaderResend: "true"}
 )
 
-// reply is a whole answer, read to its end.
+// reply is a complete answer.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// refusal is empty for an answer of a target.
+	// refusal is zero for an answer of a target.
 	refusal pipeline.RefusalDetail
 }
 
-// told is the verdict that a reply gives its caller.
-func (r *reply) told() verdict.Verdict {
+// callerVerdict returns the verdict that a reply gives its caller.
+func (r *reply) callerVerdict() verdict.Verdict {
 	if r.refusal.Code == "" {
 		return verdict.Ran
 	}
@@ -64,17 +64,17 @@
 	return r, nil
 }
 
-// request sends any request with the key of a workspace. The error is of a
-// connection that gave no whole answer.
+// request sends any request with the key of a workspace. It returns an error if the
+// connection gave no complete answer.
 func (c *cluster) request(i *instance, method, path, workspace, body string, h headers) (*reply, error) {
-	resp, err := c.ask(i, method, path, workspace, body, h)
+	resp, err := c.send(i, method, path, workspace, body, h)
 	if err != nil {
 		return nil, err
 	}
 	return read(resp)
 }
 
-// book sends a booking under a key.
+// book sends a booking with an idempotency key.
 func (c *cluster) book(i *instance, workspace, key string, h headers) (*reply, error) {
 	all := headers{pipeline.HeaderIdempotencyKey: key}
 	for name, value := range h {
@@ -83,7 +83,7 @@
 	return c.request(i, http.MethodPost, "/services/desk/bookings/"+key, workspace, `{"booking":"`+key+`"}`, all)
 }
 
-// mustBook is book where an answer must come.
+// mustBook is book; the test fails if there is no reply.
 func (c *cluster) mustBook(i *instance, workspace, key string, h headers) *reply {
 	c.t.Helper()
 	r, err := c.book(i, workspace, key, h)
@@ -91,7 +91,7 @@
 	return r
 }
 
-// metric reads a counter or gauge of an instance.
+// metric returns the value of a counter or gauge of an instance.
 func (c *cluster) metric(i *instance, name string) string {
 	c.t.Helper()
 	for line := range strings.Lines(c.page(i.settings.Listen.Operators, "/metrics")) {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// page reads a page of an interface of an instance.
+// page returns the body of a page of an instance.
 func (c *cluster) page(address, path string) string {
 	c.t.Helper()
 	resp, err := c.client.Get("http://" + address + path)
@@ -113,8 +113,8 @@
 	return r.body
 }
 
-// in are the instances of a region.
-func (c *cluster) in(region string) []*instance {
+// inRegion returns the instances of a region.
+func (c *cluster) inRegion(region string) []*instance {
 	var list []*instance
 	for _, i := range c.instances {
 		if i.settings.Region == region {
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -1,5 +1,5 @@
-// Package e2e runs whole systems of separate processes on loopback and kills,
-// stops and wipes them.
+// Package e2e tests whole systems of separate processes on loopback that are
+// killed, stopped and wiped.
 package e2e
 
 import (
@@ -24,28 +24,28 @@
 	"github.com/gullhaven/gullhaven/bundle"
 	"github.com/gullhaven/gullhaven/coord/keys"
 	"github.com/gullhaven/gullhaven/standin/loopback"
-	// The binary is built by TestMain, which the test cache does not see: with
-	// the import a change of the product runs the tests again.
+	// TestMain builds the binary, which the test cache does not track. The
+	// import makes a change of the daemon invalidate cached results.
 	_ "github.com/gullhaven/gullhaven/daemon"
 	"github.com/gullhaven/gullhaven/settings"
 )
 
 const (
-	// patience bounds how long a test waits for what must come about. It is
-	// far above what is measured, so that a busy machine changes no verdict.
-	patience = 60 * time.Second
-	// pollInterval is the time between two looks.
+	// waitTimeout bounds how long a test waits for a condition. It is far above
+	// usual times, so that a busy machine does not change a result.
+	waitTimeout = 60 * time.Second
+	// pollInterval is the time between two checks of a condition.
 	pollInterval = 50 * time.Millisecond
-	// callerKey begins the keys of the workspaces.
+	// callerKey is the prefix of the workspaces' keys.
 	callerKey = "caller-key"
-	// boundWorkspace is a workspace that is bound to boundRegion.
+	// boundWorkspace is a workspace with residency in boundRegion only.
 	boundWorkspace, boundRegion = "bound", "bali"
-	// clustersAtOnce bounds the clusters that run at the same time.
-	clustersAtOnce = 3
+	// maxClusters bounds the clusters that run at the same time.
+	maxClusters = 3
 )
 
-// turns bounds the clusters that run at the same time.
-var turns = make(chan struct{}, clustersAtOnce)
+// clusterSlots is a semaphore for clusters that run at the same time.
+var clusterSlots = make(chan struct{}, maxClusters)
 
 // binary is the daemon under test, built once.
 var binary string
@@ -61,7 +61,7 @@
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 		os.Exit(1)
 	}
-	ports, err := holdPorts()
+	ports, err := reservePorts()
 	if err != nil {
 		panic(err)
 	}
@@ -71,7 +71,7 @@
 	os.Exit(code)
 }
 
-// instance is one process of a cluster.
+// instance is an instance of a cluster, a process of its own.
 type instance struct {
 	c        *cluster
 	settings *settings.Settings
@@ -81,23 +81,23 @@
 	stopped  bool
 }
 
-// shape says how large a cluster is and what stands in for its targets.
+// shape is the size of a cluster and the kind of its targets.
 type shape struct {
-	// perRegion is how many instances each region has.
+	// perRegion is the number of instances of each region.
 	perRegion int
-	// voters of a region, where there are more than one.
+	// voters is the number of voters by region; default 1.
 	voters map[string]int
-	// neighbours says that every region may spill all it has to every other.
+	// neighbours lets every region spill all requests to every other.
 	neighbours bool
-	// engines of a region; default 1.
+	// engines is the number of engines of each region; default 1.
 	engines int
-	// sites runs the targets in the test's process, where each has a server of
-	// its own: their counters outlive a loss of their servers. Else those of
-	// each region run in one more process.
-	sites bool
+	// inProcessTargets runs the targets in the test's process, each with a server
+	// of its own, so that their counters survive the loss of a server. Otherwise
+	// those of each region run in one separate process.
+	inProcessTargets bool
 }
 
-// cluster is a system of instances in separate processes, and its targets.
+// cluster is a system of instances in separate processes with its targets.
 type cluster struct {
 	t         *testing.T
 	shape     shape
@@ -107,38 +107,39 @@
 	instances []*instance
 	bundle    *bundle.Bundle
 	standins  []*exec.Cmd
-	sites     map[string]*site
+	targets   map[string]*regionTargets
 	client    *http.Client
 }
 
-// regionNames of clusters; the first instance of each is a voter with a disk.
+// regionNames are the regions of each cluster. The first instance of each is a
+// voter with a disk.
 var regionNames = []string{"jatim", "bali", "jabar"}
 
-// startCluster runs perRegion instances in each of three regions, with stand-ins
-// of each region's targets in one more, and puts a first bundle in force.
+// startCluster starts perRegion instances in each of three regions, and one process
+// with each region's targets, and puts a first bundle in force.
 func startCluster(t *testing.T, perRegion int) *cluster {
 	t.Helper()
 	return startShape(t, shape{perRegion: perRegion})
 }
 
-// startShape waits for its turn, runs a cluster and puts a first bundle in force.
+// startShape waits for a slot, starts a cluster and puts a first bundle in force.
 func startShape(t *testing.T, s shape) *cluster {
 	t.Helper()
 	t.Parallel()
-	turns <- struct{}{}
-	t.Cleanup(func() { <-turns })
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
 	_, operator, err := ed25519.GenerateKey(nil)
 	must(t, err)
 	s.engines = max(1, s.engines)
-	// Over a connection that it kept, the client would send a request with an
-	// idempotency key again by itself, unseen by the test.
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	// On an idle connection, the client would retry a request with an idempotency
+	// key by itself, unnoticed by the test.
+	client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	c := &cluster{t: t, shape: s, dir: t.TempDir(), operator: operator, client: client}
 	t.Cleanup(c.end)
 	c.makeInstances(s.perRegion)
 	c.makeBundle()
-	if s.sites {
-		c.startSites()
+	if s.inProcessTargets {
+		c.startInProcessTargets()
 	} else {
 		c.startStandins()
 	}
@@ -146,19 +147,19 @@
 		i.start()
 	}
 	c.mustRoll(c.bundle)
-	c.claimsTaken()
+	c.awaitClaims()
 	return c
 }
 
-// claimsTaken waits until each region takes bookings. A region's claims are
-// registered at the global group within seconds of the first bundle; one that is
-// cut off before that refuses them, as coord/registry says.
-func (c *cluster) claimsTaken() {
+// awaitClaims waits until each region accepts bookings. A region's claims are
+// registered at the global group within seconds of the first bundle; a region that
+// is partitioned before that refuses them (see coord/registry).
+func (c *cluster) awaitClaims() {
 	c.t.Helper()
 	for _, region := range regionNames {
-		i := c.in(region)[0]
+		i := c.inRegion(region)[0]
 		c.eventually("claims of "+region+" are taken", func() error {
-			status, answer, err := c.desk(i, region, "first-of-"+region, "{}", nil)
+			status, answer, err := c.sendBooking(i, region, "first-of-"+region, "{}", nil)
 			if err == nil && status != http.StatusOK {
 				err = fmt.Errorf("%d: %s", status, answer)
 			}
@@ -225,7 +226,7 @@
 	i.writeKey(i.c.issue(authority, keys.Identity{Instance: i.id(), Region: i.settings.Region}))
 }
 
-// issue makes a key of an instance.
+// issue issues a key of an instance.
 func (c *cluster) issue(authority *keys.Authority, id keys.Identity) *keys.Key {
 	key, err := authority.Issue(id, []string{"127.0.0.1"}, time.Now(), time.Hour)
 	must(c.t, err)
@@ -247,7 +248,7 @@
 	must(i.c.t, os.WriteFile(filepath.Join(i.dir, "settings.json"), data, 0o600))
 }
 
-// start runs the process; its log goes to a file beside its settings.
+// start starts the process, with its log in a file next to its settings.
 func (i *instance) start() {
 	t := i.c.t
 	t.Helper()
@@ -264,8 +265,8 @@
 	}(i.cmd, i.exited)
 }
 
-// signal sends a signal to the process. A stop takes hold of one thread after
-// another, and what a test does next must find all of them stopped.
+// signal sends a signal to the process. SIGSTOP stops one thread after another, so
+// signal waits until all are stopped.
 func (i *instance) signal(s syscall.Signal) {
 	_ = i.cmd.Process.Signal(s)
 	i.stopped = s == syscall.SIGSTOP
@@ -274,8 +275,8 @@
 	}
 }
 
-// threadsStopped checks the state of each thread of the process, the field
-// behind its name in parentheses.
+// threadsStopped returns an error unless all threads of the process are stopped. The
+// state is the field after the name in parentheses.
 func (i *instance) threadsStopped() error {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", i.cmd.Process.Pid))
 	if err != nil || len(files) == 0 {
@@ -293,16 +294,16 @@
 	return nil
 }
 
-// kill ends the process at once and waits for it to be gone.
+// kill kills the process and waits for its end.
 func (i *instance) kill() {
 	i.signal(syscall.SIGKILL)
 	<-i.exited
 }
 
-// wipe removes what the disk of a process that has ended holds.
+// wipe removes the data of a process that has ended.
 func (i *instance) wipe() { must(i.c.t, os.RemoveAll(filepath.Join(i.dir, "data"))) }
 
-// end kills all that still runs.
+// end kills all processes and targets that still run.
 func (c *cluster) end() {
 	for _, i := range c.instances {
 		if i.exited == nil {
@@ -314,7 +315,7 @@
 			i.kill()
 		}
 	}
-	for _, s := range c.sites {
+	for _, s := range c.targets {
 		s.end()
 	}
 	for _, s := range c.standins {
@@ -326,7 +327,7 @@
 	}
 }
 
-// dumpLogs shows the end of each instance's log.
+// dumpLogs logs the end of each instance's log.
 func (c *cluster) dumpLogs() {
 	const tail = 1500
 	for _, i := range c.instances {
@@ -335,8 +336,8 @@
 	}
 }
 
-// makeBundle describes engines, a booking desk and a title catalogue in each
-// region.
+// makeBundle makes a bundle with engines, a booking desk and a title catalogue in
+// each region.
 func (c *cluster) makeBundle() {
 	b := &bundle.Bundle{
 		Version: 1, Operators: []bundle.Operator{c.operatorEntry()}, SignOffs: 1,
@@ -364,7 +365,7 @@
 
 func engineID(region string, n int) string { return fmt.Sprintf("engine-%s-%d", region, n) }
 
-// neighboursOf are all other regions, if the cluster's regions may spill.
+// neighboursOf returns all other regions, if the cluster's regions may spill.
 func (c *cluster) neighboursOf(region string) []bundle.Neighbour {
 	var list []bundle.Neighbour
 	for _, other := range regionNames {
@@ -375,7 +376,8 @@
 	return list
 }
 
-// keyOf is the key of the workspace that is at home in a region, or of boundWorkspace.
+// keyOf returns the key of the workspace whose home region is given, or of
+// boundWorkspace.
 func keyOf(region string) string { return callerKey + "-" + region }
 
 func keyHash(region string) string {
@@ -383,7 +385,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// startStandins runs the targets of each region in a process.
+// startStandins starts a process with the targets of each region.
 func (c *cluster) startStandins() {
 	data, err := json.Marshal(c.bundle)
 	must(c.t, err)
@@ -400,7 +402,7 @@
 	}
 }
 
-// sign makes the operator's signed form of a bundle.
+// sign returns a bundle encoded with the operator's signature.
 func (c *cluster) sign(b *bundle.Bundle) []byte {
 	id, err := b.Identity()
 	must(c.t, err)
@@ -409,7 +411,7 @@
 	return data
 }
 
-// next makes the bundle that follows another, with a note.
+// next returns the bundle that follows b, with a note.
 func (c *cluster) next(b *bundle.Bundle, note string) *bundle.Bundle {
 	id, err := b.Identity()
 	must(c.t, err)
@@ -418,7 +420,7 @@
 	return &n
 }
 
-// rollAnswer is what the operators' interface said.
+// rollAnswer is a response of the operators' interface to a roll.
 type rollAnswer struct {
 	status  int
 	version uint64
@@ -445,9 +447,9 @@
 	return rollAnswer{status: resp.StatusCode, version: accepted.Version, digest: accepted.Digest, body: string(body)}, nil
 }
 
-// mustRoll rolls a bundle as an operator would, sending the same bytes to one
-// instance after another until an answer comes, and waits until it is in force
-// at every instance that runs.
+// mustRoll rolls a bundle as an operator would: it sends the same bytes to one
+// instance after another until one accepts them, and waits until the bundle is in
+// force at every running instance.
 func (c *cluster) mustRoll(b *bundle.Bundle) {
 	c.t.Helper()
 	signed := c.sign(b)
@@ -462,11 +464,11 @@
 		}
 		return last
 	})
-	c.inForce(b)
+	c.awaitInForce(b)
 }
 
-// inForce waits until a bundle is in force at every instance that runs.
-func (c *cluster) inForce(b *bundle.Bundle) {
+// awaitInForce waits until a bundle is in force at every running instance.
+func (c *cluster) awaitInForce(b *bundle.Bundle) {
 	c.t.Helper()
 	id, err := b.Identity()
 	must(c.t, err)
@@ -484,7 +486,7 @@
 	})
 }
 
-// running are the instances whose process runs and is not stopped.
+// running returns the instances whose process runs and is not stopped.
 func (c *cluster) running() []*instance {
 	var list []*instance
 	for _, i := range c.instances {
@@ -499,7 +501,7 @@
 	return list
 }
 
-// status reads what an instance reports.
+// status returns the status report of an instance.
 func (c *cluster) status(i *instance) (*operators.InstanceReport, error) {
 	client := &http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + i.settings.Listen.Operators + "/operator/v1/status")
@@ -511,17 +513,17 @@
 	return s, json.NewDecoder(resp.Body).Decode(s)
 }
 
-// eventually waits until check finds nothing wrong.
+// eventually waits until check returns nil, and fails the test after waitTimeout.
 func (c *cluster) eventually(what string, check func() error) {
 	c.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for {
 		err := check()
 		if err == nil {
 			return
 		}
 		if time.Now().After(end) {
-			c.t.Fatalf("%s: not within %v: %v", what, patience, err)
+			c.t.Fatalf("%s: not within %v: %v", what, waitTimeout, err)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -538,7 +540,8 @@
 	return nil
 }
 
-// leader waits until the voters that run agree on a leader of the global group.
+// leader waits until a running voter reports a running leader of the global group,
+// and returns it.
 func (c *cluster) leader() *instance {
 	c.t.Helper()
 	var found *instance
--- a/e2e/dev_test.go
+++ b/e2e/dev_test.go
@@ -12,11 +12,11 @@
 	"github.com/gullhaven/gullhaven/standin/loopback"
 )
 
-// devAddresses are those of gullhavend --dev.
+// devAddresses are the fixed addresses of gullhavend --dev.
 var devAddresses = []string{"127.0.0.1:8080", "127.0.0.1:8081", "127.0.0.1:8082", "127.0.0.1:8091", "127.0.0.1:8092", "127.0.0.1:8093"}
 
-// What a newcomer does first: gullhavend --dev says that it is ready, and each
-// line that it prints to try works as it stands.
+// gullhavend --dev must print that it is ready, and each command that it prints must
+// work as printed.
 func TestDevPrintsWhatWorks(t *testing.T) {
 	for _, address := range devAddresses {
 		l, err := net.Listen("tcp", address)
--- a/e2e/key_test.go
+++ b/e2e/key_test.go
@@ -13,20 +13,18 @@
 	"github.com/gullhaven/gullhaven/pipeline"
 )
 
-// Symptom: a stranger takes part in the system.
-// Events: an instance starts whose key another authority has issued, under an
-// id of its own and under that of an instance; others dial with such a key, or
+// Guards against an interface that trusts any peer. Instances start with a key of another
+// authority, under a new ID and under that of an instance; others dial with such a key, or
 // with none.
-// Cause: an interface that trusts whoever reaches it.
 func TestInstanceWithoutAValidKeyGetsNowhere(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, sites: true})
+	c := startShape(t, shape{perRegion: 2, inProcessTargets: true})
 	others, err := keys.NewAuthority("others", time.Now(), time.Hour)
 	must(t, err)
-	stranger := c.stranger("jatim-7", others)
-	impostor := c.stranger("jatim-1", others)
-	stranger.start()
+	foreign := c.foreignInstance("jatim-7", others)
+	impostor := c.foreignInstance("jatim-1", others)
+	foreign.start()
 	impostor.start()
-	to := c.in("jatim")[0]
+	to := c.inRegion("jatim")[0]
 	key := c.issue(others, keys.Identity{Instance: "jatim-1", Region: "jatim"})
 	for what, config := range map[string]*tls.Config{
 		"another authority's key": key.ClientConfig(to.id()),
@@ -38,20 +36,20 @@
 	}
 	valid := c.issue(c.authority, keys.Identity{Instance: "jatim-1", Region: "jatim"})
 	must(t, c.handshake(to, valid.ClientConfig(to.id())))
-	// A roll reaches all that belong to the system, and so passes the time in
-	// which a stranger would have joined.
+	// A roll reaches all members, so an instance of another authority would have
+	// joined in that time.
 	b := c.next(c.bundle, "strangers are about")
 	c.mustRoll(b)
 	c.mustRoll(c.next(b, "still"))
-	c.gotNowhere(stranger)
-	c.gotNowhere(impostor)
+	c.checkIsolated(foreign)
+	c.checkIsolated(impostor)
 }
 
-// stranger makes an instance of jatim that knows all addresses and has a key of
+// foreignInstance returns an instance of jatim that knows all addresses and has a key of
 // another authority.
-func (c *cluster) stranger(id string, authority *keys.Authority) *instance {
+func (c *cluster) foreignInstance(id string, authority *keys.Authority) *instance {
 	c.t.Helper()
-	s := *c.in("jatim")[1].settings
+	s := *c.inRegion("jatim")[1].settings
 	s.Instance = id
 	s.Listen.Callers, s.Listen.Instances, s.Listen.Operators = freeAddress(c.t), freeAddress(c.t), freeAddress(c.t)
 	s.Advertise = s.Listen
@@ -63,9 +61,9 @@
 	return i
 }
 
-// gotNowhere checks that an instance learned of no bundle and nobody, serves no
-// one, and is named by no directory.
-func (c *cluster) gotNowhere(i *instance) {
+// checkIsolated checks that an instance has no bundle, knows no other instances, serves no
+// requests and is in no directory.
+func (c *cluster) checkIsolated(i *instance) {
 	c.t.Helper()
 	s, err := c.status(i)
 	must(c.t, err)
@@ -78,7 +76,7 @@
 		c.t.Errorf("%s answered %d %s", i.dir, r.status, r.body)
 	}
 	for _, member := range c.instances {
-		list, err := c.lookup(member)
+		list, err := c.directory(member)
 		must(c.t, err)
 		if strings.Contains(list, i.settings.Listen.Callers) {
 			c.t.Errorf("%s names the stranger: %s", member.id(), list)
@@ -86,14 +84,14 @@
 	}
 }
 
-// withoutKey leaves the certificate out.
+// withoutKey removes the certificate from c.
 func withoutKey(c *tls.Config) *tls.Config {
 	c.Certificates = nil
 	return c
 }
 
-// handshake dials an instance as another one. With TLS 1.3 the other side's
-// word on our certificate comes with the first read.
+// handshake dials an instance with config. With TLS 1.3 the peer's rejection of the
+// certificate arrives with the first read.
 func (c *cluster) handshake(to *instance, config *tls.Config) error {
 	conn, err := tls.Dial("tcp", to.settings.Listen.Instances, config)
 	if err != nil {
@@ -103,18 +101,17 @@
 	must(c.t, conn.SetDeadline(time.Now().Add(2*time.Second)))
 	_, err = conn.Read(make([]byte, 1))
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil // it waits for us to speak
+		return nil // accepted: the peer waits for data
 	}
 	return err
 }
 
-// Symptom: an instance passes for another.
-// Events: a process is started under the settings of one instance with the key
-// of another.
-// Cause: a name that is taken from settings and not from the key.
+// Guards against an instance that impersonates another, if its name is taken from the
+// settings and not from the key: a process is started with the settings of one instance
+// and the key of another.
 func TestInstanceWithAnothersKeyDoesNotStart(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, sites: true})
-	i := c.in("bali")[1]
+	c := startShape(t, shape{perRegion: 2, inProcessTargets: true})
+	i := c.inRegion("bali")[1]
 	i.kill()
 	i.writeKey(c.issue(c.authority, keys.Identity{Instance: "bali-0", Region: "bali"}))
 	i.start()
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -19,33 +19,32 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// leavingTime is how long a leaving target may still get new work.
-const leavingTime = 2 * time.Second
-
-// Symptom: a target that leaves gets new work, or what it runs is cut off.
-// Events: long answers run at two engines; a bundle that marks one as leaving
-// comes into force; requests go on. Then the other drains by itself while the
-// first is active again.
-// Cause: instances that go by what they knew of a target before.
+// leavingDelay is how long a leaving target may still get new work.
+const leavingDelay = 2 * time.Second
+
+// Guards against instances that act on a target's former state: a leaving target must
+// finish its requests and get no new ones. Long answers run at two engines while a
+// bundle marks one as leaving and requests continue. Then the other one drains by an
+// order while the first is active again.
 func TestLeavingTargetFinishesAndGetsNothingNew(t *testing.T) {
-	c := startShape(t, shape{perRegion: 3, engines: 2, sites: true})
-	site := c.sites["jatim"]
-	leaves, stays := site.engines[0], site.engines[1]
-	running := c.startLong("by bundle", site)
+	c := startShape(t, shape{perRegion: 3, engines: 2, inProcessTargets: true})
+	targets := c.targets["jatim"]
+	leaves, stays := targets.engines[0], targets.engines[1]
+	running := c.startLong("by bundle", targets)
 	b := c.next(c.bundle, "one leaves")
 	b.Targets = slices.Clone(b.Targets)
 	setState(b, engineID("jatim", 0), bundle.TargetLeaving)
 	c.mustRoll(b)
-	c.getsNothingNew(leaves, stays, "after the bundle")
+	c.checkNoNewWork(leaves, stays, "after the bundle")
 	running.finish(t)
 	b = c.next(b, "it stays")
 	b.Targets = slices.Clone(b.Targets)
 	setState(b, engineID("jatim", 0), bundle.TargetActive)
 	c.mustRoll(b)
-	c.serving(leaves, "active again")
-	running = c.startLong("by itself", site)
+	c.awaitWork(leaves, "active again")
+	running = c.startLong("by itself", targets)
 	c.order(stays, ports.OrderDrain)
-	c.getsNothingNew(stays, leaves, "after its drain")
+	c.checkNoNewWork(stays, leaves, "after its drain")
 	running.finish(t)
 }
 
@@ -57,7 +56,7 @@
 	}
 }
 
-// order gives an engine an order, as its platform or a person would.
+// order sends an order to an engine, as its platform or a person would.
 func (c *cluster) order(e *engineTarget, kind ports.OrderKind) {
 	c.t.Helper()
 	transports := sending.NewTransports(sending.Options{})
@@ -67,25 +66,25 @@
 	must(c.t, err)
 }
 
-// maxLong bounds the long answers of one test.
-const maxLong = 64
+// maxLongAnswers bounds the long answers of a test.
+const maxLongAnswers = 64
 
-// long are answers of some seconds that run.
-type long struct {
+// longAnswers are running answers of some seconds.
+type longAnswers struct {
 	results chan error
 	started int
 }
 
-// startLong begins long answers until both engines of a site run some. Which
-// engine takes one is drawn, so their number is not known before.
-func (c *cluster) startLong(name string, s *site) *long {
+// startLong starts long answers until both engines of a region run at least two. The
+// choice of engines is random, so the number of answers varies.
+func (c *cluster) startLong(name string, s *regionTargets) *longAnswers {
 	c.t.Helper()
-	l := &long{results: make(chan error, maxLong)}
+	l := &longAnswers{results: make(chan error, maxLongAnswers)}
 	before := []int64{s.engines[0].Counts().Runs, s.engines[1].Counts().Runs}
 	c.eventually("both engines run long answers", func() error {
 		for k, e := range s.engines {
 			if e.Counts().Runs-before[k] < 2 {
-				l.another(c, name)
+				l.startOne(c, name)
 				return errorString(fmt.Sprintf("one idles, %d begun", l.started))
 			}
 		}
@@ -94,18 +93,18 @@
 	return l
 }
 
-// another begins one more long answer, within the bound.
-func (l *long) another(c *cluster, name string) {
-	if l.started == maxLong {
+// startOne starts another long answer, up to maxLongAnswers.
+func (l *longAnswers) startOne(c *cluster, name string) {
+	if l.started == maxLongAnswers {
 		return
 	}
 	n := l.started
 	l.started++
-	i := c.in("jatim")[n%3]
+	i := c.inRegion("jatim")[n%3]
 	go func() { l.results <- c.longBriefing(i, fmt.Sprint(name, " ", n)) }()
 }
 
-// longBriefing checks an answer of about five seconds.
+// longBriefing requests and checks an answer of about five seconds.
 func (c *cluster) longBriefing(i *instance, prompt string) error {
 	const tokens = 2500
 	text, err := c.briefing(i, "jatim", prompt, tokens)
@@ -115,8 +114,8 @@
 	return err
 }
 
-// finish waits for all answers, which must be whole.
-func (l *long) finish(t *testing.T) {
+// finish waits for all answers, which must be complete.
+func (l *longAnswers) finish(t *testing.T) {
 	t.Helper()
 	for range l.started {
 		if err := <-l.results; err != nil {
@@ -125,15 +124,15 @@
 	}
 }
 
-// getsNothingNew waits for the time given to a leaving target and checks that
-// requests go elsewhere after it: no run begins there, and none is refused there.
-func (c *cluster) getsNothingNew(leaves, stays *engineTarget, what string) {
+// checkNoNewWork waits for leavingDelay and checks that all further requests go to the
+// other engine: none starts or is rejected at the leaving one.
+func (c *cluster) checkNoNewWork(leaves, stays *engineTarget, what string) {
 	c.t.Helper()
-	time.Sleep(leavingTime)
+	time.Sleep(leavingDelay)
 	before, other := leaves.Counts(), stays.Counts()
 	const requests = 40
 	for n := range requests {
-		i, prompt := c.in("jatim")[n%3], fmt.Sprint(what, " ", n)
+		i, prompt := c.inRegion("jatim")[n%3], fmt.Sprint(what, " ", n)
 		text, err := c.briefing(i, "jatim", prompt, 4)
 		if err != nil || text != standin.Answer([]byte(prompt), 4) {
 			c.t.Errorf("%s: %q, %v", i.id(), text, err)
@@ -148,13 +147,13 @@
 	}
 }
 
-// serving waits until an engine gets work.
-func (c *cluster) serving(e *engineTarget, what string) {
+// awaitWork waits until an engine gets work.
+func (c *cluster) awaitWork(e *engineTarget, what string) {
 	c.t.Helper()
 	before, n := e.Counts().Runs, 0
 	c.eventually("the engine gets work, "+what, func() error {
 		n++
-		_, err := c.briefing(c.in("jatim")[n%3], "jatim", fmt.Sprint(what, " ", n), 4)
+		_, err := c.briefing(c.inRegion("jatim")[n%3], "jatim", fmt.Sprint(what, " ", n), 4)
 		if err == nil && e.Counts().Runs == before {
 			err = errorString("none yet")
 		}
@@ -162,22 +161,20 @@
 	})
 }
 
-// Symptom: a planned stop of an instance loses a booking's outcome.
-// Events: SIGTERM comes while bookings run, one whose caller waits and one whose
-// caller has left; both are sent again elsewhere.
-// Cause: a stop that waits for connections only, or ends before the outcome is
-// recorded.
+// Guards against a planned stop that waits for connections only, or ends before a
+// booking's outcome is recorded. SIGTERM arrives while two bookings run, one whose
+// caller waits and one whose caller has left; both are resent to another instance.
 func TestGracefulStopFinishesBookings(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, sites: true})
-	l, i, other := newLedger(c), c.in("jatim")[1], c.in("jatim")[0]
-	desk := c.sites["jatim"].desk
-	// The one whose caller has left runs on after the last connection has ended.
+	c := startShape(t, shape{perRegion: 2, inProcessTargets: true})
+	l, i, other := newLedger(c), c.inRegion("jatim")[1], c.inRegion("jatim")[0]
+	desk := c.targets["jatim"].desk
+	// The booking whose caller has left still runs after the last connection has ended.
 	desk.SetFaults(
 		standin.Fault{Kind: standin.FaultLate, Match: "waits", DelayMillis: 1500},
 		standin.Fault{Kind: standin.FaultLate, Match: "leaves", DelayMillis: 5000},
 	)
 	waits := make(chan *reply, 1)
-	go func() { waits <- c.mayBook(i, "waits") }()
+	go func() { waits <- c.tryBook(i, "waits") }()
 	leaves, leave := context.WithCancel(t.Context())
 	go c.bookUntil(leaves, i, "leaves")
 	c.eventually("both run", func() error {
@@ -198,14 +195,14 @@
 	desk.SetFaults()
 	for _, key := range []string{"waits", "leaves"} {
 		l.resend(other, key)
-		if l.said[key] != verdict.Ran || c.bookingRuns(key) != 1 {
-			t.Errorf("%s: told %v, %d runs", key, l.said[key], c.bookingRuns(key))
+		if l.lastVerdicts[key] != verdict.Ran || c.bookingRuns(key) != 1 {
+			t.Errorf("%s: told %v, %d runs", key, l.lastVerdicts[key], c.bookingRuns(key))
 		}
 	}
 }
 
-// mayBook is book whose failure is nil.
-func (c *cluster) mayBook(i *instance, key string) *reply {
+// tryBook is book; it returns nil if there is no reply.
+func (c *cluster) tryBook(i *instance, key string) *reply {
 	r, err := c.book(i, "jatim", key, nil)
 	if err != nil {
 		return nil
@@ -218,7 +215,7 @@
 	url := "http://" + i.settings.Listen.Callers + "/services/desk/bookings/" + key
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(`{"booking":"`+key+`"}`))
 	if err != nil {
-		return // the booking never runs then, which the test finds out
+		return // the booking never runs then, which fails the test
 	}
 	req.Header.Set("Authorization", "Bearer "+keyOf("jatim"))
 	req.Header.Set(pipeline.HeaderIdempotencyKey, key)
--- a/e2e/loop_test.go
+++ b/e2e/loop_test.go
@@ -15,46 +15,46 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// Symptom: a request travels between regions until its deadline.
-// Events: all regions may spill all they have; every engine seems well and
-// refuses each request, so that each region holds the others for better.
-// Cause: a hop that is not written, or not checked by the next instance.
+// Guards against a request that is forwarded between regions until its deadline, if a hop
+// is not written or not checked by the next instance. All regions may spill everything;
+// every engine seems healthy but rejects each request, so that each region prefers the
+// others.
 func TestSpillCrossesOnce(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, neighbours: true, sites: true})
+	c := startShape(t, shape{perRegion: 2, neighbours: true, inProcessTargets: true})
 	c.awaitSpill("jatim")
-	c.sites["jatim"].engines[0].up()
-	c.awaitHome("jatim")
-	for _, s := range c.sites {
+	c.targets["jatim"].engines[0].up()
+	c.awaitServedAtHome("jatim")
+	for _, s := range c.targets {
 		s.setFaults(standin.Fault{Kind: standin.FaultReject})
 	}
-	// Each is taken where its caller sent it, and once more if it was passed on.
+	// Each is received where its caller sent it, and once more if it was forwarded.
 	const requests, most = 30, 2
-	passedOn := 0
+	forwarded := 0
 	for n := range requests {
-		before := c.requestsTaken()
-		i := c.in(regionNames[n%3])[n/3%2]
+		before := c.requestsReceived()
+		i := c.inRegion(regionNames[n%3])[n/3%2]
 		r, err := c.request(i, http.MethodPost, "/v1/completions", i.settings.Region, briefingBody("nowhere "+strconv.Itoa(n), 4), nil)
 		must(t, err)
 		if r.refusal.Verdict != verdict.NotRun || r.refusal.RetryAfterMillis == 0 {
 			t.Errorf("%s answered %d %s; want a refusal with when to come back", i.id(), r.status, r.body)
 		}
-		taken := c.requestsTaken() - before
+		taken := c.requestsReceived() - before
 		if taken > most {
 			t.Errorf("request %d was taken %d times", n, taken)
 		}
-		passedOn += taken - 1
+		forwarded += taken - 1
 		// Grants grow with time, and summaries come each second.
 		time.Sleep(pollInterval)
 	}
-	if passedOn == 0 {
+	if forwarded == 0 {
 		t.Error("no request was passed on, so that none could loop")
 	}
-	t.Logf("%d of %d requests were passed on", passedOn, requests)
+	t.Logf("%d of %d requests were passed on", forwarded, requests)
 }
 
-// requestsTaken counts the requests that all instances took in, those of other
-// instances included.
-func (c *cluster) requestsTaken() int {
+// requestsReceived returns the number of requests that all instances received, including
+// those from other instances.
+func (c *cluster) requestsReceived() int {
 	c.t.Helper()
 	sum := 0
 	for _, i := range c.instances {
@@ -65,14 +65,12 @@
 	return sum
 }
 
-// Symptom: a caller gets around the check of loops, or an instance speaks for
-// another.
-// Events: hops that are forged by a caller, left out by an instance, or name
-// another sender, this instance, or a crossing too many.
-// Cause: a hop header that is believed.
+// Guards against a trusted hop header, with which a caller bypasses the loop check or an
+// instance impersonates another. Hops are forged by a caller, omitted by an instance, or
+// name another sender, the receiver, or a second region crossing.
 func TestForgedHopsAreRefused(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, neighbours: true, sites: true})
-	to := c.in("bali")[0]
+	c := startShape(t, shape{perRegion: 2, neighbours: true, inProcessTargets: true})
+	to := c.inRegion("bali")[0]
 	r, err := c.request(to, http.MethodPost, "/v1/completions", "jatim", briefingBody("p", 4), headers{pipeline.HeaderHop: "jatim-0@jatim"})
 	must(t, err)
 	r.refused(t, "a caller's hop", pipeline.CodeHopNotAllowed, verdict.NotRun)
@@ -88,28 +86,28 @@
 		{"crossed before", "jabar-0@jabar, jatim-0@jatim", pipeline.CodeLoop},
 		{"too long", "jabar-0@jabar, jabar-1@jabar, jatim-1@jatim, jatim-0@jatim", pipeline.CodeHopNotAllowed},
 	} {
-		r, err := c.passOn("jatim-0", to, forged.hops)
+		r, err := c.forward("jatim-0", to, forged.hops)
 		must(t, err)
 		r.refused(t, forged.what, forged.code, verdict.NotRun)
 	}
-	r, err = c.passOn("jatim-0", to, "jatim-0@jatim")
+	r, err = c.forward("jatim-0", to, "jatim-0@jatim")
 	must(t, err)
 	if !strings.Contains(r.body, "[DONE]") {
 		t.Errorf("a true hop: %d %s", r.status, r.body)
 	}
-	// What has crossed once goes no further, although jabar is well.
-	c.sites["bali"].engines[0].down()
+	// A forwarded request is not forwarded again, although jabar is healthy.
+	c.targets["bali"].engines[0].down()
 	c.awaitSpill("bali")
-	runs := c.sites["jabar"].runsOf("passed on")
-	r, err = c.passOn("jatim-0", to, "jatim-0@jatim")
+	runs := c.targets["jabar"].runsOf("passed on")
+	r, err = c.forward("jatim-0", to, "jatim-0@jatim")
 	must(t, err)
-	if r.refusal.Verdict != verdict.NotRun || c.sites["jabar"].runsOf("passed on") != runs {
+	if r.refusal.Verdict != verdict.NotRun || c.targets["jabar"].runsOf("passed on") != runs {
 		t.Errorf("a request that crossed before: %d %s", r.status, r.body)
 	}
 }
 
-// passOn sends a request as an instance of another region would.
-func (c *cluster) passOn(as string, to *instance, hops string) (*reply, error) {
+// forward sends a request as an instance of another region would.
+func (c *cluster) forward(as string, to *instance, hops string) (*reply, error) {
 	key := c.issue(c.authority, keys.Identity{Instance: as, Region: "jatim"})
 	transport := &http.Transport{TLSClientConfig: key.ClientConfig(to.id())}
 	defer transport.CloseIdleConnections()
@@ -120,22 +118,22 @@
 	if hops != "" {
 		req.Header.Set(pipeline.HeaderHop, hops)
 	}
-	resp, err := (&http.Client{Transport: transport, Timeout: patience}).Do(req)
+	resp, err := (&http.Client{Transport: transport, Timeout: waitTimeout}).Do(req)
 	if err != nil {
 		return nil, err
 	}
 	return read(resp)
 }
 
-// awaitSpill loses the engine of a region and waits until each of its instances
-// has a request answered by a neighbour.
+// awaitSpill stops the engine of a region and waits until each of its instances has a
+// request answered by a neighbour.
 func (c *cluster) awaitSpill(region string) {
 	c.t.Helper()
-	c.sites[region].engines[0].down()
+	c.targets[region].engines[0].down()
 	spills := 0
-	for _, i := range c.in(region) {
+	for _, i := range c.inRegion(region) {
 		c.eventually(i.id()+" spills", func() error {
-			// A request that ran when the engine went is suspected of it.
+			// A request that ran when the engine stopped is a suspect, so each is new.
 			spills++
 			_, err := c.briefing(i, region, "spilled "+strconv.Itoa(spills), 4)
 			return err
@@ -143,39 +141,38 @@
 	}
 }
 
-// Symptom: a region that lost its targets refuses what its neighbours could
-// answer, or goes on sending away what it could answer again; or a booking runs
-// where its claim is not.
-// Events: the targets of jatim are gone, then come back.
-// Cause: grants that never come, or no way back from spilling.
+// Guards against a region without targets that refuses requests which its neighbours
+// could answer, or still spills when it has targets again, if grants never come or
+// spilling never ends; and against bookings that run in a region without their claim. The
+// targets of jatim stop and start again.
 func TestRegionWithoutTargetsSpills(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, neighbours: true, sites: true})
-	home := c.sites["jatim"]
+	c := startShape(t, shape{perRegion: 2, neighbours: true, inProcessTargets: true})
+	home := c.targets["jatim"]
 	c.awaitSpill("jatim")
 	home.titles.down()
 	home.desk.down()
-	for _, i := range c.in("jatim") {
+	for _, i := range c.inRegion("jatim") {
 		c.eventually(i.id()+" has lookups answered elsewhere", func() error {
 			r, err := c.request(i, http.MethodGet, "/services/titles/7", "jatim", "", nil)
 			return failure(r, err)
 		})
 	}
 	for n := range 20 {
-		i := c.in("jatim")[n%2]
+		i := c.inRegion("jatim")[n%2]
 		key := "no-desk-" + strconv.Itoa(n)
-		r := c.mustBook(i, "jatim", key, firstSending)
-		if r.told() != verdict.NotRun || r.refusal.RetryAfterMillis == 0 || c.bookingRuns(key) != 0 {
+		r := c.mustBook(i, "jatim", key, markedFirst)
+		if r.callerVerdict() != verdict.NotRun || r.refusal.RetryAfterMillis == 0 || c.bookingRuns(key) != 0 {
 			t.Errorf("booking without a desk: %d %s, %d runs", r.status, r.body, c.bookingRuns(key))
 		}
 	}
 	for _, x := range []*target{&home.engines[0].target, &home.titles.target, &home.desk.target} {
 		x.up()
 	}
-	c.awaitHome("jatim")
+	c.awaitServedAtHome("jatim")
 	spilled := c.spilled("jatim")
 	const after = 30
 	for n := range after {
-		i := c.in("jatim")[n%2]
+		i := c.inRegion("jatim")[n%2]
 		prompt := "home again " + strconv.Itoa(n)
 		text, err := c.briefing(i, "jatim", prompt, 4)
 		if err != nil || text != standin.Answer([]byte(prompt), 4) || home.runsOf(prompt) != 1 {
@@ -185,7 +182,7 @@
 		if err := failure(r, err); err != nil {
 			t.Error(err)
 		}
-		if r := c.mustBook(i, "jatim", prompt, firstSending); r.told() != verdict.Ran {
+		if r := c.mustBook(i, "jatim", prompt, markedFirst); r.callerVerdict() != verdict.Ran {
 			t.Errorf("booking at home: %d %s", r.status, r.body)
 		}
 	}
@@ -194,12 +191,12 @@
 	}
 }
 
-// awaitHome waits until all instances of a region have three requests in turn
-// answered at home.
-func (c *cluster) awaitHome(region string) {
+// awaitServedAtHome waits until all instances of a region have three requests in a row
+// answered in the region.
+func (c *cluster) awaitServedAtHome(region string) {
 	c.t.Helper()
-	home := c.sites[region]
-	for _, i := range c.in(region) {
+	home := c.targets[region]
+	for _, i := range c.inRegion(region) {
 		c.eventually(i.id()+" serves at home", func() error {
 			for n := range 3 {
 				prompt := "back " + i.id() + strconv.Itoa(n) + time.Now().String()
@@ -220,11 +217,11 @@
 	}
 }
 
-// spilled counts the requests that a region sent away.
+// spilled returns the number of requests that a region spilled.
 func (c *cluster) spilled(region string) int {
 	c.t.Helper()
 	sum := 0
-	for _, i := range c.in(region) {
+	for _, i := range c.inRegion(region) {
 		n, err := strconv.Atoi(c.metric(i, metrics.Spilled.Name))
 		must(c.t, err)
 		sum += n
@@ -232,7 +229,7 @@
 	return sum
 }
 
-// failure is why a reply is not a target's answer of status 200.
+// failure returns an error unless the reply has status 200.
 func failure(r *reply, err error) error {
 	if err == nil && r.status != http.StatusOK {
 		err = errorString(r.body)
@@ -240,14 +237,12 @@
 	return err
 }
 
-// Symptom: a caller waits up to its deadline for an answer that can't come.
-// Events: the only engine of a region goes while it runs a request; the caller
-// sends the request again, now suspected of having taken the engine down.
-// Cause: waiting for the very target that has gone to be idle, to run the
-// suspect alone.
+// Guards against a caller that waits until its deadline for an answer that can't come. The
+// only engine of a region stops while it runs a request, which its caller resends as a
+// suspect: the instance must not wait for the stopped target to become idle for a lone run.
 func TestSuspectIsRefusedAtOnceWhereNoTargetIsLeft(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, sites: true})
-	engine, i := c.sites["jatim"].engines[0], c.in("jatim")[0]
+	c := startShape(t, shape{perRegion: 2, inProcessTargets: true})
+	engine, i := c.targets["jatim"].engines[0], c.inRegion("jatim")[0]
 	const prompt = "a long briefing"
 	engine.SetFaults(standin.Fault{Kind: standin.FaultHang})
 	broken := make(chan error, 1)
@@ -262,14 +257,13 @@
 		return nil
 	})
 	engine.down()
-	// The caller asks again at once and again, on both sides of the moment at
-	// which the instances find out that the engine has gone. The deadline is far
-	// beyond the patience of the test's client.
+	// The caller resends repeatedly, before and after the instances detect that the
+	// engine has stopped. The deadline is far beyond the timeout of the test's client.
 	const resends = 40
 	var wg sync.WaitGroup
 	for n := range resends {
 		wg.Go(func() {
-			i := c.in("jatim")[n%2]
+			i := c.inRegion("jatim")[n%2]
 			r, err := c.request(i, http.MethodPost, "/v1/completions", "jatim", briefingBody(prompt, 5000), headers{pipeline.HeaderDeadline: "600000"})
 			if err != nil || r.refusal.Code == "" || r.refusal.RetryAfterMillis == 0 {
 				t.Errorf("%s: %+v, %v; want a refusal with when to come back", i.id(), r, err)
@@ -281,24 +275,23 @@
 	if err := <-broken; err == nil {
 		t.Error("an answer that was cut is taken for a whole one")
 	}
-	for _, i := range c.in("jatim") {
+	for _, i := range c.inRegion("jatim") {
 		r, err := c.request(i, http.MethodPost, "/v1/completions", "jatim", briefingBody(prompt, 5000), nil)
 		must(t, err)
 		r.refused(t, i.id(), pipeline.CodeSuspected, verdict.NotRun)
 	}
 }
 
-// Symptom: a region that lost its targets refuses although its neighbours idle.
-// Events: a region loses its engine before its neighbours have served anything
-// since their start.
-// Cause: a neighbour that knows no speed of its own yet, and so grants nothing.
+// Guards against a region without targets that refuses requests although its neighbours
+// are idle: if they have served nothing since their start, they don't know their speed yet
+// and must grant spillover all the same.
 func TestIdleNeighboursTakeSpill(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, neighbours: true, sites: true})
-	c.sites["jatim"].engines[0].down()
+	c := startShape(t, shape{perRegion: 2, neighbours: true, inProcessTargets: true})
+	c.targets["jatim"].engines[0].down()
 	n := 0
 	c.eventually("an idle neighbour answers", func() error {
 		n++
-		_, err := c.briefing(c.in("jatim")[0], "jatim", "spilled "+strconv.Itoa(n), 4)
+		_, err := c.briefing(c.inRegion("jatim")[0], "jatim", "spilled "+strconv.Itoa(n), 4)
 		return err
 	})
 }
--- a/e2e/killer_test.go
+++ b/e2e/poison_test.go
@@ -13,27 +13,25 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// Symptom: one request takes down target after target, and with each all that
-// ran there.
-// Events: a prompt crashes every engine that runs it, while others are asked for
-// by many callers; its caller sends it again through every instance, each time
-// as a new request.
-// Cause: retries and resends of a request that nobody knows for the cause.
+// Guards against retries and resends of a poison request that crashes target after
+// target with all requests there. A prompt crashes every engine that runs it, while
+// many callers send other prompts; its caller resends it through every instance, each
+// time as a new request.
 func TestKillerTakesTwoEnginesAtMost(t *testing.T) {
-	c := startShape(t, shape{perRegion: 3, engines: 4, sites: true})
-	const killer = "this prompt kills engines"
-	site, region := c.sites["jatim"], c.in("jatim")
-	site.setFaults(standin.Fault{Kind: standin.FaultCrash, Match: killer})
+	c := startShape(t, shape{perRegion: 3, engines: 4, inProcessTargets: true})
+	const poison = "this prompt kills engines"
+	targets, region := c.targets["jatim"], c.inRegion("jatim")
+	targets.setFaults(standin.Fault{Kind: standin.FaultCrash, Match: poison})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	answered := make([]int, 6)
 	for n := range answered {
-		wg.Go(func() { answered[n] = c.innocent(region[n%len(region)], n, stop) })
+		wg.Go(func() { answered[n] = c.runBystander(region[n%len(region)], n, stop) })
 	}
 	var last *reply
 	const resends = 12
 	for n := range resends {
-		r, err := c.request(region[n%len(region)], http.MethodPost, "/v1/completions", "jatim", briefingBody(killer, 20), headers{pipeline.HeaderIdempotencyKey: fmt.Sprint("new-id-", n), pipeline.HeaderResend: "false"})
+		r, err := c.request(region[n%len(region)], http.MethodPost, "/v1/completions", "jatim", briefingBody(poison, 20), headers{pipeline.HeaderIdempotencyKey: fmt.Sprint("new-id-", n), pipeline.HeaderResend: "false"})
 		must(t, err)
 		if r.refusal.Code == "" && r.status == http.StatusOK && len(r.body) > 0 && !isErrorStream(r.body) {
 			t.Errorf("sending %d was answered: %s", n, r.body)
@@ -42,7 +40,7 @@
 	}
 	close(stop)
 	wg.Wait()
-	if n := site.runsOf(killer); n < 1 || n > 2 {
+	if n := targets.runsOf(poison); n < 1 || n > 2 {
 		t.Errorf("it took %d engine lives", n)
 	}
 	last.refused(t, "at last", pipeline.CodeSuspected, verdict.NotRun)
@@ -51,11 +49,11 @@
 			t.Errorf("innocent caller %d got no answer", n)
 		}
 	}
-	// Whoever shared an engine with it is answered afterwards.
+	// The requests that shared an engine with it must be answered afterwards.
 	for n := range answered {
 		for k := range answered[n] {
 			c.eventually("an innocent is answered", func() error {
-				prompt := innocentPrompt(n, k)
+				prompt := bystanderPrompt(n, k)
 				text, err := c.briefing(region[k%len(region)], "jatim", prompt, 30)
 				if err == nil && text != standin.Answer([]byte(prompt), 30) {
 					t.Errorf("%s: %q", prompt, text)
@@ -75,16 +73,16 @@
 	return err != nil
 }
 
-func innocentPrompt(caller, n int) string { return fmt.Sprintf("innocent %d of caller %d", n, caller) }
+func bystanderPrompt(caller, n int) string { return fmt.Sprintf("innocent %d of caller %d", n, caller) }
 
-// innocent asks for one briefing after another, each until its answer is whole, and
-// counts them. It ends at stop, but not before its first answer: how long that takes
-// beside a busy machine tells nothing, that it comes does. Without one for as long as
-// eventually waits it ends too.
-func (c *cluster) innocent(i *instance, caller int, stop <-chan struct{}) int {
-	end := time.Now().Add(patience)
+// runBystander requests one briefing after another, each until its answer is complete,
+// and returns their number. It ends at stop, but not before its first answer, as only a
+// missing answer is a failure and a late one isn't on a busy machine. Without a first
+// answer it ends after waitTimeout.
+func (c *cluster) runBystander(i *instance, caller int, stop <-chan struct{}) int {
+	end := time.Now().Add(waitTimeout)
 	for n := 0; ; n++ {
-		prompt := innocentPrompt(caller, n)
+		prompt := bystanderPrompt(caller, n)
 		for {
 			text, err := c.briefing(i, "jatim", prompt, 30)
 			if err == nil {
--- a/e2e/ports_test.go
+++ b/e2e/ports_test.go
@@ -13,21 +13,21 @@
 	"github.com/gullhaven/gullhaven/standin/loopback"
 )
 
-// Ports are handed out below the range that the system takes the local ports of
-// connections from: a port found free up there can be taken by any connection
-// before the process that it is meant for, or that starts again, listens. Each
-// run of the tests has a block of its own, which it holds by its first port.
+// Ports are allocated below the ephemeral range: a free port of that range can be
+// taken by any connection before the process for which it is meant, or that
+// restarts, listens. Each run of the tests reserves a block by listening on its
+// first port.
 const (
 	firstPort = 15000
 	blockSize = 2000
 	blocks    = 8
 )
 
-// nextPort was handed out last.
+// nextPort is the port that was allocated last.
 var nextPort atomic.Int64
 
-// holdPorts takes a block of ports until the listener is closed.
-func holdPorts() (net.Listener, error) {
+// reservePorts reserves a block of ports until the listener is closed.
+func reservePorts() (net.Listener, error) {
 	var err error
 	for n := range blocks {
 		first := firstPort + (os.Getpid()+n)%blocks*blockSize
@@ -40,8 +40,8 @@
 	return nil, fmt.Errorf("every block of ports is held by another run: %w", err)
 }
 
-// freeAddress finds a port of loopback that nothing listens on. None is handed
-// out twice.
+// freeAddress returns a loopback address with a free port. No port is allocated
+// twice.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for {
@@ -56,11 +56,9 @@
 	}
 }
 
-// Symptom: a target of a test could not listen on the port that had been found free for
-// it: "address already in use", though nothing in the system used it.
-// Events: ports are found, and listened on at once, while other tests start processes.
-// Cause: a process that was being started held a copy of the listener that had found the
-// port free.
+// Guards against a target that can't listen on its free port ("address already in use")
+// although nothing uses it: while other tests start processes, a starting process holds a
+// copy of the listener that checked the port.
 func TestFoundPortIsFreeWhileProcessesStart(t *testing.T) {
 	const starters, ports = 3, 200
 	done := make(chan struct{})
--- a/e2e/proof_test.go
+++ b/e2e/proof_test.go
@@ -16,9 +16,8 @@
 	declaredTest = regexp.MustCompile(`(?m)^func (Test[A-Z][A-Za-z0-9_]*)\(t \*testing\.T\)`)
 )
 
-// Symptom: docs/PROOF.md claims a proof that is not there.
-// Events: a test is renamed or taken out, the page stays.
-// Cause: a page that nothing checks. Tests of this package must all stand on it.
+// Guards against docs/PROOF.md naming a test that was renamed or removed. The page
+// must name all tests of this package.
 func TestProofNamesTheTestsThatExist(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "PROOF.md"))
 	must(t, err)
--- a/e2e/request_test.go
+++ b/e2e/request_test.go
@@ -16,8 +16,8 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// ask sends a request with the key of a region's workspace.
-func (c *cluster) ask(i *instance, method, path, region, body string, headers map[string]string) (*http.Response, error) {
+// send sends a request with the key of a region's workspace.
+func (c *cluster) send(i *instance, method, path, region, body string, headers map[string]string) (*http.Response, error) {
 	req, err := http.NewRequest(method, "http://"+i.settings.Listen.Callers+path, strings.NewReader(body))
 	must(c.t, err)
 	req.Header.Set("Authorization", "Bearer "+keyOf(region))
@@ -28,11 +28,11 @@
 	return c.client.Do(req)
 }
 
-// briefing asks for a streamed completion and returns its text. The error says
-// how the stream ended other than whole.
+// briefing requests a streamed completion and returns its text. The error is not
+// nil if the stream is incomplete.
 func (c *cluster) briefing(i *instance, region, prompt string, tokens int) (string, error) {
 	body := fmt.Sprintf(`{"model":"briefing","stream":true,"max_tokens":%d,"prompt":%q}`, tokens, prompt)
-	resp, err := c.ask(i, http.MethodPost, "/v1/completions", region, body, nil)
+	resp, err := c.send(i, http.MethodPost, "/v1/completions", region, body, nil)
 	if err != nil {
 		return "", err
 	}
@@ -44,7 +44,8 @@
 	return readStream(resp.Body)
 }
 
-// readStream joins the text of a stream up to its end mark.
+// readStream returns the text of a stream up to its end mark, and an error if there
+// is none.
 func readStream(r io.Reader) (string, error) {
 	var text strings.Builder
 	lines := bufio.NewScanner(r)
@@ -75,14 +76,13 @@
 	return text.String(), errors.New("the stream ended without its end mark")
 }
 
-// desk sends a booking and returns the answer's status, text and execution
-// number at the desk.
-func (c *cluster) desk(i *instance, region, key, body string, headers map[string]string) (int, string, error) {
+// sendBooking sends a booking and returns the status and the body of the answer.
+func (c *cluster) sendBooking(i *instance, region, key, body string, headers map[string]string) (int, string, error) {
 	all := map[string]string{"Idempotency-Key": key}
 	for name, value := range headers {
 		all[name] = value
 	}
-	resp, err := c.ask(i, http.MethodPost, "/services/desk/bookings", region, body, all)
+	resp, err := c.send(i, http.MethodPost, "/services/desk/bookings", region, body, all)
 	if err != nil {
 		return 0, "", err
 	}
@@ -91,8 +91,8 @@
 	return resp.StatusCode, string(data), err
 }
 
-// A request is served through separate processes: caller, instance, engine. The
-// answer is whole and the one to this prompt.
+// A request is served by separate processes for instance and target. The answer must
+// be complete and belong to the prompt.
 func TestRequestFromEndToEnd(t *testing.T) {
 	c := startCluster(t, 2)
 	for _, i := range c.instances {
@@ -103,7 +103,7 @@
 		if want := standin.Answer([]byte(prompt), 12); text != want {
 			t.Errorf("%s: answer %q, want %q", i.id(), text, want)
 		}
-		status, body, err := c.desk(i, region, "booking-"+i.id(), `{"seats":2}`, nil)
+		status, body, err := c.sendBooking(i, region, "booking-"+i.id(), `{"seats":2}`, nil)
 		must(t, err)
 		if status != http.StatusOK || !strings.Contains(body, `"execution":1`) {
 			t.Errorf("%s: desk answered %d: %s", i.id(), status, body)
@@ -111,14 +111,13 @@
 	}
 }
 
-// Symptom: families pay twice. Events: a booking is sent; the caller sends it
-// again to the same instance, to others of the region and to another region;
-// the first instance is killed and started again; it is sent once more.
-// Cause: an instance that knows only its own sendings.
+// Guards against double bookings by instances that know only their own attempts. The
+// caller resends a booking to the same instance, to others of the region and to
+// other regions, and again after the first instance was killed and restarted.
 func TestBookingRunsOnce(t *testing.T) {
 	c := startCluster(t, 2)
 	body := `{"flight":"BR-7","seats":4}`
-	status, first, err := c.desk(c.instances[1], "jatim", "b-1", body, nil)
+	status, first, err := c.sendBooking(c.instances[1], "jatim", "b-1", body, nil)
 	must(t, err)
 	if status != http.StatusOK {
 		t.Fatalf("first sending: %d %s", status, first)
@@ -133,7 +132,7 @@
 	c.voter("jatim").start()
 	for _, i := range c.instances {
 		c.eventually("a resend is answered by "+i.id(), func() error {
-			status, answer, err := c.desk(i, "jatim", "b-1", body, resend)
+			status, answer, err := c.sendBooking(i, "jatim", "b-1", body, resend)
 			if err != nil {
 				return err
 			}
@@ -146,11 +145,11 @@
 	}
 }
 
-// expectNoSecondRun sends a booking that ran again and checks that the answer
-// is the first one or says that it ran.
+// expectNoSecondRun resends a booking that ran and checks that the answer is the
+// first one or says that it ran.
 func (c *cluster) expectNoSecondRun(i *instance, body string, headers map[string]string) {
 	c.t.Helper()
-	status, answer, err := c.desk(i, "jatim", "b-1", body, headers)
+	status, answer, err := c.sendBooking(i, "jatim", "b-1", body, headers)
 	must(c.t, err)
 	if strings.Contains(answer, `"execution":2`) {
 		c.t.Errorf("%s ran it again: %s", i.id(), answer)
@@ -162,10 +161,9 @@
 	}
 }
 
-// Symptom: a region refuses its own callers although all it needs is there.
-// Events: every instance of the other regions stops answering, the leader of
-// the global group among them.
-// Cause: a request path that asks another region.
+// Guards against a request path that depends on another region: a region must serve
+// its callers while all instances of the other regions are stopped, the leader of the
+// global group among them.
 func TestRegionAloneServesItsCallers(t *testing.T) {
 	c := startCluster(t, 2)
 	for _, i := range c.instances {
@@ -181,7 +179,7 @@
 			if want := standin.Answer([]byte(prompt), 8); text != want {
 				t.Errorf("%s: answer %q, want %q", i.id(), text, want)
 			}
-			status, answer, err := c.desk(i, "bali", fmt.Sprintf("alone-%s-%d", i.id(), n), "{}", nil)
+			status, answer, err := c.sendBooking(i, "bali", fmt.Sprintf("alone-%s-%d", i.id(), n), "{}", nil)
 			must(t, err)
 			if status != http.StatusOK {
 				t.Errorf("%s: booking answered %d: %s", i.id(), status, answer)
@@ -194,9 +192,8 @@
 	c.mustRoll(c.next(c.bundle, "after the cut"))
 }
 
-// Symptom: a planned stop of an instance cuts off answers.
-// Events: SIGTERM comes while answers are streamed.
-// Cause: closing connections that are in use.
+// Guards against a planned stop that interrupts answers: SIGTERM arrives while
+// answers are streamed, and connections in use must not be closed.
 func TestGracefulStopCutsOffNothing(t *testing.T) {
 	c := startCluster(t, 2)
 	i := c.instances[1]
@@ -225,12 +222,12 @@
 	}
 }
 
-// slowBriefing reads a stream of a second and checks that it is whole.
+// slowBriefing reads a stream of about a second and checks that it is complete.
 func (c *cluster) slowBriefing(i *instance, n int, started chan<- struct{}) error {
 	prompt := fmt.Sprint("long briefing ", n)
 	const tokens = 400
 	body := fmt.Sprintf(`{"model":"briefing","stream":true,"max_tokens":%d,"prompt":%q}`, tokens, prompt)
-	resp, err := c.ask(i, http.MethodPost, "/v1/completions", i.settings.Region, body, nil)
+	resp, err := c.send(i, http.MethodPost, "/v1/completions", i.settings.Region, body, nil)
 	started <- struct{}{}
 	if err != nil {
 		return err
@@ -246,15 +243,14 @@
 	return nil
 }
 
-// Symptom: callers are sent to an instance that has gone.
-// Events: an instance is killed; callers ask the directory.
-// Cause: a directory that keeps what it once knew.
+// Guards against a directory with stale entries: after an instance is killed, the
+// directory must not list it, and must list it again after its restart.
 func TestDirectoryFollowsTheMembers(t *testing.T) {
 	c := startCluster(t, 3)
 	gone := c.instances[2]
 	gone.kill()
 	c.eventually("the directory leaves it out", func() error {
-		list, err := c.lookup(c.instances[1])
+		list, err := c.directory(c.instances[1])
 		if err != nil {
 			return err
 		}
@@ -265,7 +261,7 @@
 	})
 	gone.start()
 	c.eventually("the directory takes it up again", func() error {
-		list, err := c.lookup(c.instances[1])
+		list, err := c.directory(c.instances[1])
 		if err == nil && !strings.Contains(list, gone.settings.Listen.Callers) {
 			err = errors.New(list)
 		}
@@ -273,7 +269,7 @@
 	})
 }
 
-func (c *cluster) lookup(i *instance) (string, error) {
+func (c *cluster) directory(i *instance) (string, error) {
 	client := &http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get("http://" + i.settings.Listen.Callers + "/v1/directory")
 	if err != nil {
--- a/e2e/residency_test.go
+++ b/e2e/residency_test.go
@@ -21,31 +21,30 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// Symptom: data of a bound request lies in a region that it must not reach.
-// Events: its caller sends it to instances of other regions; only the headers
-// go out at first, then whole requests.
-// Cause: an instance that reads, logs or stores a body before it knows where
-// the request may go, or claims that are kept at the instance that was asked.
+// Guards against data of a request with residency in a region that it must not reach.
+// Its caller sends headers only, then whole requests to instances of other regions,
+// which must not read, log or store a body before they know where the request may go,
+// nor keep its claim.
 func TestBoundRequestsAreRefusedElsewhereUnread(t *testing.T) {
-	c := startShape(t, shape{perRegion: 2, sites: true})
+	c := startShape(t, shape{perRegion: 2, inProcessTargets: true})
 	const dossier, key = "secret-dossier-4711", "secret-booking-4712"
 	for _, i := range c.instances {
 		if i.settings.Region == boundRegion {
 			continue
 		}
-		c.refusesBeforeTheBody(i)
-		c.sendsTo(i, "/v1/completions", briefingBody(dossier, 4), nil)
-		c.sendsTo(i, "/services/desk/bookings", dossier, headers{pipeline.HeaderIdempotencyKey: key})
+		c.checkRefusedBeforeBody(i)
+		c.checkMisdirected(i, "/v1/completions", briefingBody(dossier, 4), nil)
+		c.checkMisdirected(i, "/services/desk/bookings", dossier, headers{pipeline.HeaderIdempotencyKey: key})
 	}
-	for region, s := range c.sites {
+	for region, s := range c.targets {
 		if n := s.runsOf(dossier) + s.desk.Runs(key); n != 0 {
 			t.Errorf("%d runs in %s", n, region)
 		}
 	}
-	c.servesAtHome(dossier, key)
+	c.checkServedAtHome(dossier, key)
 	digest := claim.KeyOf(boundWorkspace, "desk\x00"+key)
 	for _, i := range c.instances {
-		for name, data := range c.leftAt(i) {
+		for name, data := range c.outputOf(i) {
 			for _, text := range []string{dossier, key} {
 				if bytes.Contains(data, []byte(text)) {
 					t.Errorf("%s holds %q", name, text)
@@ -56,7 +55,7 @@
 			}
 		}
 	}
-	if !c.holds(c.voter(boundRegion), digest[:]) {
+	if !c.outputContains(c.voter(boundRegion), digest[:]) {
 		t.Error("the home's disk holds no digest of the claim; it would not be seen elsewhere either")
 	}
 }
@@ -65,14 +64,14 @@
 	return fmt.Sprintf(`{"model":"briefing","stream":true,"max_tokens":%d,"prompt":%q}`, tokens, prompt)
 }
 
-// refusesBeforeTheBody sends the headers of a bound request and holds its body
-// back: the answer must come all the same.
-func (c *cluster) refusesBeforeTheBody(i *instance) {
+// checkRefusedBeforeBody sends the headers of a bound request without its body, and
+// checks that it is refused.
+func (c *cluster) checkRefusedBeforeBody(i *instance) {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", i.settings.Listen.Callers)
 	must(c.t, err)
 	defer conn.Close()
-	must(c.t, conn.SetDeadline(time.Now().Add(patience)))
+	must(c.t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	_, err = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000000\r\n\r\n", keyOf(boundWorkspace))
 	must(c.t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -82,9 +81,9 @@
 	}
 }
 
-// sendsTo sends a bound request to an instance elsewhere, which must name a
-// place at home.
-func (c *cluster) sendsTo(i *instance, path, body string, h headers) {
+// checkMisdirected sends a bound request to an instance of another region, which must
+// name an instance of boundRegion.
+func (c *cluster) checkMisdirected(i *instance, path, body string, h headers) {
 	c.t.Helper()
 	c.eventually(i.id()+" says where to go", func() error {
 		r, err := c.request(i, http.MethodPost, path, boundWorkspace, body, h)
@@ -97,33 +96,34 @@
 		}
 		to, err := url.Parse(r.header.Get("Location"))
 		must(c.t, err)
-		for _, home := range c.in(boundRegion) {
+		for _, home := range c.inRegion(boundRegion) {
 			if to.Host == home.settings.Listen.Callers && to.Path == path {
 				return nil
 			}
 		}
-		// Instances learn of other regions within seconds of their start.
+		// Instances learn the instances of other regions within seconds of their start.
 		return errors.New("no place at home: " + to.String())
 	})
 }
 
-// servesAtHome has both requests served in the region that they are bound to.
-func (c *cluster) servesAtHome(dossier, key string) {
+// checkServedAtHome checks that boundRegion serves both requests.
+func (c *cluster) checkServedAtHome(dossier, key string) {
 	c.t.Helper()
-	i := c.in(boundRegion)[1]
+	i := c.inRegion(boundRegion)[1]
 	text, err := c.briefing(i, boundWorkspace, dossier, 4)
 	if err != nil || text != standin.Answer([]byte(dossier), 4) {
 		c.t.Errorf("at home: %q, %v", text, err)
 	}
 	r, err := c.request(i, http.MethodPost, "/services/desk/bookings", boundWorkspace, dossier, headers{pipeline.HeaderIdempotencyKey: key})
 	must(c.t, err)
-	if r.status != http.StatusOK || c.sites[boundRegion].desk.Runs(key) != 1 {
+	if r.status != http.StatusOK || c.targets[boundRegion].desk.Runs(key) != 1 {
 		c.t.Errorf("at home: %d %s", r.status, r.body)
 	}
 }
 
-// leftAt is all that an instance wrote or shows, by name.
-func (c *cluster) leftAt(i *instance) map[string][]byte {
+// outputOf returns all files that an instance wrote and the pages that it serves, by
+// name.
+func (c *cluster) outputOf(i *instance) map[string][]byte {
 	left := map[string][]byte{}
 	for _, path := range []string{"/metrics", "/operator/v1/status", "/operator/v1/burn"} {
 		left[i.id()+path] = []byte(c.page(i.settings.Listen.Operators, path))
@@ -134,7 +134,7 @@
 		}
 		data, err := os.ReadFile(path)
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // a file that was replaced meanwhile
+			return nil // the file was replaced meanwhile
 		}
 		left[strings.TrimPrefix(path, c.dir)] = data
 		return err
@@ -142,9 +142,9 @@
 	return left
 }
 
-// holds reports whether an instance's disk holds some bytes.
-func (c *cluster) holds(i *instance, b []byte) bool {
-	for _, data := range c.leftAt(i) {
+// outputContains reports whether an instance's files or pages contain some bytes.
+func (c *cluster) outputContains(i *instance, b []byte) bool {
+	for _, data := range c.outputOf(i) {
 		if bytes.Contains(data, b) {
 			return true
 		}
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -11,22 +11,22 @@
 	"github.com/gullhaven/gullhaven/standin"
 )
 
-// storm sends bookings through the instances of jatim, over and over, until
-// each was sent once. Each takes a while at the desk.
-type storm struct {
+// bookingLoad sends bookings through the instances of jatim, each once. Each takes a
+// while at the desk.
+type bookingLoad struct {
 	ledger *ledger
 	keys   []string
 	wg     sync.WaitGroup
-	// started is closed when a tenth was sent.
+	// started is closed when a tenth of them is sent.
 	started chan struct{}
 }
 
-// startStorm sends n bookings, a few at once.
-func startStorm(l *ledger, name string, n int) *storm {
+// startBookingLoad starts to send n bookings, a few at once.
+func startBookingLoad(l *ledger, name string, n int) *bookingLoad {
 	const atOnce = 8
 	c := l.c
-	c.sites["jatim"].desk.SetFaults(standin.Fault{Kind: standin.FaultLate, DelayMillis: 100})
-	s := &storm{ledger: l, started: make(chan struct{})}
+	c.targets["jatim"].desk.SetFaults(standin.Fault{Kind: standin.FaultLate, DelayMillis: 100})
+	s := &bookingLoad{ledger: l, started: make(chan struct{})}
 	work := make(chan int, n)
 	for k := range n {
 		s.keys = append(s.keys, fmt.Sprintf("%s-%d", name, k))
@@ -39,25 +39,26 @@
 				if k == n/10 {
 					close(s.started)
 				}
-				s.send(s.keys[k], c.in("jatim")[k%len(c.in("jatim"))])
+				s.send(s.keys[k], c.inRegion("jatim")[k%len(c.inRegion("jatim"))])
 			}
 		})
 	}
 	return s
 }
 
-// send sends a booking once. Where no answer came nothing is known of it.
-func (s *storm) send(key string, i *instance) {
+// send sends a booking once. Without an answer it records no verdict.
+func (s *bookingLoad) send(key string, i *instance) {
 	r, err := s.ledger.c.book(i, "jatim", key, nil)
 	if err == nil {
-		s.ledger.note("first sending", key, r)
+		s.ledger.record("first sending", key, r)
 	}
 }
 
-// resendAll sends all bookings again through every instance of a list.
-func (s *storm) resendAll(list []*instance) {
+// resendAll waits for the first attempts and resends all bookings through every
+// instance of a list.
+func (s *bookingLoad) resendAll(list []*instance) {
 	s.wg.Wait()
-	s.ledger.c.sites["jatim"].desk.SetFaults()
+	s.ledger.c.targets["jatim"].desk.SetFaults()
 	for _, i := range list {
 		var wg sync.WaitGroup
 		for part := range slices.Chunk(s.keys, len(s.keys)/4) {
@@ -71,27 +72,26 @@
 	}
 }
 
-// Symptom: after instances came back a booking runs again.
-// Events: bookings run; any two instances are killed in turn, at last all of
-// the region at once; each comes back; all bookings are sent again to all.
-// Cause: claims or outcomes that were answered but not synced, or a restarted
-// instance that takes a resend for a first sending.
+// Guards against bookings that run again after restarts, as claims or outcomes were
+// acknowledged but not synced, or a restarted instance takes a resend for a first
+// attempt. While bookings run, two instances in turn, and at last all of the region at
+// once, are killed and restarted; all bookings are resent to all of them.
 func TestBookingsRunOnceOverRestarts(t *testing.T) {
-	c := startShape(t, shape{perRegion: 3, sites: true})
-	region := c.in("jatim")
+	c := startShape(t, shape{perRegion: 3, inProcessTargets: true})
+	region := c.inRegion("jatim")
 	for n, pair := range [][2]int{{0, 1}, {1, 2}, {2, 0}} {
 		l := newLedger(c)
-		s := startStorm(l, fmt.Sprint("pair-", n), 60)
+		s := startBookingLoad(l, fmt.Sprint("pair-", n), 60)
 		<-s.started
 		for _, k := range pair {
 			region[k].kill()
 			region[k].start()
 		}
 		s.resendAll(region)
-		l.settle()
+		l.checkFinal()
 	}
 	l := newLedger(c)
-	s := startStorm(l, "all", 60)
+	s := startBookingLoad(l, "all", 60)
 	<-s.started
 	for _, i := range region {
 		i.signal(syscall.SIGKILL)
@@ -100,12 +100,11 @@
 		<-i.exited
 		i.start()
 	}
-	s.resendAll(append(slices.Clone(region), c.in("bali")...))
-	l.settle()
+	s.resendAll(append(slices.Clone(region), c.inRegion("bali")...))
+	l.checkFinal()
 }
 
-// regionLeader waits for the instance that leads a region's claims, another one
-// than not.
+// regionLeader waits for the instance that leads a region's claims, other than not.
 func (c *cluster) regionLeader(region string, not *instance) *instance {
 	c.t.Helper()
 	var found *instance
@@ -125,13 +124,12 @@
 	return found
 }
 
-// Symptom: two leaders of a region's claims let one booking run twice.
-// Events: the leader is frozen for longer than its lease while bookings wait at
-// it; another takes its place and the same bookings are sent there; the first
-// goes on.
-// Cause: a leader that grants by what it believed before it was frozen.
+// Guards against a resumed leader that grants claims by stale state, so that a booking
+// runs twice. The leader of a region's claims is stopped for longer than its lease with
+// bookings waiting at it; another one takes over and gets the same bookings; the first
+// one resumes.
 func TestFrozenRegionLeaderGrantsNothing(t *testing.T) {
-	c := startShape(t, shape{perRegion: 3, voters: map[string]int{"jatim": 3}, sites: true})
+	c := startShape(t, shape{perRegion: 3, voters: map[string]int{"jatim": 3}, inProcessTargets: true})
 	frozen := c.regionLeader("jatim", nil)
 	l := newLedger(c)
 	l.book("before", frozen, "before", nil)
@@ -141,7 +139,7 @@
 	for n := range waiting {
 		wg.Go(func() {
 			key := fmt.Sprint("waiting-", n)
-			if r, err := c.book(frozen, "jatim", key, nil); err == nil && r.told() == verdict.NotRun && c.bookingRuns(key) != 0 {
+			if r, err := c.book(frozen, "jatim", key, nil); err == nil && r.callerVerdict() == verdict.NotRun && c.bookingRuns(key) != 0 {
 				t.Errorf("%s was told not_run: %s", key, r.body)
 			}
 		})
@@ -153,23 +151,22 @@
 	}
 	frozen.signal(syscall.SIGCONT)
 	wg.Wait()
-	for _, i := range c.in("jatim") {
+	for _, i := range c.inRegion("jatim") {
 		l.resend(i, "before")
 		for n := range waiting {
 			l.resend(i, fmt.Sprint("waiting-", n))
 			l.resend(i, fmt.Sprint("new-", n))
 		}
 	}
-	l.settle()
+	l.checkFinal()
 }
 
-// Symptom: bookings run again after two disks were lost in turn.
-// Events: one of three voters of a region is killed and its disk wiped; it comes
-// back and is repaired; then a second one is killed and wiped.
-// Cause: counting a voter that has forgotten the claims that it had confirmed.
+// Guards against bookings that run again after two disks were lost in turn: one of three
+// voters of a region is killed, wiped, restarted and repaired, then a second one is killed
+// and wiped. A voter that has lost the claims that it confirmed must not count.
 func TestClaimsOutliveASecondLossAfterARepair(t *testing.T) {
-	c := startShape(t, shape{perRegion: 3, voters: map[string]int{"jatim": 3}, sites: true})
-	region := c.in("jatim")
+	c := startShape(t, shape{perRegion: 3, voters: map[string]int{"jatim": 3}, inProcessTargets: true})
+	region := c.inRegion("jatim")
 	l := newLedger(c)
 	var keys []string
 	book := func(name string, n int) {
@@ -184,14 +181,14 @@
 	region[0].wipe()
 	book("one-lost", 20)
 	region[0].start()
-	c.inForce(c.bundle)
-	c.eventually("the wiped voter is readmitted", func() error { return c.readmitted(region[0]) })
-	c.eventually("its claims are repaired", func() error { return c.regionVoter(region[0]) })
+	c.awaitInForce(c.bundle)
+	c.eventually("the wiped voter is readmitted", func() error { return c.checkVoter(region[0]) })
+	c.eventually("its claims are repaired", func() error { return c.checkRegionVoter(region[0]) })
 	region[1].kill()
 	region[1].wipe()
 	book("second-lost", 20)
 	region[1].start()
-	c.inForce(c.bundle)
+	c.awaitInForce(c.bundle)
 	for _, key := range keys {
 		for _, i := range region {
 			l.resend(i, key)
@@ -200,11 +197,12 @@
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
-	l.settle()
+	l.checkFinal()
 }
 
-// regionVoter checks that an instance counts in its region's group.
-func (c *cluster) regionVoter(i *instance) error {
+// checkRegionVoter returns an error unless an instance counts as a voter of its region's
+// group.
+func (c *cluster) checkRegionVoter(i *instance) error {
 	s, err := c.status(i)
 	if err == nil && !slices.Contains(s.Roles, "region_voter") {
 		err = errorString(fmt.Sprintf("%s has the roles %v", i.id(), s.Roles))
--- a/e2e/roll_test.go
+++ b/e2e/roll_test.go
@@ -10,10 +10,9 @@
 	"testing"
 )
 
-// Symptom: two regions run different bundles under one version.
-// Events: two operators roll different bundles of equal version at different
-// instances at the same time; both resend.
-// Cause: acceptance that is not one compare-and-set.
+// Guards against regions with different bundles under one version. Two operators
+// roll different bundles of equal version at different instances at the same time,
+// and resend them: acceptance must be one compare-and-set.
 func TestEqualVersionsHaveOneWinner(t *testing.T) {
 	c := startCluster(t, 1)
 	rivals := [][]byte{c.sign(c.next(c.bundle, "left")), c.sign(c.next(c.bundle, "right"))}
@@ -48,7 +47,7 @@
 	}
 }
 
-// rollUntilAnswered sends the same bytes until an answer is final.
+// rollUntilAnswered sends the same bytes until the answer is final.
 func (c *cluster) rollUntilAnswered(i *instance, signed []byte) rollAnswer {
 	var final rollAnswer
 	c.eventually("an answer of "+i.id(), func() error {
@@ -69,11 +68,9 @@
 
 func (e errorString) Error() string { return string(e) }
 
-// Symptom: an accepted bundle is lost, or a roll never ends.
-// Events: the leader is killed while bundles are rolled, again and again; each
-// killed one starts again.
-// Cause: acknowledging before a majority has synced, or a resend that is taken
-// for a new bundle.
+// Guards against accepted bundles that are lost and rolls that never end, while the
+// leader is killed during each of several rolls and restarted. A bundle must not be
+// acknowledged before a majority has synced it, and a resend is no new bundle.
 func TestLeaderKilledDuringRolls(t *testing.T) {
 	c := startCluster(t, 1)
 	b := c.bundle
@@ -91,14 +88,13 @@
 		<-done
 		c.mustRoll(b)
 		leader.start()
-		c.inForce(b)
+		c.awaitInForce(b)
 	}
 }
 
-// Symptom: accepted bundles are gone after two losses in turn.
-// Events: a voter is killed and its disk wiped; it comes back and is repaired;
-// then a second voter is killed for good.
-// Cause: counting a voter that has forgotten what it acknowledged.
+// Guards against bundles lost by two losses in turn: a voter is killed, wiped,
+// restarted and repaired, then a second one is killed. A voter that has lost what it
+// acknowledged must not count.
 func TestSecondVoterLostAfterTheFirstWasRepaired(t *testing.T) {
 	c := startCluster(t, 1)
 	b := c.next(c.bundle, "before the losses")
@@ -109,18 +105,18 @@
 	b = c.next(b, "while one disk is lost")
 	c.mustRoll(b)
 	first.start()
-	c.inForce(b)
-	// Once the wiped voter counts again, the group has a majority without the second.
-	c.eventually("the wiped voter is readmitted", func() error { return c.readmitted(first) })
+	c.awaitInForce(b)
+	// When the wiped voter counts again, the group has a majority without the second.
+	c.eventually("the wiped voter is readmitted", func() error { return c.checkVoter(first) })
 	second.kill()
 	b = c.next(b, "after the second loss")
 	c.mustRoll(b)
 	second.start()
-	c.inForce(b)
+	c.awaitInForce(b)
 }
 
-// readmitted checks that a voter counts in the group.
-func (c *cluster) readmitted(i *instance) error {
+// checkVoter returns an error unless the instance counts as a voter of the global group.
+func (c *cluster) checkVoter(i *instance) error {
 	s, err := c.status(i)
 	if err != nil {
 		return err
@@ -131,11 +127,9 @@
 	return nil
 }
 
-// Symptom: an instance that was frozen acts on what it believed before, or
-// puts an older bundle in force.
-// Events: the leader is stopped for longer than its lease; others accept two
-// bundles; it goes on.
-// Cause: a lease that is not checked against the time that passed.
+// Guards against a resumed leader that acts on stale state or puts an older bundle
+// in force: it is stopped for longer than its lease while others accept two bundles,
+// so the lease must be checked against the elapsed time.
 func TestLeaderStoppedLongerThanItsLease(t *testing.T) {
 	c := startCluster(t, 1)
 	leader := c.leader()
@@ -148,12 +142,11 @@
 	if a := c.rollUntilAnswered(leader, c.sign(c.next(c.bundle, "a late rival"))); a.status == http.StatusOK {
 		t.Errorf("the frozen leader accepted a rival of version 2: %+v", a)
 	}
-	c.inForce(b)
+	c.awaitInForce(b)
 }
 
-// Symptom: after a restart an instance serves under an older bundle.
-// Events: many changes, then every process is killed at once and started again.
-// Cause: state that was acknowledged but not synced.
+// Guards against state that is acknowledged but not synced: after many bundles all
+// processes are killed and restarted, and must not have an older bundle in force.
 func TestAllKilledAfterManyChanges(t *testing.T) {
 	c := startCluster(t, 1)
 	b := c.bundle
@@ -167,16 +160,14 @@
 	for _, i := range c.instances {
 		i.start()
 	}
-	c.inForce(b)
+	c.awaitInForce(b)
 	c.mustRoll(c.next(b, "after the restart"))
 }
 
-// Symptom: after a change of leader the loser of a race is accepted, or the same
-// bytes get another answer.
-// Events: two operators roll different bundles of equal version everywhere while
-// the leader is killed again and again; their answers are lost, and they send
-// again; at last all instances are killed and started.
-// Cause: an outcome that only the leader of the time knew.
+// Guards against an outcome that only the former leader knew, so that the loser of a
+// race is accepted or the same bytes get another answer. Two operators roll different
+// bundles of equal version everywhere while the leader is killed, and resend them after
+// their answers are lost; once, all instances are killed and restarted.
 func TestRaceHasOneWinnerWhileLeadersDie(t *testing.T) {
 	c := startCluster(t, 2)
 	b := c.bundle
@@ -186,7 +177,7 @@
 		leader := c.leader()
 		var wg sync.WaitGroup
 		for n := range 6 {
-			// What these are answered is lost.
+			// These answers are lost.
 			wg.Go(func() { _, _ = c.roll(c.instances[n], rivals[n%2]) })
 		}
 		leader.kill()
@@ -200,7 +191,7 @@
 		if (first[0].status == http.StatusOK) == (first[1].status == http.StatusOK) {
 			t.Fatalf("round %d: answers %+v", round, first)
 		}
-		c.inForce(winner)
+		c.awaitInForce(winner)
 		c.sameAnswers(rivals, first)
 		b = winner
 		if round == 1 {
@@ -211,13 +202,13 @@
 				<-i.exited
 				i.start()
 			}
-			c.inForce(winner)
+			c.awaitInForce(winner)
 			c.sameAnswers(rivals, first)
 		}
 	}
 }
 
-// sameAnswers sends rivals again to every instance and compares the answers.
+// sameAnswers resends rivals to every instance and compares the answers.
 func (c *cluster) sameAnswers(rivals [][]byte, first []rollAnswer) {
 	c.t.Helper()
 	for _, i := range c.instances {
--- a/e2e/size_test.go
+++ b/e2e/size_test.go
@@ -8,12 +8,9 @@
 	"github.com/gullhaven/gullhaven/bundle"
 )
 
-// Symptom: the first bundle of a large organisation can't be rolled, or an
-// instance that comes back without a disk never gets it.
-// Events: a bundle of 10,000 workspaces is rolled, one workspace is changed,
-// and an instance without a disk starts anew.
-// Cause: bounds of messages and log entries that were tried with small bundles
-// only.
+// Guards against bounds of messages and log entries that only fit small bundles: a
+// bundle of 10,000 workspaces must roll, then a change of one workspace, and an
+// instance without a disk must get it after a restart.
 func TestFullSizeBundle(t *testing.T) {
 	c := startCluster(t, 2)
 	big := c.next(c.bundle, "full size")
@@ -34,7 +31,7 @@
 	t.Logf("a change among 10,000 workspaces is in force everywhere after %v, with the looks at it", time.Since(start))
 	c.instances[1].kill()
 	c.instances[1].start()
-	c.inForce(changed)
+	c.awaitInForce(changed)
 	text, err := c.briefing(c.instances[1], regionNames[0], "after the restart", 4)
 	if err != nil {
 		t.Errorf("%q: %v", text, err)
--- a/e2e/site_test.go
+++ b/e2e/targets_test.go
@@ -9,20 +9,20 @@
 	"github.com/gullhaven/gullhaven/standin/loopback"
 )
 
-// site is the targets of one region in the test's process.
-type site struct {
+// regionTargets are the targets of one region in the test's process.
+type regionTargets struct {
 	engines      []*engineTarget
 	desk, titles *plainTarget
 }
 
-// target is a stand-in behind a server that can be lost and come back. What
-// the stand-in counted stays.
+// target is a stand-in with a server that can be stopped and started again. The
+// stand-in keeps its counts.
 type target struct {
 	t       *testing.T
 	address string
 	handler http.Handler
 	server  *http.Server
-	// listener is closed by itself: a server that has not begun to serve does not
+	// listener is closed separately: a server that does not serve yet does not
 	// know it.
 	listener net.Listener
 }
@@ -37,7 +37,7 @@
 	*standin.Plain
 }
 
-// up listens and serves.
+// up starts the server.
 func (x *target) up() {
 	x.t.Helper()
 	must(x.t, x.tryUp())
@@ -53,15 +53,15 @@
 	return nil
 }
 
-// down breaks all connections off and listens no longer, as the end of a
-// target's process does.
+// down closes the listener and all connections, as the end of a target's process
+// does.
 func (x *target) down() {
 	_ = loopback.Close(x.listener)
 	_ = x.server.Close()
 }
 
-// end loses all targets that were started.
-func (s *site) end() {
+// end stops all targets that were started.
+func (s *regionTargets) end() {
 	for _, e := range s.engines {
 		e.down()
 	}
@@ -72,15 +72,15 @@
 	}
 }
 
-// setFaults sets the same faults at all engines of the site.
-func (s *site) setFaults(list ...standin.Fault) {
+// setFaults sets the same faults at all engines of the region.
+func (s *regionTargets) setFaults(list ...standin.Fault) {
 	for _, e := range s.engines {
 		e.SetFaults(list...)
 	}
 }
 
-// runsOf counts the runs of a prompt at all engines of the site.
-func (s *site) runsOf(prompt string) int {
+// runsOf returns the number of runs of a prompt at all engines of the region.
+func (s *regionTargets) runsOf(prompt string) int {
 	n := 0
 	for _, e := range s.engines {
 		n += e.RunsOf(prompt)
@@ -88,14 +88,14 @@
 	return n
 }
 
-// startSites runs the targets of the bundle.
-func (c *cluster) startSites() {
-	c.sites = map[string]*site{}
+// startInProcessTargets starts the targets of the bundle in the test's process.
+func (c *cluster) startInProcessTargets() {
+	c.targets = map[string]*regionTargets{}
 	for _, region := range regionNames {
-		c.sites[region] = &site{}
+		c.targets[region] = &regionTargets{}
 	}
 	for _, b := range c.bundle.Targets {
-		s := c.sites[b.Region]
+		s := c.targets[b.Region]
 		if b.Service == "briefing" {
 			e := standin.NewEngine(standin.EngineConfig{
 				ID: b.ID, PerToken: standinTokenTime, Slots: b.Slots, IgnoresFence: !b.ChecksFence,
@@ -117,10 +117,10 @@
 	}
 }
 
-// bookingRuns counts the runs of an idempotency key at the desks of all regions.
+// bookingRuns returns the number of runs of an idempotency key at all desks.
 func (c *cluster) bookingRuns(key string) int {
 	n := 0
-	for _, s := range c.sites {
+	for _, s := range c.targets {
 		n += s.desk.Runs(key)
 	}
 	return n
