--- a/api/form_test.go
+++ b/api/status_test.go
@@ -16,7 +16,7 @@
 	"github.com/gullhaven/gullhaven/operate"
 )
 
-func fullReport() *operators.InstanceReport {
+func fullStatus() *operators.InstanceReport {
 	lease := &operators.LeaseStatus{Instance: "malang-1", Term: 4, LeftMs: 900}
 	return &operators.InstanceReport{
 		Instance: "malang-1", Region: "jatim", Zone: "malang-hall", Roles: []string{"entry"}, Version: 3, Digest: "d",
@@ -35,11 +35,11 @@
 	}
 }
 
-// Symptom: a column of `gullhaven status` stays empty though the instance tells
-// it. Cause: the field has another name in the design than in package operate.
-func TestStatusHasTheFormThatOperatorsRead(t *testing.T) {
+// Guards against a column of `gullhaven status` that stays empty because the field's
+// name in api/design differs from that in package operate.
+func TestStatusMatchesPackageOperate(t *testing.T) {
 	w := httptest.NewRecorder()
-	if err := server.EncodeStatusResponse(goahttp.ResponseEncoder)(context.Background(), w, fullReport()); err != nil {
+	if err := server.EncodeStatusResponse(goahttp.ResponseEncoder)(context.Background(), w, fullStatus()); err != nil {
 		t.Fatal(err)
 	}
 	sent := w.Body.Bytes()
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	want := operate.ServiceStatus{
-		Service: "s", Region: "jatim", WindowSeconds: 300, Requests: 10, Refused: 1, Failed: 2, SentAway: 0.25, TargetSeconds: 3, Cost: 4,
+		Service: "s", Region: "jatim", WindowSeconds: 300, Requests: 10, Refused: 1, Failed: 2, SpillShare: 0.25, TargetSeconds: 3, Cost: 4,
 		FirstByte: operate.Quantiles{P50: 1, P90: 2, P99: 3, P999: 4.5},
 	}
 	if read.Services[0] != want {
--- a/bundle/newest/machine_test.go
+++ b/bundle/newest/machine_test.go
@@ -34,10 +34,9 @@
 	return string(text)
 }
 
-// Symptom: instances run different routes under one version, or go back to an older
-// one.
-// Events: operators race with any versions, and older offers arrive again.
-// Cause: the last offer wins in place of the highest and first.
+// Guards against instances that run different routes under one version, or go back to an older
+// one, while operators race with any versions and older offers arrive again. It happens if the
+// last offer wins instead of the first one of the highest version.
 func TestHighestVersionWinsAndFirstContentStays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newest.NewMachine(nil)
@@ -57,14 +56,16 @@
 	})
 }
 
+// Guards against evacuations that a snapshot loses or that can't be cancelled, and against
+// commands or snapshots that can't be decoded and change the state.
 func TestEvacuationsAreTakenBackAndSurviveSnapshots(t *testing.T) {
 	Convey("a machine with a configuration and two evacuations", t, func() {
 		calls := 0
 		m := newest.NewMachine(func(*newest.State) { calls++ })
 		m.Apply(1, offer(t, 7, "seven"))
-		m.Apply(2, entry(t, newest.Command{Zone: &newest.Zone{Name: "b", Evacuate: true}}))
-		m.Apply(3, entry(t, newest.Command{Zone: &newest.Zone{Name: "a", Evacuate: true}}))
-		m.Apply(4, entry(t, newest.Command{Zone: &newest.Zone{Name: "a", Evacuate: true}}))
+		m.Apply(2, entry(t, newest.Command{Evacuation: &newest.Evacuation{Zone: "b", Evacuate: true}}))
+		m.Apply(3, entry(t, newest.Command{Evacuation: &newest.Evacuation{Zone: "a", Evacuate: true}}))
+		m.Apply(4, entry(t, newest.Command{Evacuation: &newest.Evacuation{Zone: "a", Evacuate: true}}))
 		So(m.State().Zones(), ShouldResemble, []string{"a", "b"})
 		So(calls, ShouldEqual, 3)
 
@@ -76,7 +77,7 @@
 			So(other.State(), ShouldResemble, m.State())
 		})
 		Convey("takes one back", func() {
-			m.Apply(5, entry(t, newest.Command{Zone: &newest.Zone{Name: "a"}}))
+			m.Apply(5, entry(t, newest.Command{Evacuation: &newest.Evacuation{Zone: "a"}}))
 			So(m.State().Zones(), ShouldResemble, []string{"b"})
 			So(m.State().Index, ShouldEqual, 5)
 		})
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -9,16 +9,16 @@
 )
 
 func member(id, zone string, state membership.State) membership.View {
-	meta, err := members.Meta{Callers: id + ":80"}.Encode()
+	meta, err := members.Meta{CallerAddress: id + ":80"}.Encode()
 	if err != nil {
 		panic(err)
 	}
 	return membership.View{Member: membership.Member{ID: id, Region: "jatim", Zone: zone, Meta: meta}, State: state}
 }
 
-// Symptom: callers land on one instance, on one that has gone, or in a region
-// far away. Events: callers ask with and without a place, or name one that is
-// not known. Cause: one order for all, members that have left, weights alike.
+// Guards against callers that land on a single instance, on one that has left, or in a distant
+// region: by one order for all callers, dead members in the answer, or equal weights. Callers
+// ask with and without a place, or name an unknown one.
 func TestDirectoryOrders(t *testing.T) {
 	view := &members.View{Members: []membership.View{
 		member("a", "malang-hall", membership.Alive), member("b", "malang-hall", membership.Alive),
--- a/node/quota/service.go
+++ b/node/quota/service.go
@@ -91,7 +91,7 @@
 	s.hasWorkspaces = x.Table.Keyed
 	s.accepting = accepting
 	s.holder.SetLimits(x.Table.Version, func(name string) (limit.Limit, bool) {
-		w := x.WorkspaceNamed(name)
+		w := x.WorkspaceByName(name)
 		if w == nil || w.Limit.Rate <= 0 {
 			return limit.Limit{}, false
 		}
