--- a/coord/replog/api.go
+++ b/coord/replog/api.go
@@ -22,8 +22,9 @@
 	// is called.
 	Self Member
 	// Bootstrap lists the ids of the first voters and learners, identical at each of
-	// them, or is nil for a node that joins an existing group. Only the lowest voter id
-	// (the founder) acts on it; see the package comment.
+	// them, or is nil for a node that joins an existing group. The lowest voter id (the
+	// founder) forms the group from it; the others reject a founder whose lists differ.
+	// See the package comment.
 	Bootstrap *Bootstrap
 	// HeartbeatInterval is the time between a leader's heartbeats; default 100 ms.
 	HeartbeatInterval time.Duration
@@ -90,9 +91,11 @@
 // Snapshot is the host's state at an index and what the log needs to continue from
 // there.
 type Snapshot struct {
-	Group  uint64 `cbor:"1,keyasint"`
-	Index  uint64 `cbor:"2,keyasint"`
-	Term   uint64 `cbor:"3,keyasint"`
+	Group uint64 `cbor:"1,keyasint"`
+	// Index and Term are those of the last entry that Data covers.
+	Index uint64 `cbor:"2,keyasint"`
+	Term  uint64 `cbor:"3,keyasint"`
+	// Config is the configuration in force at Index.
 	Config Config `cbor:"4,keyasint"`
 	Data   []byte `cbor:"5,keyasint"`
 }
@@ -133,20 +136,25 @@
 	MsgReadIndexResp
 )
 
-// Message is sent from one incarnation to another of the same group. Hosts pass it on
-// unchanged and may lose, delay, repeat and reorder it.
+// Message is sent from one incarnation to another of the same group; probes, their
+// responses and MsgWrongIncarnation carry no group. Hosts pass it on unchanged and may
+// lose, delay, repeat and reorder it.
 type Message struct {
 	Kind  MessageKind `cbor:"1,keyasint"`
 	Group uint64      `cbor:"2,keyasint,omitempty"`
 	From  Member      `cbor:"3,keyasint"`
 	To    Member      `cbor:"4,keyasint"`
 	Term  uint64      `cbor:"5,keyasint,omitempty"`
-	// Index and LogTerm are the position before Entries, the candidate's last entry, or
-	// the position that a response refers to.
+	// Index and LogTerm are the position before Entries, that of the candidate's last
+	// entry, or that of Snapshot. In MsgAppendResp, Index is the last index
+	// that agrees, or with Reject that of the request; in MsgReadIndexResp it is that of
+	// the read.
 	Index   uint64 `cbor:"6,keyasint,omitempty"`
 	LogTerm uint64 `cbor:"7,keyasint,omitempty"`
-	Commit  uint64 `cbor:"8,keyasint,omitempty"`
-	Reject  bool   `cbor:"9,keyasint,omitempty"`
+	// Commit is the leader's commit index, in a heartbeat at most what the receiver is
+	// known to hold.
+	Commit uint64 `cbor:"8,keyasint,omitempty"`
+	Reject bool   `cbor:"9,keyasint,omitempty"`
 	// Hint and HintTerm are the last position at which the logs may agree, in a
 	// rejecting MsgAppendResp.
 	Hint     uint64 `cbor:"10,keyasint,omitempty"`
--- a/coord/replog/doc.go
+++ b/coord/replog/doc.go
@@ -14,9 +14,9 @@
 // folder, a random number drawn when the folder is created. The configuration
 // in the log holds members, each message names the incarnations of its sender
 // and its receiver, and all counting (votes, commits, leases, reads) is by
-// member. A message for another incarnation than the receiver's is answered
-// with MsgWrongIncarnation and otherwise ignored. So an empty voter neither
-// votes nor counts: if one of three voters lost its disk, the majority is still
+// member. A message for another incarnation than the receiver's is ignored; one
+// of a leader or a candidate is answered with MsgWrongIncarnation. So an empty
+// voter neither votes nor counts: if one of three voters lost its disk, the majority is still
 // two of the three that the configuration names, and both others are needed.
 //
 // Repair takes two changes through the log. Readmit removes the old incarnation
--- a/coord/replog/election.go
+++ b/coord/replog/election.go
@@ -35,7 +35,8 @@
 	n.resetElection()
 }
 
-// observeLeader records a message from the leader of this term.
+// observeLeader records a message from the leader of this term and promises it to
+// refuse votes for voterTimeout.
 func (n *Node) observeLeader(leader Member) {
 	if n.role != Follower || n.leader != leader {
 		n.becomeFollower(n.hs.Term, leader)
--- a/coord/replog/log.go
+++ b/coord/replog/log.go
@@ -98,7 +98,7 @@
 }
 
 // between returns the entries in [lo, hi], as many as fit into maxBytes of data but at
-// least one.
+// least one; none if lo is above hi or compacted.
 func (l *entryLog) between(lo, hi uint64, maxBytes int) []Entry {
 	if lo > hi || lo <= l.prev.Index {
 		return nil
@@ -114,7 +114,8 @@
 	return all[:len(all):len(all)]
 }
 
-// append adds an entry at the end.
+// append adds e, whose index must be that after the last entry. A configuration takes
+// effect at once.
 func (l *entryLog) append(e Entry) {
 	l.entries = append(l.entries, e)
 	if e.Kind == EntryConfig {
--- a/coord/replog/ready.go
+++ b/coord/replog/ready.go
@@ -39,7 +39,7 @@
 
 // sendAsLeader queues a message of a leader, which depends only on its term and on
 // entries that the leader need not have synced itself, as it does not count itself
-// before. In two cases the message has to wait. A term that is not synced yet could be
+// before it has. In two cases the message has to wait. A term that is not synced yet could be
 // used twice by a single voter that restarts. A configuration that others hold and that
 // its leader lost could leave nobody able to win an election.
 func (n *Node) sendAsLeader(m Message) {
--- a/coord/replog/replicate.go
+++ b/coord/replog/replicate.go
@@ -10,8 +10,8 @@
 	"github.com/gullhaven/gullhaven/coord/replog/tracker"
 )
 
-// snapshotElectionTimeouts is after how many election timeouts an unanswered snapshot
-// may be sent again.
+// snapshotElectionTimeouts is the least number of election timeouts after which an
+// unanswered snapshot is sent again.
 const snapshotElectionTimeouts = 4
 
 // Propose implements Log.
--- a/coord/replog/replog_test.go
+++ b/coord/replog/replog_test.go
@@ -12,7 +12,7 @@
 	"github.com/gullhaven/gullhaven/coord/replog/quorum"
 )
 
-// injectFault injects one random fault or change.
+// injectFault injects one random fault or change, or none for "quiet".
 func (s *sim) injectFault(t *rapid.T) {
 	id := rapid.SampledFrom(s.ids).Draw(t, "host")
 	h := s.hosts[id]
--- a/coord/replog/sim_test.go
+++ b/coord/replog/sim_test.go
@@ -51,23 +51,30 @@
 	}
 }
 
-// host is one machine: its disk, its clock, and the node while it runs.
+// host is one machine: its disk, its clock, and the node while it runs. Durations are
+// true time since the start of the simulation.
 type host struct {
-	disk        *disk
-	node        *Node
+	disk *disk
+	node *Node
+	// rate is how far the host's clock advances in one unit of true time.
 	rate        float64
 	frozenUntil time.Duration
 	frozenAt    time.Time
 	inbox       []Message
-	ready       *Ready
-	syncAt      time.Duration
-	applied     uint64
-	chain       uint64
-	reads       map[uint64]uint64
-	lastTerm    uint64
-	leaseEnd    time.Duration
+	// ready is the Ready being written, if any, and syncAt when it is synced.
+	ready  *Ready
+	syncAt time.Duration
+	// chain is a hash of all entries up to applied.
+	applied uint64
+	chain   uint64
+	// reads holds, by read id, the least index that the read may return.
+	reads map[uint64]uint64
+	// lastTerm is the newest term in which the host was seen to lead.
+	lastTerm uint64
+	leaseEnd time.Duration
 }
 
+// flight is a message in transit, due at a true time; seq orders those of one time.
 type flight struct {
 	at  time.Duration
 	seq int
@@ -109,12 +116,16 @@
 	net      flights
 	sequence int
 	now      time.Duration
-	cut      map[[2]string]bool
-	drop     func(Message) bool
-	lossy    bool
+	// cut holds the pairs of sender and receiver that cannot communicate.
+	cut map[[2]string]bool
+	// drop, if set, reports whether a message is lost.
+	drop func(Message) bool
+	// lossy makes the network lose, repeat and delay messages, and disks sync late.
+	lossy bool
 	// meanProposalSteps is the mean number of steps between two proposals at a node.
 	meanProposalSteps int
-	count             func(Message)
+	// count, if set, is called for each message sent.
+	count func(Message)
 	// delay, if set, returns a message's delay in transit.
 	delay func(Message) time.Duration
 
@@ -124,9 +135,10 @@
 	votes     map[Member]map[uint64]Member
 	entries   map[groupPosition]uint64
 	committed []Entry
-	chains    []uint64
-	config    Config
-	commit    uint64
+	// chains holds the hash of all entries up to each index.
+	chains []uint64
+	config Config
+	commit uint64
 	// configIndex is the index of config.
 	configIndex   uint64
 	proposed      int
--- a/coord/replog/tracker/tracker.go
+++ b/coord/replog/tracker/tracker.go
@@ -26,10 +26,11 @@
 	Next uint64
 	// SentCommit is the highest commit index sent.
 	SentCommit uint64
-	// Active is the time of the last response in this term.
+	// Active is the time of the last response in this term, or that given to New.
 	Active time.Time
-	// Round is the newest heartbeat round that the peer answered, and LeaseFrom the
-	// time at which that round was sent.
+	// Round is the newest heartbeat round that the peer answered, and LeaseFrom the time
+	// at which the newest answered round was sent that was recent enough for a lease when
+	// its answer came; zero for none.
 	Round     uint64
 	LeaseFrom time.Time
 
@@ -129,7 +130,7 @@
 	return advanced
 }
 
-// Reject records that the peer lacks the entry at index, and that the logs agree up to
+// Reject records that the peer lacks the leader's entry at index, and that the logs agree up to
 // maxMatch at most. It reports whether the peer is to be probed: not for an outdated
 // response, nor for one to an append that arrived before an earlier one still in
 // flight.
