--- a/coord/registry/table.go
+++ b/coord/registry/table.go
@@ -21,7 +21,8 @@
 // Table is the state machine. It is not safe for concurrent use.
 type Table struct {
 	// clock is in Unix milliseconds.
-	clock   int64
+	clock int64
+	// applied is the index of the last entry applied.
 	applied uint64
 	// maxLifetimeSeconds is the longest lifetime ever in force.
 	maxLifetimeSeconds uint32
--- a/coord/registry/table_test.go
+++ b/coord/registry/table_test.go
@@ -25,9 +25,9 @@
 	index       uint64
 	now         int64 // true time, in seconds
 	nextGroup   uint64
-	maxLifetime uint32
-	current     map[string]uint64
-	servesFrom  map[uint64]int64 // when a group may serve, by true time
+	maxLifetime uint32            // in seconds
+	current     map[string]uint64 // the newest group of each name
+	servesFrom  map[uint64]int64  // when a group may serve, by true time, in seconds
 	results     map[uint64]registry.Result
 	requests    []registry.Register
 	records     []servedRecord
