--- a/coord/replhost/apply.go
+++ b/coord/replhost/apply.go
@@ -24,7 +24,8 @@
 type applier struct {
 	node *Node
 	// snapshotAt is the index of the newest snapshot, made or restored.
-	snapshotAt   uint64
+	snapshotAt uint64
+	// index is the last index applied or restored. pendingReads wait for a later one.
 	index        uint64
 	pendingReads []replog.ReadState
 }
--- a/coord/replhost/calls.go
+++ b/coord/replhost/calls.go
@@ -120,7 +120,8 @@
 	delete(cs.proposals, e.Index)
 }
 
-// endCovered ends the proposals that another node's snapshot covers.
+// endCovered ends the proposals up to index, which another node's snapshot covers. This
+// node cannot tell whether they were committed.
 func (cs *calls) endCovered(index uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/coord/replhost/cluster_test.go
+++ b/coord/replhost/cluster_test.go
@@ -59,12 +59,12 @@
 	nodes       map[string]*replhost.Node
 	lists       map[string]*listMachine
 	disks       map[string]*faultfs.FS
-	cut         map[string]bool
+	cut         map[string]bool // nodes that can neither send nor receive
 	rng         *rand.Rand
-	lossPercent int
+	lossPercent int // of the payloads
 	nextItem    int
-	acked       []string
-	notRun      map[string]bool
+	acked       []string        // proposals that succeeded
+	notRun      map[string]bool // proposals that ended with verdict NotRun
 	failures    []string
 }
 
@@ -125,6 +125,7 @@
 	}
 }
 
+// up opens a node unless it runs. If its disk fails meanwhile, the node stays down.
 func (c *cluster) up(id string) {
 	if c.node(id) != nil {
 		return
@@ -152,7 +153,7 @@
 	c.nodes[id], c.lists[id] = n, l
 }
 
-// down ends a node, as kill -9 does, or with power as a power loss does.
+// down ends a node as kill -9 does, or if power is set as a power loss does.
 func (c *cluster) down(id string, power bool) {
 	n := c.node(id)
 	if n == nil {
@@ -278,8 +279,8 @@
 	return n.Read(ctx)
 }
 
-// flush commits one more proposal. Entries that nobody was answered about may wait in
-// the leader's log; with this one they are committed too, so that reads at two nodes
+// flush commits one more proposal. Entries whose proposers got no result may wait in the
+// leader's log; with this one they are committed too, so that reads at two nodes
 // can be compared.
 func (c *cluster) flush() bool {
 	for range 100 {
--- a/coord/replhost/codec.go
+++ b/coord/replhost/codec.go
@@ -26,12 +26,13 @@
 	return m
 }
 
-// maxPackedBytes bounds the entry data that is packed with other messages into one
-// payload. A longer message is sent alone: heartbeats packed with it would be delayed
+// maxPackedBytes bounds the entry and snapshot data of the messages that are packed into
+// one payload. A longer message is sent alone: heartbeats packed with it would be delayed
 // at a transport that lets short payloads overtake long ones.
 const maxPackedBytes = 12 << 10
 
-// messageBatch is one payload's messages to a node.
+// messageBatch is one payload's messages to a node. bytes is the length of their entry
+// and snapshot data.
 type messageBatch struct {
 	to       string
 	messages []replog.Message
--- a/coord/replhost/doc.go
+++ b/coord/replhost/doc.go
@@ -25,5 +25,5 @@
 //
 // Leases hold only if Clock keeps running while the process is stopped.
 // SystemClock does so for a stopped process, but not while the operating system
-// as a whole is suspended.
+// as a whole is suspended; BootClock does so for both.
 package replhost
--- a/coord/replhost/loop.go
+++ b/coord/replhost/loop.go
@@ -13,11 +13,13 @@
 // event is a report of another goroutine to the core goroutine.
 type event struct {
 	// synced is a Ready that was written and synced.
-	synced        *replog.Ready
+	synced *replog.Ready
+	// savedSnapshot is a snapshot of this node's state machine that is durable.
 	savedSnapshot *replog.Snapshot
 	// applied says that the apply queue has room again.
 	applied bool
-	state   *stateSnapshot
+	// state is a snapshot that the state machine created, to be saved.
+	state *stateSnapshot
 	// failed is the error that ends the node.
 	failed error
 }
@@ -54,7 +56,7 @@
 	l.terminate()
 }
 
-// wait handles one input.
+// wait waits for an input and handles it, or for the end of ctx.
 func (l *loop) wait(ctx context.Context, ticks <-chan time.Time) {
 	n := l.node
 	select {
@@ -70,7 +72,8 @@
 	}
 }
 
-// drain handles the inputs that are already there, so that they share a sync.
+// drain handles the inputs that are already there, at most maxBatch, so that they share
+// a sync.
 func (l *loop) drain() {
 	n := l.node
 	for range maxBatch {
@@ -177,6 +180,7 @@
 	}
 }
 
+// save passes a snapshot to the disk goroutine, unless another one is being written.
 func (l *loop) save(m *stateSnapshot) {
 	if l.snapshotPending {
 		return
--- a/coord/replhost/options.go
+++ b/coord/replhost/options.go
@@ -88,8 +88,8 @@
 	StateMachine StateMachine
 	// Clock is SystemClock by default.
 	Clock Clock
-	// Random returns random numbers for the incarnation of a new folder and for read
-	// ids; crypto/rand by default. If a folder gets the same incarnation twice, a lost
+	// Random returns random numbers for the incarnation of a new folder, for read ids and
+	// for a zero Core.Seed; crypto/rand by default. If a folder gets the same incarnation twice, a lost
 	// disk is not detected.
 	Random func() uint64
 
--- a/coord/replhost/requests.go
+++ b/coord/replhost/requests.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// giveUp ends the wait for a call, unless its outcome arrived at the same time.
+// giveUp ends the wait for a call with err, unless its outcome arrived at the same time.
+// If the core had not accepted the call, err gets the verdict NotRun.
 func (n *Node) giveUp(c *call, err *verdict.Error) ([]byte, error) {
 	if c.abandon() {
 		err.Verdict = verdict.NotRun
