--- a/coord/wal/damage_test.go
+++ b/coord/wal/damage_test.go
@@ -139,10 +139,10 @@
 		}
 		histories[i] = fs.Dump()
 	}
-	const frames, headers = 6, 64
+	const frames, headerBytes = 6, 64
 	path := filepath.Join(dir, "0000000000000001.wal")
 	a, b := histories[0][path], histories[1][path]
-	frame := len(a) - (len(a)-headers)/frames*2 // the third batch with its mark
+	frame := len(a) - (len(a)-headerBytes)/frames*2 // the third batch with its mark
 	fs := faultfs.New()
 	for name, content := range histories[0] {
 		f, err := fs.Create(name)
--- a/coord/wal/doc.go
+++ b/coord/wal/doc.go
@@ -17,8 +17,9 @@
 // A segment is a header and frames. A frame is a batch (the records of one
 // Sync, found again whole or not at all) or a mark. Each frame ends with a
 // checksum seeded by incarnation and segment, over its own offset, the batch
-// number, the checksum of the frame before it (the chain), and a synced offset:
-// everything before that offset had been synced when the frame was written.
+// number, the checksum of the frame or segment header before it (the chain),
+// and a synced offset: everything before that offset had been synced when the
+// frame was written.
 // Files with other names are left alone.
 //
 // # Sync
--- a/coord/wal/errors.go
+++ b/coord/wal/errors.go
@@ -18,8 +18,9 @@
 	return fmt.Sprintf("wal: %s is corrupt at offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// PoisonedError says that a disk operation failed and that the log accepts nothing
-// more. The next Open may or may not find what was not acknowledged.
+// PoisonedError says that a disk operation failed, or that the log was closed, and that
+// the log accepts nothing more. The next Open may or may not find what was not
+// acknowledged.
 type PoisonedError struct {
 	// Op is the operation that failed first, for example "sync".
 	Op string
--- a/coord/wal/faultfs/faultfs.go
+++ b/coord/wal/faultfs/faultfs.go
@@ -54,7 +54,8 @@
 	pending []pendingWrite
 }
 
-// dirChange is a directory entry that was changed and not synced yet.
+// dirChange is a directory entry that was changed and not synced yet. removed and set
+// are the paths that lose and get the node; empty for none.
 type dirChange struct {
 	dir     string
 	removed string
@@ -62,8 +63,9 @@
 	node    *inode
 }
 
+// fault is an operation's injected failure.
 type fault struct {
-	after int
+	after int // successes before it
 	err   error
 }
 
--- a/coord/wal/faultfs/ops.go
+++ b/coord/wal/faultfs/ops.go
@@ -12,7 +12,7 @@
 )
 
 // charge charges one operation to the crash budget and returns its injected failure, if
-// any.
+// any. A write is charged by its bytes instead, in writable.
 func (f *FS) charge(op Op) error {
 	if f.budget == 0 {
 		return ErrCrashed
--- a/coord/wal/format.go
+++ b/coord/wal/format.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// All numbers on disk are little-endian.
+// All numbers on disk are little-endian. Sizes are in bytes.
 const (
 	segmentMagic     = "GHWSEG01"
 	snapshotMagic    = "GHWSNP01"
@@ -56,19 +56,22 @@
 	markFrame  frameKind = 2
 )
 
-// frame is the header of a frame; for Offset to Chain see the package comment.
+// frame is the header of a frame; for Offset, Synced and Chain see the package comment.
 type frame struct {
 	Kind   frameKind
 	Offset uint64
 	Synced uint64
-	Seq    uint64
-	Chain  uint64
+	// Seq is the number of the batch, or in a mark that of the batch before it.
+	Seq   uint64
+	Chain uint64
+	// Count is the number of records, Length that of their bytes.
 	Count  uint32
 	Length uint32
 }
 
-// segmentHeader is at the start of a segment. PrevEnd is where the frames of the
-// segment before it end; bytes after that are a truncated tail.
+// segmentHeader is at the start of a segment. NextSeq is the number of its first batch.
+// PrevEnd is where the synced frames of the segment before it end, and Chain the checksum
+// of the last of them; bytes after that are a lost mark or a truncated tail.
 type segmentHeader struct {
 	Segment uint64
 	NextSeq uint64
@@ -76,8 +79,9 @@
 	PrevEnd uint64
 }
 
-// snapshotHeader is at the start of a snapshot file. Seq is the last batch that was
-// synced when the snapshot was saved.
+// snapshotHeader is at the start of a snapshot file. Base is the first segment that is
+// read besides the snapshot, Index the host's, and Seq the last batch that was synced
+// when the snapshot was saved.
 type snapshotHeader struct {
 	Number uint64
 	Base   uint64
--- a/coord/wal/log.go
+++ b/coord/wal/log.go
@@ -9,10 +9,11 @@
 const (
 	// DefaultSegmentBytes is the length at which a segment is closed.
 	DefaultSegmentBytes = 16 << 20
-	// MaxBatchBytes bounds the records of one Sync, so that a damaged length cannot
-	// demand more memory than that.
+	// MaxBatchBytes bounds the frame header and records of one Sync, and so the memory
+	// that a batch takes.
 	MaxBatchBytes = 256 << 20
 
+	// maxKeptBufferBytes is the largest buffer that is kept for the next batch.
 	maxKeptBufferBytes = 4 << 20
 )
 
@@ -29,7 +30,7 @@
 // Stats counts events of a Log since Open.
 type Stats struct {
 	// Syncs is the number of batches synced, Records the number of records in them,
-	// Bytes the number of bytes written for them.
+	// Bytes the length of their frames, without marks.
 	Syncs, Records, Bytes uint64
 	// Segment is the number of the current segment.
 	Segment uint64
@@ -47,9 +48,9 @@
 	seed         uint64
 	size         int64  // offset of the next frame
 	synced       int64  // everything before it in this segment is durable
-	seq          uint64 // of the last batch
+	seq          uint64 // number of the last batch
 	chain        uint64 // checksum of the last frame
-	durable      uint64 // checksum of the last frame before synced
+	batchChain   uint64 // checksum of the last synced batch's frame, or of the header
 	buf          []byte // header space and records of the next batch
 	recordCount  uint32
 	snapshot     snapshotHeader
@@ -110,7 +111,7 @@
 		return l.fail("sync", l.segmentPath(l.segment), err)
 	}
 	l.seq++
-	l.synced, l.durable = l.size, l.chain
+	l.synced, l.batchChain = l.size, l.chain
 	l.stats.Syncs++
 	l.stats.Records += uint64(l.recordCount)
 	l.stats.Bytes += uint64(len(b))
@@ -163,7 +164,7 @@
 // removes. The header attests the old segment up to its last batch and not the mark
 // after it, which may be lost.
 func (l *Log) beginSegment(num uint64) error {
-	h := segmentHeader{Segment: num, NextSeq: l.seq + 1, Chain: l.durable, PrevEnd: uint64(l.synced)}
+	h := segmentHeader{Segment: num, NextSeq: l.seq + 1, Chain: l.batchChain, PrevEnd: uint64(l.synced)}
 	b := encodeSegmentHeader(h, l.id)
 	path := l.segmentPath(num)
 	if err := l.install(path, b); err != nil {
@@ -180,7 +181,7 @@
 	l.file, l.segment, l.seed = file, num, checksumSeed(l.id, num)
 	l.size, l.synced = segmentHeaderSize, segmentHeaderSize
 	l.chain = uint64At(b[len(b)-sumSize:], 0)
-	l.durable = l.chain
+	l.batchChain = l.chain
 	l.stats.Segment = num
 	return nil
 }
@@ -233,7 +234,7 @@
 // Stats returns the current counters.
 func (l *Log) Stats() Stats { return l.stats }
 
-// Close releases the folder. Buffered records are dropped.
+// Close releases the folder. Buffered records are dropped. The error is a PoisonedError.
 func (l *Log) Close() error {
 	err := l.closeFile()
 	if l.lock != nil {
--- a/coord/wal/recover.go
+++ b/coord/wal/recover.go
@@ -210,7 +210,7 @@
 	}
 	l.file, l.segment, l.seed = file, s.segment, checksumSeed(l.id, s.segment)
 	l.size, l.synced, l.seq = s.end, s.synced, s.seq
-	l.chain, l.durable = s.chain, s.durable
+	l.chain, l.batchChain = s.chain, s.batchChain
 	l.stats.Segment = s.segment
 	if !s.marked {
 		if err := l.rewriteLastBatch(s.content[s.synced:s.end]); err != nil {
@@ -236,22 +236,22 @@
 	if err := l.file.Sync(); err != nil {
 		return l.fail("sync", l.segmentPath(l.segment), err)
 	}
-	l.synced, l.durable = l.size, l.chain
+	l.synced, l.batchChain = l.size, l.chain
 	return nil
 }
 
 // scan reads the segments of a folder in order.
 type scan struct {
-	log     *Log
-	records *[]Record
-	segment uint64
-	content []byte
-	end     int64  // end of the last valid frame
-	synced  int64  // everything before it is known to be durable
-	marked  bool   // the last frame is a mark
-	seq     uint64 // of the last batch
-	chain   uint64 // checksum of the last frame or header
-	durable uint64 // checksum of the last frame or header before synced
+	log        *Log
+	records    *[]Record
+	segment    uint64 // the current one
+	content    []byte // its bytes, up to where they are read
+	end        int64  // end of the last valid frame
+	synced     int64  // everything before it is known to be durable
+	marked     bool   // the last frame is a mark
+	seq        uint64 // number of the last batch
+	chain      uint64 // checksum of the last frame or header
+	batchChain uint64 // checksum of the last batch's frame, or of the header
 }
 
 // readSegments reads the segments from base on, which must be present without a gap.
@@ -296,7 +296,7 @@
 	s.segment, s.content = h.Segment, b
 	s.end, s.synced, s.marked = segmentHeaderSize, segmentHeaderSize, false
 	s.seq, s.chain = h.NextSeq-1, uint64At(b[segmentHeaderSize-sumSize:], 0)
-	s.durable = s.chain
+	s.batchChain = s.chain
 }
 
 // finishSegment reads the segment that next follows on. All up to the end that next
@@ -349,9 +349,9 @@
 	s.marked = f.Kind == markFrame
 	s.seq, s.end = f.Seq, f.end()
 	s.chain = uint64At(s.content[s.end-sumSize:], 0)
-	s.durable = s.chain
+	s.batchChain = s.chain
 	if s.marked {
-		s.durable = f.Chain
+		s.batchChain = f.Chain
 	}
 	return nil
 }
--- a/coord/wal/wal_test.go
+++ b/coord/wal/wal_test.go
@@ -26,12 +26,12 @@
 	log             *wal.Log
 	openCount       byte // calls of Open, used as incarnations
 	created         bool
-	nextID          uint64   // id of the next record
-	acked           []uint64 // ids, oldest first
-	unsynced        []uint64 // ids appended since the last acknowledged sync
-	rotated         map[uint64]int
-	snapshotSegment uint64 // segment of the newest acknowledged snapshot, 0 if none
-	pendingSnapshot uint64 // segment of a snapshot whose save was begun, 0 if none
+	nextID          uint64         // id of the next record
+	acked           []uint64       // ids, oldest first
+	unsynced        []uint64       // ids appended since the last acknowledged sync
+	rotated         map[uint64]int // number of acknowledged records when a segment began
+	snapshotSegment uint64         // segment of the newest acknowledged snapshot, 0 if none
+	pendingSnapshot uint64         // segment of a snapshot whose save was begun, 0 if none
 }
 
 func record(id uint64) wal.Record {
@@ -198,13 +198,13 @@
 		"sync":      func(f *faultfs.FS) { f.Fail(faultfs.OpSync, 0, errDisk) },
 		"full disk": func(f *faultfs.FS) { f.SetCapacity(150) },
 	}
-	for name, plant := range faults {
+	for name, inject := range faults {
 		fs := faultfs.New()
 		l, _, err := wal.Open(fs, dir, wal.Options{Incarnation: wal.Incarnation{1}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		plant(fs)
+		inject(fs)
 		_ = l.Append(record(36))
 		first := l.Sync()
 		fs.SetCapacity(-1)
