--- a/coord/suspect/finished.go
+++ b/coord/suspect/finished.go
@@ -3,7 +3,7 @@
 import "time"
 
 // finished remembers when requests finished, by digest, in two halves: when the newer one
-// is full the older one is dropped, so at least the newest digests are kept.
+// is full the older one is dropped, so at least the newest MaxFinished digests are kept.
 //
 // Without it, a request that many callers send at once and that is in flight at two targets
 // which crash within seconds for other reasons is refused everywhere from then on. As no
--- a/coord/suspect/table.go
+++ b/coord/suspect/table.go
@@ -90,10 +90,11 @@
 
 // Entry is the status of one digest for one crash, as instances exchange it.
 type Entry struct {
-	Digest Digest    `cbor:"1,keyasint"`
-	Crash  Crash     `cbor:"2,keyasint"`
-	Status Status    `cbor:"3,keyasint,omitempty"`
-	Until  time.Time `cbor:"4,keyasint"`
+	Digest Digest `cbor:"1,keyasint"`
+	Crash  Crash  `cbor:"2,keyasint"`
+	Status Status `cbor:"3,keyasint,omitempty"`
+	// Until is when the entry expires.
+	Until time.Time `cbor:"4,keyasint"`
 }
 
 // Config bounds a Table.
@@ -213,8 +214,9 @@
 	return t.Finished(now, s.digest)
 }
 
-// Finished records that a digest finished with a complete answer, without an attempt
-// that was recorded before. The host must publish the entries returned.
+// Finished records that a request with this digest finished with a complete answer,
+// whether or not its attempt was recorded by Sent, and clears the digest of all crashes.
+// The host must publish the entries returned.
 func (t *Table) Finished(now time.Time, d Digest) []Entry {
 	t.finished.add(now, d, t.cfg.MaxFinished)
 	var out []Entry
@@ -226,8 +228,8 @@
 	return t.Merge(now, out)
 }
 
-// Crashed records an unplanned end of a target. All that this instance had in flight
-// there become suspects. The host must publish the entries returned before it ends or
+// Crashed records an unplanned end of a target. All digests that this instance had in
+// flight there become suspects, or the cause if they ran alone. The host must publish the entries returned before it ends or
 // retries any of those requests.
 func (t *Table) Crashed(now time.Time, c Crash) []Entry {
 	var out []Entry
@@ -241,7 +243,8 @@
 	return t.Merge(now, out)
 }
 
-// Stopped records a planned shutdown of a target: it makes no suspects.
+// Stopped records a planned shutdown of a target: its attempts are dropped and make no
+// suspects.
 func (t *Table) Stopped(target string) { t.removeAttempts(target) }
 
 func (t *Table) removeAttempts(target string) []sentAttempt {
@@ -257,9 +260,9 @@
 
 // Merge takes entries of this or another instance, in any order and any number
 // of times, and returns those that changed something, together with what
-// follows from them. The host must publish what is returned: a crash that is
-// explained at one instance before another makes them differ until then. Tables
-// that have exchanged all of it decide alike.
+// follows from them. The host must publish what is returned: until then a crash may
+// be explained at one instance and not at another. Tables that have exchanged all of
+// it decide alike.
 func (t *Table) Merge(now time.Time, entries []Entry) []Entry {
 	var updates []Entry
 	for _, e := range entries {
--- a/coord/suspect/table_test.go
+++ b/coord/suspect/table_test.go
@@ -17,11 +17,11 @@
 	now           time.Time
 	tables        []*Table
 	poisonCrashes map[Digest]int
-	targets       []map[Attempt]int
+	targets       []map[Attempt]int // attempts in flight, with the index of their instance
 	digests       map[Attempt]Digest
 	incarnation   uint64
 	next          Attempt
-	aloneAt       map[int]bool
+	aloneAt       map[int]bool // targets with a lone run
 }
 
 func newRegion(t *rapid.T, poisons ...Digest) *region {
