--- a/coord/claim/doc.go
+++ b/coord/claim/doc.go
@@ -19,8 +19,8 @@
 // region, or else the home region itself. Consequences by number of disks:
 //
 //	disks in the claims home  consequence
-//	three or more             a minority of them may be lost or cut off; claims
-//	                          continue
+//	three or more             a minority of them may be lost or partitioned;
+//	                          claims continue
 //	two                       both are needed; losing one refuses new claims
 //	one                       losing it refuses new claims until it is back; a
 //	                          wiped disk is a lost table, see below
@@ -54,7 +54,7 @@
 // A Gate guards one attempt at its instance. Its response depends on the mark of
 // the attempt (First: the caller vouches that no earlier attempt of the key exists;
 // Resend: the caller says that one exists; Unmarked: not known) and on the
-// table's reply:
+// table's reply. The columns First and Resend, Unmarked give the verdict:
 //
 //	table's reply         First            Resend, Unmarked   request
 //	granted, then sent    by the target    by the target      runs here
--- a/coord/claim/expiry.go
+++ b/coord/claim/expiry.go
@@ -127,6 +127,7 @@
 
 func newOwners() owners { return owners{byInstance: make(map[Instance]int32)} }
 
+// at returns the instance with number n; zero for noOwner.
 func (o *owners) at(n int32) Instance {
 	if n == noOwner {
 		return Instance{}
@@ -134,6 +135,8 @@
 	return o.entries[n].instance
 }
 
+// intern returns the number of an instance and counts one more record that refers to it,
+// until release.
 func (o *owners) intern(i Instance) int32 {
 	n, ok := o.byInstance[i]
 	if !ok {
--- a/coord/claim/gate.go
+++ b/coord/claim/gate.go
@@ -45,7 +45,9 @@
 
 // Step is what the host must do after an event.
 type Step struct {
-	Action  Action
+	Action Action
+	// Command is set with Propose and Record, and with Refuse if the claim may have to be
+	// released.
 	Command *Command
 	// At is set with Propose.
 	At time.Time
@@ -100,8 +102,9 @@
 	sent bool
 }
 
-// minProposalDelay is the delay before the first repeated proposal; it doubles with each.
-const minProposalDelay = 50 * time.Millisecond
+// baseProposalDelay gives the delay before a repeated proposal: it is doubled for each
+// proposal made, at most five times, so the first repetition comes after 100 ms.
+const baseProposalDelay = 50 * time.Millisecond
 
 // Open returns the Gate of an attempt and its first step. now must be when the request
 // arrived from its caller at this very instance, even if it waited before Open: the
@@ -149,7 +152,7 @@
 	if g.state != gateProposing {
 		return Step{Action: Wait}
 	}
-	delay := minProposalDelay << min(g.proposals, 5)
+	delay := baseProposalDelay << min(g.proposals, 5)
 	if now.Add(delay).Before(g.opened.Add(ClaimWait)) {
 		return g.propose(now.Add(delay))
 	}
--- a/coord/claim/snapshot.go
+++ b/coord/claim/snapshot.go
@@ -34,7 +34,8 @@
 
 type lostInstance struct {
 	Instance Instance `cbor:"1,keyasint"`
-	Until    uint32   `cbor:"2,keyasint"`
+	// Until is in Unix seconds on the table's clock.
+	Until uint32 `cbor:"2,keyasint"`
 }
 
 // Snapshot encodes the whole table.
--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -34,10 +34,12 @@
 	expiry, heldUntil uint32
 	// lifetime in seconds.
 	lifetime uint32
-	owner    int32
-	status   uint16
-	verdict  verdict.Verdict
-	state    recordState
+	// owner is the number of the attempt's instance in Table.owners.
+	owner int32
+	// status is the HTTP status of the answer, 0 if none.
+	status  uint16
+	verdict verdict.Verdict
+	state   recordState
 }
 
 // lostIncarnation is the highest lost incarnation of an instance.
@@ -53,13 +55,15 @@
 	// clock in Unix milliseconds.
 	clock   int64
 	applied uint64
+	// records are referred to by their index here, the slot. unused are the free slots.
 	records []record
 	unused  []int32
 	byKey   map[Key]int32
-	// byExpiry lists each record once, under a second at or before its expiry.
+	// byExpiry lists the slot of each record once, under a second at or before its expiry.
 	byExpiry map[uint32][]int32
 	owners   owners
-	lost     map[string]lostIncarnation
+	// lost is by instance id.
+	lost map[string]lostIncarnation
 }
 
 // NewTable returns an empty table.
@@ -273,10 +277,11 @@
 	return Result{Reply: Accepted}
 }
 
-// hold blocks the key for all attempts where an earlier one may still have a claim in
-// flight: its caller may have been told "not run" because of the release.
-func (t *Table) hold(r *record, s Mark) {
-	if s == First {
+// hold blocks the key for all attempts until Hold has passed, unless mark is First: an
+// earlier attempt may still have a claim in flight, and its caller may have been told "not
+// run" because of the release.
+func (t *Table) hold(r *record, mark Mark) {
+	if mark == First {
 		return
 	}
 	r.heldUntil = uint32((t.clock + Hold.Milliseconds() + 999) / 1000)
--- a/coord/claim/table_test.go
+++ b/coord/claim/table_test.go
@@ -35,14 +35,15 @@
 	from *attempt
 }
 
+// attempt is one attempt of the key; order is its index in simulation.attempts.
 type attempt struct {
 	r        Request
 	g        *Gate
 	proposed bool
 	order    int
 	ran      bool
-	notRun   bool
-	dead     bool
+	notRun   bool // its caller was told "not run"
+	dead     bool // its instance has ended
 }
 
 var start = time.Unix(1_800_000_000, 0)
@@ -258,7 +259,7 @@
 
 // Guards against a request that runs twice, or whose caller is told "not run" although it
 // runs. The caller resends to other instances while claims, replies and releases are
-// delayed, duplicated and lost, instances die or are believed dead, replicas are restored
+// delayed, duplicated and lost, instances are lost or only reported so, replicas are restored
 // from snapshots and the leader's clock jumps. Causes: a key granted twice, a release while
 // a send is possible, a late grant that is used after a resend was told "not run", or a
 // verdict that falls.
@@ -274,7 +275,7 @@
 }
 
 func (w *simulation) step() {
-	asking := w.pick(gateProposing)
+	proposing := w.pick(gateProposing)
 	unsent := w.pick(gateProposing, gateGranted)
 	switch k := w.draw(100); {
 	case k < 12 && len(w.attempts) < 12:
@@ -287,8 +288,8 @@
 		w.finish()
 	case k < 62:
 		w.loseInstance()
-	case k < 70 && asking != nil:
-		w.applyStep(asking, asking.g.Failed(w.now, Failure(w.draw(2))))
+	case k < 70 && proposing != nil:
+		w.applyStep(proposing, proposing.g.Failed(w.now, Failure(w.draw(2))))
 	case k < 82 && unsent != nil:
 		w.applyStep(unsent, unsent.g.GiveUp(w.now, CodeGivenUp, "no target"))
 	default:
@@ -368,9 +369,9 @@
 	abandon := &Abandon{Key: Key{1}, Attempt: AttemptID{2}, NotRun: true, LifetimeSeconds: 60, Mark: Resend}
 	table.Step(Command{Abandon: abandon})
 	earlier := &Claim{Key: Key{1}, Attempt: AttemptID{1}, Instance: Instance{"a", 1}, LifetimeSeconds: 3600}
-	for ticks := range 4 { // At 0 s, 1 s and 2 s, and one of a previous leader.
+	for expires := range 4 { // At 0 s, 1 s and 2 s, and one of a previous leader.
 		if r := table.Step(Command{Now: start.UnixMilli(), Claim: earlier}); r.Reply != Held {
-			t.Fatalf("reply %v after %d ticks", r.Reply, ticks)
+			t.Fatalf("reply %v after %d Expire commands", r.Reply, expires)
 		}
 		table.Step(Command{Now: start.Add(time.Hour).UnixMilli(), Expire: &Expire{}})
 	}
--- a/coord/claim/types.go
+++ b/coord/claim/types.go
@@ -102,6 +102,7 @@
 	Verdict verdict.Verdict `cbor:"3,keyasint"`
 	// Status is the HTTP status of the answer; 0 if there was none.
 	Status uint16 `cbor:"4,keyasint,omitempty"`
+	// Answer is the digest of the answer.
 	Answer Digest `cbor:"5,keyasint"`
 }
 
@@ -143,7 +144,7 @@
 	Done
 	// MayHaveRun: the outcome of the key's attempt is not known and won't be.
 	MayHaveRun
-	// Conflict: the key is held with another body.
+	// Conflict: the key has a record with another body.
 	Conflict
 	// Held: the key was released and is granted to nobody for RetryAfterMillis.
 	Held
