--- a/coord/limit/allocate.go
+++ b/coord/limit/allocate.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// headroom is granted on top of the need, which fluctuates. It is small because
-	// under contention others could use it; further headroom comes from capacity
-	// that nobody asks for.
+	// headroom is the factor by which a request exceeds the demand, which fluctuates.
+	// It is small because under contention others could use the excess; further
+	// headroom comes from capacity that nobody asks for.
 	headroom = 1.05
 	// newcomerReserve is the share of the limit that is set aside for instances
 	// without demand, so that one that starts to ask gets something at once. With
 	// the hysteresis, at most a tenth of the limit is not granted to those that ask.
 	newcomerReserve = 0.05
-	// firstRound is how long not all instances have reported on a new limit.
-	// Otherwise the first to ask would get what others are about to ask for.
+	// firstRound is the time after the first demand for a limit in which not all
+	// instances may have reported on it. Until it has passed no spare capacity is
+	// divided: the first to ask would get what others are about to ask for.
 	firstRound = 1200 * time.Millisecond
 	// firstRoundShare is the minimum that an instance gets in the first round, as a
 	// fraction of its equal share: its demand until then says little.
--- a/coord/limit/allocator.go
+++ b/coord/limit/allocator.go
@@ -43,15 +43,19 @@
 
 // limitState is one limit with the shares of all its holders.
 type limitState struct {
-	holdings    map[string]*holderState
-	createdAt   time.Time
-	allocation  allocation
+	// holdings are by the holder's name.
+	holdings map[string]*holderState
+	// createdAt is the time of the first demand.
+	createdAt  time.Time
+	allocation allocation
+	// allocatedAt is when allocation was computed; zero if it must be computed anew.
 	allocatedAt time.Time
 }
 
 // holderState is what one holder asks for and may be using.
 type holderState struct {
-	instance   string
+	instance string
+	// demand is in units per second.
 	demand     float64
 	reportedAt time.Time
 	// held is the Seq of the share that the holder last reported as in use.
@@ -70,7 +74,8 @@
 }
 
 // NewAllocator returns an Allocator that takes over the limits of its region at now.
-// lookup gives the region's share of a limit, lease is the lease of each share.
+// lookup gives the region's share of a limit, lease is how long each share is valid, and
+// instances are as in SetInstances.
 // For one lease it grants nothing, so that shares of its predecessor last until their
 // end; a share of zero would end them early.
 func NewAllocator(now time.Time, lookup Lookup, lease time.Duration, instances []string) *Allocator {
@@ -151,7 +156,8 @@
 	return shares
 }
 
-// Sweep removes limits without demand and shares. Call it about once per lease.
+// Sweep removes limits without demand and shares, and holders that have not reported for
+// two leases. Call it about once per lease.
 func (a *Allocator) Sweep(now time.Time) {
 	for id, d := range a.limits {
 		d.prune(now, a.lease)
@@ -167,6 +173,9 @@
 	}
 }
 
+// handleDemand records a demand and returns the share granted for it. It returns false if
+// there is no limit or no demand, or if a predecessor's shares may be in force and this one
+// is not renewable.
 func (a *Allocator) handleDemand(now time.Time, holder Holder, dem Demand) (Share, bool) {
 	lim, ok := a.lookup(dem.ID)
 	if !ok || lim.Rate <= 0 {
@@ -195,6 +204,7 @@
 	return Share{ID: dem.ID, Seq: g.seq, Limit: g.limit, Lease: a.lease}, true
 }
 
+// renewable reports whether the share in use may be renewed in the grace period.
 func (a *Allocator) renewable(dem Demand) bool {
 	return a.renewsShares && dem.Held > 0 && dem.Share.Rate > 0
 }
@@ -269,13 +279,13 @@
 		d.allocatedAt = time.Time{}
 	}
 	h.demand, h.reportedAt, h.held = dem.Rate, now, dem.Held
-	good := false
+	hasShare := false
 	h.outstanding = slices.DeleteFunc(h.outstanding, func(g grantedShare) bool {
-		good = good || g.seq == dem.Held && now.Add(lease/3).Before(g.until)
+		hasShare = hasShare || g.seq == dem.Held && now.Add(lease/3).Before(g.until)
 		return g.seq < dem.Held || g.seq == dem.Held && dem.Rate <= 0
 	})
 	h.reportsWithoutShare++
-	if good {
+	if hasShare {
 		h.reportsWithoutShare = 0
 	}
 	return h
--- a/coord/limit/doc.go
+++ b/coord/limit/doc.go
@@ -67,14 +67,14 @@
 //
 // # Several holders for one instance
 //
-// An instance in SetInstances may also stand for a part of a larger system, for
+// An instance in SetInstances may also be a part of a larger system, for
 // example a region, in which one holder after the other, or two at once while
 // views differ, is responsible for a limit. Each holder has its own shares
 // (ReportOf); floors belong to the instance. A holder that is no longer
 // responsible for a limit returns its share once it gets no more requests for it
 // (SetOwned), and one that never had a share spends its floor burst and no more.
-// So the sum of shares in force stays within the limit whatever holders believe
-// of each other.
+// So the sum of shares in force stays within the limit even while holders
+// disagree on who is responsible.
 //
 // An Allocator that follows another one may renew the shares that holders report,
 // instead of granting nothing (Resume): no share grows until those of the
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// send delivers a report of an instance to the Allocator and returns the response.
+// send returns a function that delivers a report of instance i to the Allocator, and the
+// response to the instance, now or later.
 func (p *cluster) send(i int) func(number uint64, demands []Demand) {
 	return func(number uint64, demands []Demand) {
 		if p.isPartitioned(i) || p.chance("report lost", 4) {
--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -12,13 +12,15 @@
 type Bucket struct {
 	floor Limit
 	share Limit
-	seq   uint64
+	// seq is the Seq of share, 0 without one.
+	seq uint64
 	// tokens are limited to the floor's burst, which each bucket always has, plus the
 	// burst of the share. A new bucket starts with the floor's burst and is removed only
 	// when it has that again: otherwise a workspace that comes and goes would get a
 	// burst each time.
 	tokens float64
-	at     time.Time
+	// at is the time up to which tokens were added.
+	at time.Time
 	// until is the end of the share's lease or, if no share has arrived yet, when the
 	// floor takes effect.
 	until   time.Time
@@ -65,6 +67,7 @@
 	}
 }
 
+// add adds tokens at rate for d, up to maxTokens; it never lowers their number.
 func (b *Bucket) add(d time.Duration, rate, maxTokens float64) {
 	b.tokens = max(b.tokens, min(maxTokens, b.tokens+d.Seconds()*rate))
 }
@@ -134,6 +137,8 @@
 // maxRetryAfter bounds the delay reported to a caller where the rate is nearly zero.
 const maxRetryAfter = time.Minute
 
+// retryDelay returns how long it takes to add units at rate, in whole milliseconds from 1 ms
+// to maxRetryAfter; a second if rate is 0.
 func retryDelay(units, rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Second
@@ -242,7 +247,8 @@
 	return allowed, retryAfter
 }
 
-// Refund returns tokens that an estimate consumed too many of; a negative number consumes more.
+// Refund returns tokens that an estimate consumed in excess, up to the bucket's burst; a
+// negative number consumes more.
 func (l *Limiter) Refund(now time.Time, workspace string, tokens float64) {
 	if b := l.buckets[ID{workspace, Tokens}]; b != nil {
 		b.fill(now)
--- a/coord/limit/offered_test.go
+++ b/coord/limit/offered_test.go
@@ -13,7 +13,8 @@
 const (
 	// offeredShare is the load in the tests of refusals, as a fraction of the limit.
 	offeredShare = 0.8
-	tick         = 20 * time.Millisecond
+	// tick is the step of simulated time.
+	tick = 20 * time.Millisecond
 )
 
 // loadSim offers load to Limiters that each report once a second, at different offsets.
@@ -24,9 +25,9 @@
 	limiters     []*Limiter
 	reportOffset []time.Duration
 	rng          *rand.Rand
-	weights      []float64
-	dueRequests  []float64
-	requestSize  float64
+	weights      []float64 // fraction of the load by instance
+	dueRequests  []float64 // requests by instance that are due, without Poisson arrivals
+	requestSize  float64   // in units
 	// load offered, as a fraction of the limit.
 	load         float64
 	poisson      bool
