--- a/coord/replog/api.go
+++ b/coord/replog/api.go
@@ -30,7 +30,7 @@
 	HeartbeatInterval time.Duration
 	// ElectionTimeout is the time without a leader after which an election may start,
 	// and the length of a leader's lease before the allowance for drift; default 10
-	// heartbeat intervals. It must be the same at all nodes.
+	// heartbeat intervals, at least 2. It must be the same at all nodes.
 	ElectionTimeout time.Duration
 	// MaxDrift bounds how much the rate of each node's monotonic clock differs from
 	// true time, as a fraction; default 0.01. It must be the same at all nodes. A clock
@@ -42,7 +42,8 @@
 	// MaxInflight bounds the unanswered append messages per peer; default 32.
 	MaxInflight int
 	// MaxUncommittedBytes bounds the data of proposals that are not committed yet;
-	// beyond it Propose returns ErrOverloaded. Default 16 MiB.
+	// beyond it Propose returns ErrOverloaded (a single proposal always fits). Default
+	// 16 MiB.
 	MaxUncommittedBytes int
 	// Seed seeds the randomised election timeouts. It must differ between the nodes of
 	// a group.
@@ -237,8 +238,8 @@
 	Match uint64
 	// Active is the time of the last response, zero for none in this term.
 	Active time.Time
-	// CaughtUp reports whether the peer holds all that was committed when the newest
-	// heartbeat round began.
+	// CaughtUp reports whether the peer answered within the last election timeout and
+	// holds all that was committed when the newest heartbeat round began.
 	CaughtUp bool
 	// Snapshotting reports whether a snapshot is being sent to the peer.
 	Snapshotting bool
@@ -277,8 +278,8 @@
 	Tick(now time.Time)
 	// NextTick returns the time by which Tick should be called.
 	NextTick() time.Time
-	// Propose appends data, which must not be empty, and returns its position. The
-	// proposal is committed if an entry of that term is committed at that index, and
+	// Propose appends data, which must not be empty nor be changed afterwards, and
+	// returns its position. The proposal is committed if an entry of that term is committed at that index, and
 	// lost if one of another term is. Errors: ErrNotLeader, ErrOverloaded,
 	// ErrTransferring, ErrEmpty.
 	Propose(now time.Time, data []byte) (Position, error)
