--- a/coord/replhost/node.go
+++ b/coord/replhost/node.go
@@ -39,7 +39,7 @@
 	// Applied is the index that the state machine has reached.
 	Applied uint64
 	// New says that the folder was new at Open. Truncated is the tail that Open
-	// removed, or nil. See coord/wal.
+	// dropped, or nil. See coord/wal.
 	New       bool
 	Truncated *wal.TruncatedTail
 	// Counters are the events since Open.
@@ -58,7 +58,7 @@
 	Malformed, Dropped uint64
 }
 
-// counters holds the live values of Counters.
+// counters holds the live values of Counters, but for Dropped, which the inbox counts.
 type counters struct {
 	syncs, syncedEntries      atomic.Uint64
 	snapshots, snapshotErrors atomic.Uint64
@@ -147,7 +147,7 @@
 
 // Receive accepts a payload that another node's Transport sent. It never blocks; a
 // payload that finds the queue full is dropped and counted. from is the sender's id,
-// which the transport must have authenticated.
+// which the transport must have authenticated. data must not be changed afterwards.
 func (n *Node) Receive(from string, data []byte) {
 	n.inbox.TryPush(payload{from: from, data: data})
 }
