--- a/coord/replog/api.go
+++ b/coord/replog/api.go
@@ -279,9 +279,9 @@
 	// NextTick returns the time by which Tick should be called.
 	NextTick() time.Time
 	// Propose appends data, which must not be empty nor be changed afterwards, and
-	// returns its position. The proposal is committed if an entry of that term is committed at that index, and
-	// lost if one of another term is. Errors: ErrNotLeader, ErrOverloaded,
-	// ErrTransferring, ErrEmpty.
+	// returns its position. The proposal is committed if an entry of that term is
+	// committed at that index, and lost if one of another term is. Errors: ErrNotLeader,
+	// ErrOverloaded, ErrTransferring, ErrEmpty.
 	Propose(now time.Time, data []byte) (Position, error)
 	// ProposeConfChange appends the configuration after ch. Errors: ErrNotLeader,
 	// ErrTransferring, ErrConfPending, ErrNotCaughtUp, ErrSelfChange and those of
