--- a/coord/registry/doc.go
+++ b/coord/registry/doc.go
@@ -3,11 +3,12 @@
 //
 // # Why it is needed
 //
-// A replicated log protects its state while a majority of its disks lasts. A group with
-// one voter that lost its disk, or one that lost all disks, has no copy left: its
-// instances come back blank, and blank instances form a group by themselves, as at a first start
-// (see coord/replog). For a table of claims that is a fault: the empty table grants
-// keys that have run, which would show only when a booking ran twice.
+// A replicated log protects its state while a majority of its disks lasts. A group
+// with one voter that lost its disk, or one that lost all disks, has no copy left:
+// its instances come back blank, and blank instances form a group by themselves,
+// as at a first start (see coord/replog). For a table of claims that is a fault:
+// the empty table grants keys that have run, which would show only when a booking
+// ran twice.
 //
 // # The table
 //
--- a/coord/replhost/options.go
+++ b/coord/replhost/options.go
@@ -88,9 +88,9 @@
 	StateMachine StateMachine
 	// Clock is SystemClock by default.
 	Clock Clock
-	// Random returns random numbers for the incarnation of a new folder, for read ids and
-	// for a zero Core.Seed; crypto/rand by default. If a folder gets the same incarnation twice, a lost
-	// disk is not detected.
+	// Random returns random numbers for the incarnation of a new folder, for read ids
+	// and for a zero Core.Seed; crypto/rand by default. If a folder gets the same
+	// incarnation twice, a lost disk is not detected.
 	Random func() uint64
 
 	// SnapshotEntries is the number of applied entries between snapshots, default
--- a/coord/replog/api.go
+++ b/coord/replog/api.go
@@ -147,9 +147,9 @@
 	To    Member      `cbor:"4,keyasint"`
 	Term  uint64      `cbor:"5,keyasint,omitempty"`
 	// Index and LogTerm are the position before Entries, that of the candidate's last
-	// entry, or that of Snapshot. In MsgAppendResp, Index is the last index
-	// that agrees, or with Reject that of the request; in MsgReadIndexResp it is that of
-	// the read.
+	// entry, or that of Snapshot. In MsgAppendResp, Index is the last index that
+	// agrees, or with Reject that of the request; in MsgReadIndexResp it is that of the
+	// read.
 	Index   uint64 `cbor:"6,keyasint,omitempty"`
 	LogTerm uint64 `cbor:"7,keyasint,omitempty"`
 	// Commit is the leader's commit index, in a heartbeat at most what the receiver is
--- a/coord/replog/tracker/tracker.go
+++ b/coord/replog/tracker/tracker.go
@@ -130,10 +130,10 @@
 	return advanced
 }
 
-// Reject records that the peer lacks the leader's entry at index, and that the logs agree up to
-// maxMatch at most. It reports whether the peer is to be probed: not for an outdated
-// response, nor for one to an append that arrived before an earlier one still in
-// flight.
+// Reject records that the peer lacks the leader's entry at index, and that the logs
+// agree up to maxMatch at most. It reports whether the peer is to be probed: not for an
+// outdated response, nor for one to an append that arrived before an earlier one still
+// in flight.
 func (p *Progress) Reject(now time.Time, index, maxMatch uint64) bool {
 	if index <= p.Match || p.State == Snapshot || (p.State == Probe && index != p.Next-1) {
 		return false
--- a/coord/suspect/table.go
+++ b/coord/suspect/table.go
@@ -229,8 +229,8 @@
 }
 
 // Crashed records an unplanned end of a target. All digests that this instance had in
-// flight there become suspects, or the cause if they ran alone. The host must publish the entries returned before it ends or
-// retries any of those requests.
+// flight there become suspects, or the cause if they ran alone. The host must publish
+// the entries returned before it ends or retries any of those requests.
 func (t *Table) Crashed(now time.Time, c Crash) []Entry {
 	var out []Entry
 	for _, s := range t.removeAttempts(c.Target) {
