--- a/coord/replog/api.go
+++ b/coord/replog/api.go
@@ -22,14 +22,15 @@
 	// is called.
 	Self Member
 	// Bootstrap lists the ids of the first voters and learners, identical at each of
-	// them, or is nil for a node that joins an existing group. Only the lowest voter id
-	// (the founder) acts on it; see the package comment.
+	// them, or is nil for a node that joins an existing group. The lowest voter id (the
+	// founder) forms the group from it; the others reject a founder whose lists differ.
+	// See the package comment.
 	Bootstrap *Bootstrap
 	// HeartbeatInterval is the time between a leader's heartbeats; default 100 ms.
 	HeartbeatInterval time.Duration
 	// ElectionTimeout is the time without a leader after which an election may start,
 	// and the length of a leader's lease before the allowance for drift; default 10
-	// heartbeat intervals. It must be the same at all nodes.
+	// heartbeat intervals, at least 2. It must be the same at all nodes.
 	ElectionTimeout time.Duration
 	// MaxDrift bounds how much the rate of each node's monotonic clock differs from
 	// true time, as a fraction; default 0.01. It must be the same at all nodes. A clock
@@ -41,7 +42,8 @@
 	// MaxInflight bounds the unanswered append messages per peer; default 32.
 	MaxInflight int
 	// MaxUncommittedBytes bounds the data of proposals that are not committed yet;
-	// beyond it Propose returns ErrOverloaded. Default 16 MiB.
+	// beyond it Propose returns ErrOverloaded (a single proposal always fits). Default
+	// 16 MiB.
 	MaxUncommittedBytes int
 	// Seed seeds the randomised election timeouts. It must differ between the nodes of
 	// a group.
@@ -90,9 +92,11 @@
 // Snapshot is the host's state at an index and what the log needs to continue from
 // there.
 type Snapshot struct {
-	Group  uint64 `cbor:"1,keyasint"`
-	Index  uint64 `cbor:"2,keyasint"`
-	Term   uint64 `cbor:"3,keyasint"`
+	Group uint64 `cbor:"1,keyasint"`
+	// Index and Term are those of the last entry that Data covers.
+	Index uint64 `cbor:"2,keyasint"`
+	Term  uint64 `cbor:"3,keyasint"`
+	// Config is the configuration in force at Index.
 	Config Config `cbor:"4,keyasint"`
 	Data   []byte `cbor:"5,keyasint"`
 }
@@ -133,20 +137,25 @@
 	MsgReadIndexResp
 )
 
-// Message is sent from one incarnation to another of the same group. Hosts pass it on
-// unchanged and may lose, delay, repeat and reorder it.
+// Message is sent from one incarnation to another of the same group; probes, their
+// responses and MsgWrongIncarnation carry no group. Hosts pass it on unchanged and may
+// lose, delay, repeat and reorder it.
 type Message struct {
 	Kind  MessageKind `cbor:"1,keyasint"`
 	Group uint64      `cbor:"2,keyasint,omitempty"`
 	From  Member      `cbor:"3,keyasint"`
 	To    Member      `cbor:"4,keyasint"`
 	Term  uint64      `cbor:"5,keyasint,omitempty"`
-	// Index and LogTerm are the position before Entries, the candidate's last entry, or
-	// the position that a response refers to.
+	// Index and LogTerm are the position before Entries, that of the candidate's last
+	// entry, or that of Snapshot. In MsgAppendResp, Index is the last index that
+	// agrees, or with Reject that of the request; in MsgReadIndexResp it is that of the
+	// read.
 	Index   uint64 `cbor:"6,keyasint,omitempty"`
 	LogTerm uint64 `cbor:"7,keyasint,omitempty"`
-	Commit  uint64 `cbor:"8,keyasint,omitempty"`
-	Reject  bool   `cbor:"9,keyasint,omitempty"`
+	// Commit is the leader's commit index, in a heartbeat at most what the receiver is
+	// known to hold.
+	Commit uint64 `cbor:"8,keyasint,omitempty"`
+	Reject bool   `cbor:"9,keyasint,omitempty"`
 	// Hint and HintTerm are the last position at which the logs may agree, in a
 	// rejecting MsgAppendResp.
 	Hint     uint64 `cbor:"10,keyasint,omitempty"`
@@ -229,8 +238,8 @@
 	Match uint64
 	// Active is the time of the last response, zero for none in this term.
 	Active time.Time
-	// CaughtUp reports whether the peer holds all that was committed when the newest
-	// heartbeat round began.
+	// CaughtUp reports whether the peer answered within the last election timeout and
+	// holds all that was committed when the newest heartbeat round began.
 	CaughtUp bool
 	// Snapshotting reports whether a snapshot is being sent to the peer.
 	Snapshotting bool
@@ -269,10 +278,10 @@
 	Tick(now time.Time)
 	// NextTick returns the time by which Tick should be called.
 	NextTick() time.Time
-	// Propose appends data, which must not be empty, and returns its position. The
-	// proposal is committed if an entry of that term is committed at that index, and
-	// lost if one of another term is. Errors: ErrNotLeader, ErrOverloaded,
-	// ErrTransferring, ErrEmpty.
+	// Propose appends data, which must not be empty nor be changed afterwards, and
+	// returns its position. The proposal is committed if an entry of that term is
+	// committed at that index, and lost if one of another term is. Errors: ErrNotLeader,
+	// ErrOverloaded, ErrTransferring, ErrEmpty.
 	Propose(now time.Time, data []byte) (Position, error)
 	// ProposeConfChange appends the configuration after ch. Errors: ErrNotLeader,
 	// ErrTransferring, ErrConfPending, ErrNotCaughtUp, ErrSelfChange and those of
