--- a/route/admission.go
+++ b/route/admission.go
@@ -7,7 +7,7 @@
 
 const (
 	// unknownServiceRetry is the retry delay reported for a service that no
-	// region serves.
+	// region, or none that the request allows, serves.
 	unknownServiceRetry = 30 * time.Second
 	// noTargetRetry is the retry delay reported while no target accepts work.
 	noTargetRetry = 2 * time.Second
@@ -100,9 +100,9 @@
 }
 
 // excessWait returns by how many seconds the least wait exceeds the bound for
-// the request's priority; 0 admits it. MinAdmitShare of the requests over the
-// bound are admitted, so that low priorities do not starve under a steady load
-// of higher ones.
+// the request's priority; 0 admits it. The highest priority has no bound.
+// MinAdmitShare of the requests over the bound are admitted, so that low
+// priorities do not starve under a steady load of higher ones.
 func (r *Router) excessWait(at float64, s *service, q *Request, wait float64) float64 {
 	if priority(q) == priorities-1 {
 		return 0
@@ -126,7 +126,8 @@
 // whether the wait was short recently (CoDel: Nichols, Jacobson 2012).
 type persistentQueue struct {
 	observed bool
-	// shortAt is the last time at which the wait was short, in seconds.
+	// shortAt is the last time, in seconds, at which the wait was short: below
+	// half of the tightened bound.
 	shortAt float64
 }
 
@@ -181,6 +182,8 @@
 	return served, permitted
 }
 
+// refuse returns a refusal; seconds is the predicted time after which a retry
+// would be admitted.
 func refuse(reason Reason, seconds float64) Decision {
 	// Bounded before the conversion: a value beyond the range of time.Duration
 	// would wrap around to a short delay.
--- a/route/config.go
+++ b/route/config.go
@@ -13,8 +13,8 @@
 	// attempts, and divides the capacity granted by neighbours. Default 3.
 	Instances int
 
-	// ReportStale is the age from which a load report no longer counts; only
-	// own attempts in flight do. Default 5s.
+	// ReportStale is the age from which a report's number of requests in flight
+	// is replaced by an estimate from own attempts. Default 5s.
 	ReportStale time.Duration
 	// PeerShare is the fraction of the peers' attempts assumed to be
 	// distributed like this instance's own; the rest is assumed to be uniform.
@@ -37,7 +37,7 @@
 	// CacheBlocks bounds the prefix blocks tracked per target. Default 4096.
 	CacheBlocks int
 	// AffinityTargets is the number of targets preferred for a prefix that no
-	// target is known to hold. Default 2.
+	// target is known to hold; at most 4. Default 2.
 	AffinityTargets int
 	// AffinityGain is the fraction of the prefill time of the new blocks
 	// credited to a preferred target. It bounds how much longer a queue
@@ -61,11 +61,12 @@
 	// EjectFactor is how many times slower than its service's median a target
 	// must be to be ejected as grey. Default 2.5.
 	EjectFactor float64
-	// EjectShare bounds the share of a service's targets ejected at once.
-	// Default 0.34.
+	// EjectShare is the share of a service's targets up to which grey ones are
+	// ejected; broken targets count towards it. Default 0.34.
 	EjectShare float64
-	// EjectFor is the duration of the first ejection. It doubles with each
-	// consecutive ejection, up to a factor of 16. Default 5s.
+	// EjectFor is the duration of a target's first exclusion, by ejection or by
+	// its circuit breaker. It doubles with each further one, up to a factor of
+	// 16, until a success after the circuit breaker opened. Default 5s.
 	EjectFor time.Duration
 	// BreakAfter is the number of consecutive failed attempts that opens a
 	// target's circuit breaker. Default 3.
--- a/route/events.go
+++ b/route/events.go
@@ -44,6 +44,8 @@
 	}
 }
 
+// setTarget adds or updates a target. first is true for the first list: targets
+// that are warm in it get no slow start.
 func (r *Router) setTarget(at float64, spec TargetSpec, first bool) *target {
 	t := r.targets[spec.ID]
 	if t != nil && t.spec.Service != spec.Service {
@@ -106,10 +108,10 @@
 // including this one. It replaces Config.Instances; values below 1 count as 1.
 func (r *Router) SetInstances(n int) { r.cfg.Instances = max(1, n) }
 
-// Report implements Decider. Reports of unknown targets and reports older than
-// the last one are ignored. A time in the future is replaced by now: otherwise
-// the report would hide attempts sent since, and suppress every report until
-// then.
+// Report implements Decider. Reports of unknown targets and reports not newer
+// than the last one are ignored. A time in the future is replaced by now:
+// otherwise the report would hide attempts sent since, and suppress every
+// report until then.
 func (r *Router) Report(now time.Time, rep Report) {
 	t := r.targets[rep.Target]
 	if t == nil {
@@ -142,9 +144,11 @@
 // starts.
 const firstEventSeq = 1
 
-// CacheEvent implements Decider. A repeated firstEventSeq means that the target
-// restarted with an empty cache. After a gap in the sequence, stored and
-// evicted blocks are missing, so the trust in predicted hits is reduced.
+// CacheEvent implements Decider. firstEventSeq after a higher number means that
+// the target restarted with an empty cache. Other events that are not newer
+// than the last one are ignored; events without a number are always applied.
+// After a gap in the sequence, stored and evicted blocks are missing, so the
+// trust in predicted hits is reduced.
 func (r *Router) CacheEvent(_ time.Time, e CacheEvent) {
 	t := r.targets[e.Target]
 	if t == nil {
@@ -253,8 +257,8 @@
 	}
 }
 
-// observeEnd updates the decode speed, or the duration of a plain call, from a
-// complete response.
+// observeEnd updates the decode speed and the time that memory is held, or the
+// duration of a plain call, from a complete response.
 func (r *Router) observeEnd(at float64, a attempt, e End) {
 	t := a.t
 	if !t.model() {
--- a/route/guard.go
+++ b/route/guard.go
@@ -9,8 +9,8 @@
 	// greyCheckSeconds is the interval between checks for grey targets.
 	greyCheckSeconds = 0.25
 	// A target counts as stalled if it has given no first token for
-	// overdueFactor times the predicted time of its oldest attempt, and for at
-	// least overdueMinSeconds.
+	// overdueFactor times the predicted time of its oldest unanswered attempt,
+	// and for at least overdueMinSeconds.
 	overdueFactor     = 5.0
 	overdueMinSeconds = 2.0
 	// maxEjectDoublings bounds how often the duration of an exclusion doubles.
@@ -25,8 +25,9 @@
 	failures      int
 	health        Health
 	excludedUntil float64
-	// consecutive counts exclusions without a success between them.
-	consecutive int
+	// exclusions counts exclusions. A success resets it only while health is
+	// Broken; after Ejected it goes on counting.
+	exclusions int
 }
 
 // state returns the health at now. After an exclusion expires, the target gets
@@ -40,14 +41,14 @@
 
 func (g *guard) exclude(now float64, h Health, seconds float64) {
 	g.health = h
-	g.excludedUntil = now + seconds*float64(int(1)<<min(g.consecutive, maxEjectDoublings))
-	g.consecutive++
+	g.excludedUntil = now + seconds*float64(int(1)<<min(g.exclusions, maxEjectDoublings))
+	g.exclusions++
 }
 
 func (g *guard) succeed() {
 	g.failures = 0
 	if g.health == Broken {
-		g.consecutive = 0
+		g.exclusions = 0
 		g.excludedUntil = 0
 	}
 }
@@ -59,15 +60,16 @@
 	}
 }
 
-// checkGrey runs every greyCheckSeconds for a service: it decays what was
-// learned and ejects targets slower than EjectFactor times the median.
+// checkGrey runs at most every greyCheckSeconds for a service. It decays the
+// learned speeds, sums the prefill rates of the warm targets, and ejects
+// targets slower than EjectFactor times the median.
 func (r *Router) checkGrey(s *service, now float64) {
 	if now-s.greyCheckedAt < greyCheckSeconds {
 		return
 	}
 	s.greyCheckedAt = now
 	s.totalPrefillRate, s.warmTargets = 0, 0
-	r.slowTargets = r.slowTargets[:0]
+	r.bySlowness = r.bySlowness[:0]
 	excluded := 0
 	for _, t := range s.list {
 		t.speed.decay(now)
@@ -79,19 +81,19 @@
 		if t.guard.state(now) != Healthy {
 			excluded++
 		}
-		r.slowTargets = append(r.slowTargets, slowTarget{t, r.slowness(t, now)})
+		r.bySlowness = append(r.bySlowness, targetSlowness{t, r.slowness(t, now)})
 	}
-	slices.SortStableFunc(r.slowTargets, slowestFirst)
+	slices.SortStableFunc(r.bySlowness, slowestFirst)
 	r.ejectSlow(now, int(r.cfg.EjectShare*float64(len(s.list)))-excluded)
 }
 
-// ejectSlow ejects up to limit targets, slowest first.
+// ejectSlow ejects up to limit targets of r.bySlowness, slowest first.
 func (r *Router) ejectSlow(now float64, limit int) {
-	if len(r.slowTargets) < 2 {
+	if len(r.bySlowness) < 2 {
 		return
 	}
-	median := max(1, r.slowTargets[len(r.slowTargets)/2].factor)
-	for _, v := range r.slowTargets {
+	median := max(1, r.bySlowness[len(r.bySlowness)/2].factor)
+	for _, v := range r.bySlowness {
 		if limit <= 0 || v.factor < r.cfg.EjectFactor*median {
 			return
 		}
@@ -103,16 +105,18 @@
 	}
 }
 
-// slowTarget is a target and the factor by which it is slower than expected.
-type slowTarget struct {
+// targetSlowness is a target and the factor by which it is slower than
+// expected; below 1 if it is faster.
+type targetSlowness struct {
 	t      *target
 	factor float64
 }
 
-func slowestFirst(a, b slowTarget) int { return cmp.Compare(b.factor, a.factor) }
+func slowestFirst(a, b targetSlowness) int { return cmp.Compare(b.factor, a.factor) }
 
-// slowness returns the learned factor, or a larger one if the target has
-// stalled, since a stalled target yields no observations.
+// slowness returns the factor by which the target is slower than expected: the
+// learned one, or a larger one if the target has stalled, since a stalled
+// target yields no observations. It also sets t.stalled.
 func (r *Router) slowness(t *target, now float64) float64 {
 	f := 1.0
 	if t.speed.observations() >= minObservations {
@@ -133,6 +137,8 @@
 	return f
 }
 
+// oldestUnanswered returns the target's oldest attempt without a first token.
+// It drops ended and answered attempts from the front of t.unanswered.
 func (r *Router) oldestUnanswered(t *target) (attempt, bool) {
 	for len(t.unanswered) > 0 {
 		a, ok := r.attempts[t.unanswered[0]]
--- a/route/load.go
+++ b/route/load.go
@@ -34,7 +34,7 @@
 	// kvUsed the reported KV cache share.
 	reportedInFlight float64
 	kvUsed           float64
-	// pendingTokens estimates the queued prompt tokens at asOf.
+	// pendingTokens estimates the queued prompt tokens at asOf, in seconds.
 	pendingTokens float64
 	asOf          float64
 	// ownInFlight counts own attempts in flight, sentSinceReport those sent
@@ -70,7 +70,8 @@
 	l.asOf = now
 }
 
-// send records an own attempt.
+// send records an own attempt. rate is the target's prefill rate in tokens per
+// second.
 func (l *load) send(now float64, s sentAttempt, rate float64, p peers) {
 	l.advance(now, rate, p)
 	l.pendingTokens += s.tokens * (1 + p.perOwn)
@@ -107,8 +108,8 @@
 }
 
 // report replaces the estimate by report r, which describes the target at time
-// at, and replays the attempts sent since. The caller must drop reports older
-// than the last.
+// at, and replays the attempts sent since. rate is as for send. The caller must
+// drop reports that are not newer than the last.
 func (l *load) report(now, at float64, r Report, rate float64, p peers) {
 	l.reported = true
 	l.reportedAt = at
@@ -161,7 +162,8 @@
 }
 
 // inFlight estimates the target's running and waiting requests from all
-// instances.
+// instances. A report older than stale seconds is replaced by an estimate from
+// own attempts.
 func (l *load) inFlight(now, stale float64, p peers) float64 {
 	if !l.reported || now-l.reportedAt > stale {
 		return float64(l.ownInFlight) * (1 + p.perOwn)
--- a/route/picker_softmin.go
+++ b/route/picker_softmin.go
@@ -26,10 +26,10 @@
 		}
 	}
 	low := in[best].Score
-	heat := max(s.Config.MinPickTemperature.Seconds(), s.Config.PickTemperature*in[best].FirstToken)
+	temperature := max(s.Config.MinPickTemperature.Seconds(), s.Config.PickTemperature*in[best].FirstToken)
 	sum := 0.0
 	for i := range in {
-		in[i].weight = softminWeight((in[i].Score - low) / heat)
+		in[i].weight = softminWeight((in[i].Score - low) / temperature)
 		sum += in[i].weight
 	}
 	left := p.rng.Float64() * sum
--- a/route/prefixindex.go
+++ b/route/prefixindex.go
@@ -8,13 +8,14 @@
 // prefix blocks. It is an inverted index: a lookup takes one step per block of
 // the prompt, independently of the number of targets.
 type prefixIndex struct {
+	// holders lists the indexes of the targets that hold a block, by its digest.
 	holders map[uint64][]int32
 	// blocks is the number of blocks of the last looked-up prompt that each
 	// target holds; valid where generations equals generation.
 	blocks      []int32
 	generations []uint32
 	generation  uint32
-	// found lists the targets that hold at least one block of it.
+	// found lists the targets that hold at least one block of that prompt.
 	found []int32
 }
 
@@ -31,7 +32,9 @@
 }
 
 // lookup finds the deepest block of prefix that each target holds, and returns
-// the number of outermost blocks known to be held by any target.
+// the depth of the deepest block that any target holds; 0 if none. A target
+// counts as holding all blocks before its deepest. The search stops once
+// maxHolders targets are found.
 func (x *prefixIndex) lookup(prefix []uint64) (known int) {
 	x.generation++
 	if x.generation == 0 {
--- a/route/router.go
+++ b/route/router.go
@@ -28,12 +28,12 @@
 	filters    []Filter
 	scorers    []Scorer
 	picker     Picker
-	// scopedTargets, least, candidates, slowTargets and snapshot are buffers
+	// scopedTargets, least, candidates, bySlowness and snapshot are buffers
 	// reused by each decision.
 	scopedTargets []*target
 	least         leastLoaded
 	candidates    []Candidate
-	slowTargets   []slowTarget
+	bySlowness    []targetSlowness
 	snapshot      Snapshot
 }
 
@@ -44,12 +44,14 @@
 	// predicted is the predicted time to first token in seconds, expected the
 	// same at the rated speed.
 	predicted, expected float64
-	cached              int
+	// cached is the predicted prefix hit in tokens.
+	cached int
 	// uncached is the number of prompt tokens without a prefix hit, memory that
 	// of prompt and output tokens; memory is 0 for plain services.
 	uncached, memory float64
-	firstAt          float64
-	answered         bool
+	// answered is true after the first token, which came at firstAt.
+	firstAt  float64
+	answered bool
 }
 
 var _ Decider = (*Router)(nil)
@@ -86,8 +88,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Decide implements Decider. Of the Router's state, it changes only the
-// admission and spill accounting.
+// Decide implements Decider. It counts no attempt at any target. It updates the
+// request rates and the admission and spill accounting, and runs the check for
+// grey targets when that is due.
 func (r *Router) Decide(now time.Time, q *Request) Decision {
 	at := r.seconds(now)
 	s := r.services[q.Service]
@@ -111,7 +114,7 @@
 	return cands
 }
 
-// takeSnapshot sets the snapshot for a request, without the candidates.
+// takeSnapshot sets r.snapshot for a request to s and looks its prefix up.
 func (r *Router) takeSnapshot(now time.Time, s *service, q *Request) {
 	r.snapshot = Snapshot{Request: q, Config: &r.cfg, HoldTime: s.meanHold, Model: s.model}
 	v := &r.snapshot
--- a/route/scope.go
+++ b/route/scope.go
@@ -122,7 +122,7 @@
 	weight  [maxAffinity]uint64
 }
 
-// offer inserts index i with weight w if it is among the first n.
+// offer inserts index i with weight w if w is among the n highest.
 func (p *preferred) offer(i int, w uint64, n int) {
 	for k := range min(n, maxAffinity) {
 		if w > p.weight[k] {
--- a/route/speed.go
+++ b/route/speed.go
@@ -75,7 +75,7 @@
 	firstToken, decode ratio
 }
 
-// slowdown returns the greater ratio, to compare targets.
+// slowdown returns the greater of the two ratios, to compare targets.
 func (s *speed) slowdown() float64 {
 	return max(s.firstToken.factor(), s.decode.factor())
 }
--- a/route/spill.go
+++ b/route/spill.go
@@ -28,7 +28,7 @@
 	summary RegionSummary
 	// credit is the number of average requests that may be spilled at time at.
 	credit, at float64
-	// spilled counts requests sent there.
+	// spilled is the rate of requests spilled there.
 	spilled rate
 }
 
@@ -94,11 +94,11 @@
 	return float64(q.PromptTokens) / s.meanPrompt
 }
 
-// trySpill returns a Spill decision if a neighbour serves the request at a
-// lower marginal cost: two wide-area trips, its wait, and the prefill that a
-// warm cache here would have saved. A request that can be served in time here
-// is spilled only if it gains SpillMargin, or half of it while spilling is
-// active.
+// trySpill returns a Spill decision if a neighbour may take the request. The
+// time to its first token there is two wide-area trips, the neighbour's wait
+// for a cold prompt of average length, and the prefill of the prompt beyond
+// that length. A request that can be served in time here is spilled only if it
+// gains SpillMargin, or half of it while spilling is active.
 func (r *Router) trySpill(now time.Time, s *service, q *Request, local localWait) (Decision, bool) {
 	if q.Forwarded {
 		return Decision{}, false
@@ -116,17 +116,17 @@
 	return Decision{Action: Spill, Region: best.summary.Region}, true
 }
 
-// worthSpilling decides with hysteresis whether a gain in seconds justifies spilling. A
-// request of less than average work must gain more, as it frees little capacity
-// here.
+// worthSpilling decides with hysteresis whether a gain in seconds justifies
+// spilling; margin is Config.SpillMargin in seconds. A request of less than
+// average work must gain more, as it frees little capacity here.
 func (s *spill) worthSpilling(gain, work, margin float64) bool {
-	weighed := gain * min(1, work)
+	weightedGain := gain * min(1, work)
 	if s.active {
 		s.active = gain > margin/2
 	} else {
-		s.active = weighed > margin
+		s.active = weightedGain > margin
 	}
-	return s.active && weighed > margin/2
+	return s.active && weightedGain > margin/2
 }
 
 // cheapest returns the neighbour with the least predicted time to first token
--- a/route/summary.go
+++ b/route/summary.go
@@ -33,7 +33,7 @@
 	}
 	s.grant.moveTowards(at, spare, capacity*r.cfg.GrantRamp)
 	sum.FreeRate = s.grant.rate / float64(max(1, s.activeGrantUsers(at)))
-	sum.Wait = duration(queue + s.coldCallTime())
+	sum.Wait = duration(queue + s.coldFirstTokenTime())
 	return sum
 }
 
@@ -88,9 +88,9 @@
 	g.at = at
 }
 
-// coldCallTime returns the duration of an average call with a cold cache,
-// without queueing, in seconds.
-func (s *service) coldCallTime() float64 {
+// coldFirstTokenTime returns the time to first token of an average prompt with
+// a cold cache, or the duration of a plain call, without queueing, in seconds.
+func (s *service) coldFirstTokenTime() float64 {
 	if !s.model {
 		return s.meanPlain
 	}
--- a/route/target.go
+++ b/route/target.go
@@ -58,8 +58,9 @@
 // model reports whether it is a model engine rather than a plain service.
 func (t *target) model() bool { return t.spec.PrefillRate > 0 }
 
-// slots returns the number of requests it can run at once: memory may be
-// exhausted before the rated slots.
+// slots returns the number of requests it can run at once. While requests wait,
+// that is the number of running ones, if below the rated slots: memory may be
+// exhausted first.
 func (t *target) slots() float64 {
 	if t.waiting > 0 && t.running > 0 {
 		return float64(min(t.running, max(1, t.spec.Slots)))
@@ -109,18 +110,20 @@
 	byIndex []*target
 	index   *prefixIndex
 	model   bool
-	// meanHold is in seconds per slot, meanPrompt in prompt tokens,
-	// meanUncached in prompt tokens without a prefix hit, meanPlain in seconds
-	// per plain call.
+	// meanHold is the mean time in seconds that a request holds a slot,
+	// meanPrompt and meanUncached are the mean numbers of prompt tokens, in all
+	// and without a prefix hit, meanPlain is the mean duration of a plain call
+	// in seconds.
 	meanHold, meanPrompt, meanUncached, meanPlain float64
-	sentCount                                     int
+	// sentCount counts attempts sent to model targets.
+	sentCount int
 	// meanReported and meanOwn are means over reports of a target's requests in
 	// flight and of this instance's among them.
 	meanReported, meanOwn float64
 	memory                memory
-	// arrivals is the rate of requests decided here, forwardedIn of those among
-	// them forwarded from other regions, uncachedRate of uncached prompt tokens
-	// sent from here; all per second.
+	// arrivals is the rate of requests decided here, forwardedIn the part of it
+	// that other regions forwarded, and uncachedRate the rate of uncached prompt
+	// tokens sent from here; all per second.
 	arrivals, forwardedIn, uncachedRate rate
 	// prefillByPriority is the decaying sum of uncached prompt tokens sent,
 	// memoryByPriority that of tokens that need memory.
@@ -128,8 +131,8 @@
 	// memoryRate is the rate of tokens sent from here that need memory, per
 	// second.
 	memoryRate rate
-	// totalPrefillRate is the prefill rate of all targets that take work,
-	// warmTargets their number.
+	// totalPrefillRate is the prefill rate of all warm targets in tokens per
+	// second, warmTargets their number, as of greyCheckedAt.
 	totalPrefillRate float64
 	warmTargets      int
 	// greyCheckedAt is the time of the last check for grey targets, in seconds.
@@ -151,6 +154,7 @@
 	return min(max(n-1, 0), 2*prior+1)
 }
 
+// peers returns the estimated behaviour of the other instances.
 func (s *service) peers(c *Config) peers {
 	others := s.peerRatio(c)
 	even := others * (1 - c.PeerShare) * s.uncachedRate.perSecond()
@@ -194,7 +198,7 @@
 }
 
 // higherPriorityShare returns the share of the service's capacity, in prefill
-// or in memory, taken by requests of higher priority than p; others is the
+// or in memory, whichever is greater, taken by requests of higher priority than p; others is the
 // number of peer attempts per own attempt. These requests arrive while another
 // waits and run first, so its wait grows. Without this term, a low-priority
 // request is promised a start that it does not get while higher priorities keep
--- a/route/types.go
+++ b/route/types.go
@@ -75,8 +75,11 @@
 // CacheEvent reports prefix blocks that a target stored or evicted. Events
 // arrive late and with gaps, so they are only hints.
 type CacheEvent struct {
-	Target  TargetID
-	Seq     uint64
+	Target TargetID
+	// Seq is the event's number in the target's sequence, from 1; 0 if it has
+	// none.
+	Seq uint64
+	// Stored and Evicted are block digests, as in Request.Prefix.
 	Stored  []uint64
 	Evicted []uint64
 }
@@ -90,7 +93,8 @@
 	// Priority is 0 (lowest) to 9.
 	Priority int
 	Arrival  time.Time
-	// Deadline is the time by which the response must be complete.
+	// Deadline is the time by which the response must be complete; zero means
+	// no such deadline.
 	Deadline time.Time
 	// FirstTokenBy is the time by which the first token must have been sent;
 	// zero means no such deadline.
@@ -139,18 +143,17 @@
 type Reason string
 
 const (
-	// ReasonNone is the reason of a Send decision.
+	// ReasonNone is the reason of a decision that needs none, such as Send.
 	ReasonNone Reason = ""
-	// ReasonUnknownService: no target of any allowed region serves it.
+	// ReasonUnknownService: no known region serves it.
 	ReasonUnknownService Reason = "unknown_service"
 	// ReasonNoTarget: no target can take work now.
 	ReasonNoTarget Reason = "no_target"
-	// ReasonDeadline: no target is predicted to finish in time.
+	// ReasonDeadline: no target is predicted to meet its deadlines.
 	ReasonDeadline Reason = "deadline_unmeetable"
-	// ReasonOverload: the request was shed in favour of others.
+	// ReasonOverload: the predicted wait exceeds the bound for its priority.
 	ReasonOverload Reason = "overloaded"
-	// ReasonResidency: its allowed regions do not include one that can serve
-	// it.
+	// ReasonResidency: regions serve it, but none that it allows.
 	ReasonResidency Reason = "residency"
 )
 
@@ -223,7 +226,7 @@
 // membership.
 type Link struct {
 	Region string
-	// OneWay is the usual one-way delay.
+	// OneWay is the usual one-way delay to the neighbour.
 	OneWay time.Duration
 	// MaxShare bounds the fraction of requests spilled over it, 0 to 1.
 	MaxShare float64
