--- a/placement/advance.go
+++ b/placement/advance.go
@@ -23,7 +23,7 @@
 	}
 	switch order.Kind {
 	case "":
-		return p.idleReason(t)
+		return p.idleBlockedBy(t)
 	case ports.OrderResume:
 		if !p.ensureWarmUp(t) {
 			return BlockedWarmUp
@@ -32,10 +32,11 @@
 	return p.send(t, order, bytes)
 }
 
-// idleReason returns what a target that needs no order is waiting for.
-func (p *Planner) idleReason(t *target) Blocked {
+// idleBlockedBy returns what a target that needs no order is waiting for; empty
+// if nothing.
+func (p *Planner) idleBlockedBy(t *target) Blocked {
 	if t.goal.Leaving && inProgress(&t.report) > 0 {
-		return p.requestsReason(t)
+		return p.blockedByRequests(t)
 	}
 	if t.report.Loading {
 		return BlockedOrder
@@ -46,7 +47,9 @@
 	return ""
 }
 
-func (p *Planner) requestsReason(t *target) Blocked {
+// blockedByRequests returns BlockedInProgress, or BlockedDrainOverdue if the
+// target has been draining for longer than Desired.DrainTime.
+func (p *Planner) blockedByRequests(t *target) Blocked {
 	if p.now.Sub(t.drainSeenAt) > p.desired.DrainTime {
 		return BlockedDrainOverdue
 	}
@@ -62,10 +65,11 @@
 	}
 }
 
-// resolvePendingOrder updates the pending order and reports whether an order may be
-// sent: none is pending any more, or the pending one must be sent again. An unanswered
-// order that may have arrived is sent again while it is still needed; one that
-// is no longer needed is waited for, so that the next order cannot overtake it.
+// resolvePendingOrder updates the pending order and reports whether an order may
+// be sent: none is pending any more, or the pending one must be sent again. An
+// unanswered order that may have arrived is sent again while it is still needed;
+// one that is no longer needed is waited for, so that the next order cannot
+// overtake it.
 // An order whose effect is reported is kept while a second copy of it may
 // arrive: an engine that crashed in between would take the copy for a new
 // order.
@@ -123,9 +127,9 @@
 	return true
 }
 
-// ensureWarmUp reports whether the target has completed the warm-up that it needs
-// before it takes work. If not, it starts one unless one is running or may not
-// start yet.
+// ensureWarmUp reports whether the target has completed the warm-up that it
+// needs before it takes work. If not, it starts one unless one is running or may
+// not start yet.
 func (p *Planner) ensureWarmUp(t *target) bool {
 	w := &t.warm
 	if w.running && p.now.Sub(w.startAt) > 2*p.o.WarmUpTime {
@@ -159,8 +163,9 @@
 	t.resetBackoff()
 }
 
-// send sends an order unless something blocks it now. An order with an ID is
-// sent again.
+// send sends an order, which loads the given bytes, unless something blocks it
+// now. An order that already has an ID counts as sent before and keeps the ID.
+// It returns what blocks the target then.
 func (p *Planner) send(t *target, order ports.Order, bytes int64) Blocked {
 	resend := order.ID != ""
 	if blocked := p.blockedBy(t, &order, bytes, resend); blocked != "" {
@@ -211,7 +216,7 @@
 	case order.Kind == ports.OrderLoadVersion || order.Kind == ports.OrderLoadAdapter:
 		return p.loadBlockedBy(t, bytes)
 	case order.Kind == ports.OrderRole && !t.drained(&p.o):
-		return p.requestsReason(t)
+		return p.blockedByRequests(t)
 	}
 	return ""
 }
@@ -262,7 +267,7 @@
 // a version change must follow.
 func (p *Planner) loadBlockedBy(t *target, bytes int64) Blocked {
 	if t.goal.needsDrain(&t.report) && !t.drained(&p.o) {
-		return p.requestsReason(t)
+		return p.blockedByRequests(t)
 	}
 	if !p.earlierOrdersEnded() {
 		return BlockedEarlierLeader
@@ -298,8 +303,8 @@
 		p.unanswered(t)
 		return
 	case OrderOldFence:
-		// Another leader exists. This one stops, whatever it believes, until it
-		// holds a lease with a higher fencing number.
+		// Another leader exists. This one stops, even if its own lease looks
+		// valid, until it holds one with a higher fencing number.
 		p.counts.Refused++
 		p.supersededFence = p.fence
 		return
--- a/placement/events.go
+++ b/placement/events.go
@@ -54,8 +54,8 @@
 const (
 	// WarmUpAnswered: the engine returned a complete response.
 	WarmUpAnswered WarmUpOutcome = iota
-	// WarmUpRefused: the engine runs no requests while it is drained, so its
-	// report must suffice.
+	// WarmUpRefused: the engine runs no requests while it is drained. The
+	// warm-up counts as done: the engine's report must suffice.
 	WarmUpRefused
 	// WarmUpFailed: no response, or an incomplete one.
 	WarmUpFailed
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -33,8 +33,8 @@
 	// as unseen; default 3 s. LostAfter is the time after which its state is
 	// discarded; default 30 s.
 	StaleAfter, LostAfter time.Duration
-	// SendTime bounds how long an order may wait to be written, in addition to
-	// the target's order expiry; default 3 s, at most half a lease.
+	// SendTime bounds how long an order may wait to be written, as does the
+	// target's order expiry; default 3 s, at most half a lease.
 	SendTime time.Duration
 	// WarmUpTime bounds a warm-up; default 30 s.
 	WarmUpTime time.Duration
@@ -83,7 +83,7 @@
 	// under which an order was refused as old.
 	held            bool
 	supersededFence uint64
-	// isLeading is true if the last Step led. pollingSince is the start of the
+	// isLeading is true if orders could be sent at the last Step. pollingSince is the start of the
 	// current uninterrupted period of polling; time before it does not count
 	// towards LostAfter.
 	isLeading    bool
@@ -223,7 +223,9 @@
 		}
 		t.goal = g
 		if g.Leaving {
-			t.drainedElsewhere = false // The bundle now wants the drain too, and will end it when the target becomes active.
+			// The bundle now asks for the drain, so the planner ends it when the
+			// target becomes active.
+			t.drainedElsewhere = false
 		}
 		p.targets = append(p.targets, t)
 	}
@@ -248,6 +250,7 @@
 	}
 }
 
+// poll polls the targets that are due and have no recent poll in progress.
 func (p *Planner) poll() {
 	for _, t := range p.targets {
 		if t.polling && p.now.Sub(t.pollAt) < p.o.StaleAfter || p.now.Sub(t.pollAt) < p.o.PollInterval {
--- a/placement/status.go
+++ b/placement/status.go
@@ -15,7 +15,8 @@
 	PhaseUnseen Phase = "unseen"
 	// PhaseServing: takes work.
 	PhaseServing Phase = "serving"
-	// PhaseDraining: takes no new requests; requests in progress finish.
+	// PhaseDraining: takes no new requests; requests in progress finish, or the
+	// drain is external.
 	PhaseDraining Phase = "draining"
 	// PhaseLoading: drained; version, adapters or role are changing.
 	PhaseLoading Phase = "loading"
@@ -52,7 +53,8 @@
 	// BlockedDrainedElsewhere: a person or the platform drained the target and
 	// must resume it.
 	BlockedDrainedElsewhere Blocked = "drained_elsewhere"
-	// BlockedRetry: an order failed and is retried later.
+	// BlockedRetry: an order or warm-up failed; the next order waits for the
+	// retry delay.
 	BlockedRetry Blocked = "retry_later"
 	// BlockedLease: the lease is too short for an order.
 	BlockedLease Blocked = "lease"
--- a/placement/target.go
+++ b/placement/target.go
@@ -16,7 +16,8 @@
 	stageSending stage = iota
 	// stageAccepted: the engine accepted it; reports don't show its effect yet.
 	stageAccepted
-	// stageFailed: not sent, or not answered.
+	// stageFailed: not answered, or failed while an earlier copy may still
+	// arrive.
 	stageFailed
 )
 
@@ -134,7 +135,8 @@
 	return !t.seenAt.IsZero() && now.Sub(t.seenAt) <= o.StaleAfter
 }
 
-// outOfService reports whether the target carries no load, as far as is known.
+// outOfService reports whether the target takes no work or may take none: it is
+// unseen, draining, loading or empty, or a drain is pending.
 func (t *target) outOfService(now time.Time, o *Options) bool {
 	if !t.fresh(now, o) || t.report.Draining || t.report.Loading || t.report.Version == "" {
 		return true
