--- a/route/place/retryafter.go
+++ b/route/place/retryafter.go
@@ -60,7 +60,7 @@
 )
 
 // LimitRetryAfter returns the delay after which a caller should retry whose workspace has units
-// again after retryAfter.
+// again after retryAfter, within the bounds above.
 func LimitRetryAfter(retryAfter time.Duration) time.Duration {
 	return min(max(retryAfter, minLimitRetryAfter), maxLimitRetryAfter)
 }
