--- a/route/pick/choice.go
+++ b/route/pick/choice.go
@@ -6,20 +6,21 @@
 // exactly once.
 type Choice struct {
 	ID, Address string
-	// Cost is the estimate until the first event, in milliseconds, with what failures and other
-	// requests cost.
+	// Cost is the estimated cost of the call in milliseconds: Wait, the cost to the running
+	// requests and to its own answer, and the cost of the target's failures.
 	Cost float64
-	// Wait is Cost without failures and the cost to other requests, in milliseconds. It is used to
-	// compare regions: the failures of other regions are unknown, and if own failures counted, a
-	// request that fails everywhere would drive all others to other regions.
+	// Wait is the estimated time until the first event, or until the answer of a plain target, in
+	// milliseconds. It is used to compare regions: the failures of other regions are unknown, and
+	// if own failures counted, a request that fails everywhere would drive all others to other
+	// regions.
 	Wait float64
 	// QueueWait is the part of Wait that an engine spends on queued requests, independent of the
 	// length of the call's own prompt.
 	QueueWait float64
 	// Tokens is the estimated prefill until the first event, in tokens.
 	Tokens float64
-	// Cold says that the target was cold. EntryInstances is the number of entry instances known,
-	// among which one owns the target's group.
+	// Cold says that the target was cold when chosen. EntryInstances is the number of entry
+	// instances known then, one of which owns the target's group.
 	Cold           bool
 	EntryInstances int
 	// Limit is the last limit known of the target.
@@ -87,7 +88,7 @@
 	Neutral
 	// Failed: it answered with a failure.
 	Failed
-	// Lost: it could not be reached, or broke off.
+	// Lost: the connection was established, but no whole answer came.
 	Lost
 	// Unreachable: no connection could be established.
 	Unreachable
--- a/route/pick/filter.go
+++ b/route/pick/filter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// eligible is the filter: it reports whether the target may get this request now.
+// eligible reports whether the target may get this request now.
 func (p *Pool) eligible(now time.Time, t *target, c Call) bool {
 	switch {
 	case !p.available(now, t, c), t.probing:
--- a/route/pick/incarnation_test.go
+++ b/route/pick/incarnation_test.go
@@ -56,22 +56,22 @@
 			c, _ := p.Pick(t0, call(1))
 			return c != nil
 		}
-		unborn := func(x *pick.Target) { x.StartMillis = 0 }
-		p.Update(t0, list(func(x *pick.Target) { drained(x); unborn(x) }))
+		withoutStart := func(x *pick.Target) { x.StartMillis = 0 }
+		p.Update(t0, list(func(x *pick.Target) { drained(x); withoutStart(x) }))
 		Convey("does not return with an older list", func() {
-			p.Update(t0, list(unborn))
+			p.Update(t0, list(withoutStart))
 			So(open(), ShouldBeFalse)
 		})
 		Convey("returns when it is listed as newly cold", func() {
-			p.Update(t0, list(func(x *pick.Target) { unborn(x); x.ColdUntil, x.ColdEpoch = t0.Add(3*time.Second), 7 }))
+			p.Update(t0, list(func(x *pick.Target) { withoutStart(x); x.ColdUntil, x.ColdEpoch = t0.Add(3*time.Second), 7 }))
 			So(open(), ShouldBeTrue)
 		})
 		Convey("returns at another address", func() {
-			p.Update(t0, list(func(x *pick.Target) { unborn(x); x.Address = "10.0.0.2:1" }))
+			p.Update(t0, list(func(x *pick.Target) { withoutStart(x); x.Address = "10.0.0.2:1" }))
 			So(open(), ShouldBeTrue)
 		})
 		Convey("returns after it was off the list", func() {
-			s := list(unborn)
+			s := list(withoutStart)
 			p.Update(t0, pick.Snapshot{Entries: s.Entries, Rules: s.Rules})
 			p.Update(t0, s)
 			So(open(), ShouldBeTrue)
--- a/route/pick/limit.go
+++ b/route/pick/limit.go
@@ -10,13 +10,14 @@
 //
 // The owner of the target's group sends it requests at that rate, as to a cold target; the other
 // instances choose it for none themselves. The instance that gets the response need not be the
-// owner, so it reports the announced limit to the owner if the owner knows another one. Each
+// owner, so it reports the announced limit to the owner if the owner knows a different one. Each
 // request to the owner also carries the limits known to the sender, so a new owner does not start
 // without any.
 
 // TargetLimit is the limit that a target announces in a response. The zero value is no limit.
 type TargetLimit struct {
-	Limited   bool    `cbor:"1,keyasint,omitempty"`
+	Limited bool `cbor:"1,keyasint,omitempty"`
+	// PerSecond is the accepted requests per second, from all instances together.
 	PerSecond float64 `cbor:"2,keyasint,omitempty"`
 }
 
--- a/route/pick/pool.go
+++ b/route/pick/pool.go
@@ -43,12 +43,13 @@
 	// instances report.
 	own, byOwner Load
 	others       Load
-	// failures counts consecutive failures; the target is in backoff until backoffUntil. probing
-	// says that one request is in flight to test whether it is back.
+	// failures counts consecutive times that the target was lost or unreachable; any answer resets
+	// it. The target is in backoff until backoffUntil. probing says that one request is in flight
+	// to test whether it is back.
 	failures     int
 	backoffUntil time.Time
 	probing      bool
-	// failShare is the decayed share of failed answers.
+	// failShare is the decayed share of requests that failed, were rejected or got no whole answer.
 	failShare float64
 	// prefillMillis is the recent prefill time that this instance has assigned; it decays over
 	// prefillSpan, as of prefillAt.
@@ -157,8 +158,8 @@
 const (
 	// ReasonNoTarget: the service has no target in the region.
 	ReasonNoTarget = "no_target"
-	// ReasonNoneAvailable: all targets are draining, evacuated, in backoff, already tried, or
-	// rate-limited and not due yet.
+	// ReasonNoneAvailable: all targets are draining, evacuated, in backoff, being probed, already
+	// tried, or rate-limited and not due yet or left to the owner of their group.
 	ReasonNoneAvailable = "none_available"
 )
 
@@ -211,7 +212,8 @@
 	return best, estimated
 }
 
-// reserve counts the request in the target's load.
+// reserve counts the request in the target's load and rate limit, as its probe if the target has
+// failed, and returns the choice.
 func (p *Pool) reserve(w *scorer, t *target, e *estimate) *Choice {
 	ch := &Choice{ID: t.ID, Address: t.Address, Cost: e.cost(t), Limit: t.limit.TargetLimit, pool: p, t: t, at: w.now, chain: w.chain}
 	if t.failures > 0 {
@@ -249,7 +251,8 @@
 	return ch
 }
 
-// backOff leaves the target out for a while. Requests that fail together count once.
+// backOff starts the target's backoff and forgets which prefixes it has cached. Requests that fail
+// during the backoff don't extend it, so those that fail together count once.
 func (t *target) backOff(now time.Time) {
 	if now.Before(t.backoffUntil) {
 		return
@@ -338,6 +341,7 @@
 	return out
 }
 
+// mix combines two hashes; their order counts.
 func mix(a, b uint64) uint64 {
 	const odd = 0x9e3779b97f4a7c15
 	a ^= b + odd + a<<6 + a>>2
--- a/route/pick/score.go
+++ b/route/pick/score.go
@@ -41,7 +41,7 @@
 	wait, othersCost float64
 }
 
-// cost is the total, with what the target's failures cost.
+// cost is the total in milliseconds, with what the target's failures cost.
 func (e *estimate) cost(t *target) float64 {
 	return e.wait + e.othersCost + failCostMillis*t.failShare
 }
@@ -59,7 +59,7 @@
 		return e
 	}
 	e.prefillTokens = w.prefillTokensAt(t)
-	e.tokens = float64(e.load.PendingPrefill.Ahead(w.call.Rank)) + w.ownPrefillTokens(t, e.prefillTokens)
+	e.tokens = float64(e.load.PendingPrefill.Ahead(w.call.Rank)) + w.expectedPrefillTokens(t, e.prefillTokens)
 	// Engines slow down with the number of running requests.
 	e.wait = e.wait + t.slowness*w.prefillTime.firstEventMillis(e.tokens) + runningCostMillis*running
 	e.othersCost = slowdownCost(&w.call, w.prefillTime.firstEventMillis(float64(e.prefillTokens)), running, t.ownPrefillMillis(w.now)+float64(t.others.PrefillMillis))
@@ -75,10 +75,10 @@
 	return queueCostMillis * float64(max(0, running+1-t.Slots))
 }
 
-// ownPrefillTokens is the part of the prompt that is prefilled at a target. At the preferred target
-// preferredHitShare of the shared parts is assumed to be cached, even where this instance does not
-// know of it: other instances send the same parts there.
-func (w *scorer) ownPrefillTokens(t *target, prefillTokens int) float64 {
+// expectedPrefillTokens is the part of the prompt expected to be prefilled at a target, at most
+// prefillTokens. At the preferred target preferredHitShare of the shared parts is assumed to be
+// cached, even where this instance does not know of it: other instances send the same parts there.
+func (w *scorer) expectedPrefillTokens(t *target, prefillTokens int) float64 {
 	own := float64(prefillTokens)
 	if t == w.preferred && len(w.chain) > 1 {
 		shared := float64(w.chain[len(w.chain)-2].tokens)
@@ -94,12 +94,13 @@
 // expectedAnswerTokens is the expected length of the answer in tokens.
 func (c *Call) expectedAnswerTokens() float64 { return typicalAnswerShare * float64(c.OutputTokens) }
 
-// slowdownCost is what a prefill of own milliseconds costs the running requests, plus what the
-// call's answer loses at a target with so many milliseconds of recent prefill.
-func slowdownCost(c *Call, own, running, recentPrefill float64) float64 {
-	share := min(1, recentPrefill/float64(prefillSpan.Milliseconds()))
+// slowdownCost is what a prefill of prefillMillis costs the requests running at a target, plus what
+// the call's answer loses there, given the target's recent prefill. It is in milliseconds of
+// waiting.
+func slowdownCost(c *Call, prefillMillis, running, recentPrefillMillis float64) float64 {
+	share := min(1, recentPrefillMillis/float64(prefillSpan.Milliseconds()))
 	slower := chunkMillis*share + runningMillis*running
-	return disturbWeight*own*running + slowdownWeight*c.expectedAnswerTokens()*slower
+	return disturbWeight*prefillMillis*running + slowdownWeight*c.expectedAnswerTokens()*slower
 }
 
 // recordPrefill adds prefill time that this instance has assigned to the target.
--- a/route/pick/types.go
+++ b/route/pick/types.go
@@ -130,7 +130,7 @@
 	// slotCostMillis is what the running requests of a plain target cost the next one when all
 	// slots are full: a few tens of milliseconds of work.
 	slotCostMillis = 40.0
-	// queueCostMillis is the cost of each request beyond the slots.
+	// queueCostMillis is the cost of each request beyond the slots, in waiting for a slot.
 	queueCostMillis = 60.0
 	// preferredHitShare is the share of the shared parts assumed to be cached at the preferred
 	// target, where this instance has not sent them itself.
