--- a/route/events_test.go
+++ b/route/events_test.go
@@ -53,16 +53,16 @@
 // clocks agreed.
 func TestReportsWithWrongClock(t *testing.T) {
 	r := newTestRouter(1)
-	at := func(now, said time.Duration, running int) float64 {
-		r.Report(epoch.Add(now), Report{Target: "here-0", At: epoch.Add(said), Running: running})
+	at := func(now, reportTime time.Duration, running int) float64 {
+		r.Report(epoch.Add(now), Report{Target: "here-0", At: epoch.Add(reportTime), Running: running})
 		v := r.targets["here-0"]
 		return v.load.inFlight(now.Seconds(), r.cfg.ReportStale.Seconds(), peers{})
 	}
 	q := prompt(100)
 	steps := []struct {
-		now, said time.Duration
-		running   int
-		want      float64
+		now, reportTime time.Duration
+		running         int
+		want            float64
 	}{
 		{time.Second, time.Hour, 3, 3},
 		{2 * time.Second, time.Hour, 4, 4},
@@ -71,7 +71,7 @@
 		{20 * time.Second, 19 * time.Second, 6, 6},
 	}
 	for i, s := range steps {
-		if got := at(s.now, s.said, s.running); got != s.want {
+		if got := at(s.now, s.reportTime, s.running); got != s.want {
 			t.Fatalf("step %d: %v in flight, want %v", i, got, s.want)
 		}
 	}
