--- a/ports/platformhttp/client.go
+++ b/ports/platformhttp/client.go
@@ -106,7 +106,7 @@
 	remaining int64
 }
 
-// Read reads and counts bytes.
+// Read returns ErrTruncated for an end or an error before the announced size.
 func (e *sizedBody) Read(p []byte) (int, error) {
 	n, err := e.ReadCloser.Read(p)
 	e.remaining -= int64(n)
--- a/settings/load.go
+++ b/settings/load.go
@@ -36,8 +36,8 @@
 	return s, nil
 }
 
-// Decode decodes JSON over the defaults and checks it, like Load; paths stay as they
-// are.
+// Decode decodes JSON over the defaults and checks it, like Load, but leaves relative
+// paths relative.
 func Decode(data []byte) (*Settings, error) {
 	if len(data) > maxBytes {
 		return nil, Problems{{Message: fmt.Sprintf("%d bytes are more than settings may have", len(data))}}
