--- a/metrics/burn/cause.go
+++ b/metrics/burn/cause.go
@@ -13,17 +13,19 @@
 type Cause uint8
 
 // Causes. A request has at most one, the first that applies in this order: Limit, Spilled,
-// Refused, TargetLost, Late.
+// Refused, Late, TargetLost.
 const (
 	// Met requests had a whole answer within the objective.
 	Met Cause = iota
 	// Refused requests were not run for lack of room, time or targets.
 	Refused
-	// Late requests were answered whole after the deadline or the objective.
+	// Late requests were answered whole but missed the objective, or failed at their deadline
+	// after a target may have started them.
 	Late
-	// TargetLost requests failed after a target may have started them.
+	// TargetLost requests failed before their deadline, after a target may have started them.
 	TargetLost
-	// Spilled requests were forwarded to another region and missed the objective there.
+	// Spilled requests were spilled to another region, reached or not, and missed the
+	// objective.
 	Spilled
 	// Limit requests exceeded the limit of their workspace.
 	Limit
--- a/metrics/burn/snapshot.go
+++ b/metrics/burn/snapshot.go
@@ -130,7 +130,8 @@
 	return out
 }
 
-// mostMissed returns the workspaces with the most misses.
+// mostMissed returns the maxCount workspaces with the most misses, or the whole list if it is
+// not longer.
 func mostMissed(list []WorkspacePart, maxCount int) []WorkspacePart {
 	if len(list) <= maxCount {
 		return list
--- a/metrics/histogram.go
+++ b/metrics/histogram.go
@@ -21,6 +21,7 @@
 	return &histogram{bounds: bounds, buckets: make([]atomic.Int64, len(bounds)+1)}
 }
 
+// update counts a value; nanos is the same value in billionths.
 func (h *histogram) update(value float64, nanos int64) {
 	h.buckets[sort.SearchFloat64s(h.bounds, value)].Add(1)
 	h.sumNanos.Add(nanos)
--- a/metrics/lines/sink.go
+++ b/metrics/lines/sink.go
@@ -40,7 +40,8 @@
 	return &Sink{lines: ring.New[[]byte](ringLines), out: out}
 }
 
-// Write queues a line. It never blocks and never fails.
+// Write queues a copy of a line, or drops it if the ring is full. It never blocks and returns
+// no error.
 func (s *Sink) Write(line []byte) (int, error) {
 	// zap reuses its buffer.
 	s.lines.TryPush(append([]byte(nil), line...))
@@ -81,7 +82,9 @@
 	state     *budgetState
 }
 
+// budgetState is shared by a Budget and those that With returns.
 type budgetState struct {
+	// second is the Unix time of the current second, inSecond the number of lines in it.
 	second   atomic.Int64
 	inSecond atomic.Int64
 	skipped  atomic.Uint64
--- a/metrics/names_test.go
+++ b/metrics/names_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// row is a line of the tables in docs/METRICS.md.
+// row matches a line of the tables in docs/METRICS.md.
 var row = regexp.MustCompile("(?m)^\\| `(gullhaven_[a-z_]+)` \\| (\\w+) \\| (\\w+) \\| (.+) \\|$")
 
 // Guards against a page that describes a metric that no instance has, or lacks one: the page
--- a/metrics/set.go
+++ b/metrics/set.go
@@ -15,7 +15,8 @@
 	histograms map[string]*histogram
 	times      map[string]*Times
 	ratios     map[string]*Ratios
-	// control is the result of readControl for the page that is being written.
+	// readControl reads the control plane's metrics once for each page; control holds the
+	// result.
 	readControl func() Control
 	control     atomic.Pointer[Control]
 	// onPage, if set, is called before each page.
