--- a/coord/limit/doc.go
+++ b/coord/limit/doc.go
@@ -21,13 +21,13 @@
 // tokens. After a change of the number of instances the floor bursts follow with
 // the next reports.
 //
-// # Bound on needless refusals
+// # Bound on false refusals
 //
 // Let N instances together ask for 0.8 of the limit, with a burst of two seconds,
 // in requests of up to a fifth of an instance's equal share of a second (limit/5N),
-// evenly or unevenly spread, regular or Poisson. Of the requests that a single
-// bucket for the whole region would let through, the instances refuse, on average
-// over random cases and at most in any one of them:
+// evenly or unevenly spread, regular or Poisson. False refusals are those
+// beyond what a single bucket for the whole region would refuse. Their share of all
+// requests, on average over random cases and at most in any one of them, is:
 //
 //	                                      with urgent reports   without
 //	within a lease of the start              1%, 15%             2%, 25%
--- a/coord/limit/offered_test.go
+++ b/coord/limit/offered_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// needlessRefusals returns the fraction refused beyond what a single bucket refused.
-func (c *loadSim) needlessRefusals(period int) float64 {
+// falseRefusals returns the fraction refused beyond what a single bucket refused.
+func (c *loadSim) falseRefusals(period int) float64 {
 	return (c.refused[period] - c.regionRefused[period]) / max(1, c.asked[period])
 }
 
@@ -200,7 +200,7 @@
 		reports = 1
 	}
 	for i, p := range []int{phase, aLeaseLater} {
-		got := c.needlessRefusals(i)
+		got := c.falseRefusals(i)
 		sums[p][reports].add(got)
 		if maxRefused := refusalBounds[p][reports].each; got > maxRefused {
 			t.Fatalf("phase %d: %.3f refused, want at most %v", p, got, maxRefused)
@@ -247,7 +247,7 @@
 				sum.refused[1] += c.refused[1]
 				sum.regionRefused[1] += c.regionRefused[1]
 			}
-			got := sum.needlessRefusals(1)
+			got := sum.falseRefusals(1)
 			t.Logf("size %.1f, Poisson %v, urgent reports %v: %.3f", k.size, k.poisson, urgent, got)
 			if got > k.bound {
 				t.Errorf("want at most %v", k.bound)
@@ -266,7 +266,7 @@
 		c.run(5*lease, 0)
 		c.alloc = NewAllocator(c.now, tokensOnly, lease, c.names)
 		c.run(3*lease, 2*lease+lease/2)
-		if got := c.needlessRefusals(1); got > 0.02 {
+		if got := c.falseRefusals(1); got > 0.02 {
 			t.Errorf("%.3f refused after the change", got)
 		}
 	}
--- a/coord/limit/urgent.go
+++ b/coord/limit/urgent.go
@@ -49,7 +49,7 @@
 // that should not wait for the next regular one; without demands there is nothing to
 // send. A host that calls it ten times a second, and sends the result like a regular
 // report, avoids most refusals while load moves. Without it the bound on what passes
-// is the same, but more is refused needlessly. As with Report, a host must wait for
+// is the same, but there are more false refusals. As with Report, a host must wait for
 // the response to one before it sends the next: an overtaken response is dropped.
 func (l *Limiter) UrgentReport(now time.Time) (number uint64, demands []Demand) {
 	for id := range l.urgent {
--- a/node/limits/limits_test.go
+++ b/node/limits/limits_test.go
@@ -191,7 +191,7 @@
 	})
 }
 
-// Guards against twice the limit for a while at each change of owner, as an owner
+// Guards against twice the limit for a while at each change of owner, if an owner
 // grants before its predecessor's shares have ended, or returns with old state: a
 // new owner joins and dies, which all see at once; demand above the limit moves
 // to one instance and back; that one may be cut off from the next owner.
@@ -289,7 +289,7 @@
 }
 
 // Guards against a partition with no owner or two, against partitions that move
-// between members which stay, as with owners by list position, and against an
+// between members which stay, if owners are assigned by list position, and against an
 // owner that gets no report for one of its partitions.
 func TestPartitionsHaveOneOwnerEach(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/node/loads/publisher_test.go
+++ b/node/loads/publisher_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// Guards against load observations that exceed their traffic budget (nine times), as
+// Guards against load observations that exceed their traffic budget (nine times), if
 // messages grow with the square of the region: at any size, the loads of all engines
 // change with every poll, versions sometimes, and there are always cache events.
 func TestTrafficStaysInBudgetAtAnyRegionSize(t *testing.T) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Guards against state changes that reach others seconds late, as they wait for the
+// Guards against state changes that reach others seconds late, if they wait for the
 // owner's next round or are sent only once, and against backups that poll although the
 // owner sends: engines leave, load, go down, come back, crash between two polls, and
 // the first message may be lost.
@@ -283,7 +283,7 @@
 	}
 }
 
-// Guards against two engines with the same key, as their hashes share the low bits.
+// Guards against two engines with the same key, if their hashes share the low bits.
 func TestCollidingKeysAreLong(t *testing.T) {
 	seen := map[uint64]string{}
 	var a, b string
--- a/node/loads/table_test.go
+++ b/node/loads/table_test.go
@@ -104,7 +104,7 @@
 	})
 }
 
-// Guards against new requests at a leaving target, as an observation overwrites what the
+// Guards against new requests at a leaving target, if an observation overwrites what the
 // bundle or the platform says.
 func TestLeavingIsNotOverwritten(t *testing.T) {
 	warm := route.TargetSpec{ID: "t0", State: route.Warm}
--- a/node/placing/placing_test.go
+++ b/node/placing/placing_test.go
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// Guards against a roll of a new version that interrupts answers, as an engine loads
+// Guards against a roll of a new version that interrupts answers, if an engine loads
 // before its requests in progress have ended, or that leaves an engine with the old
 // version: a new bundle arrives while requests stream from all three engines.
 func TestRollOfVersionInterruptsNoRequest(t *testing.T) {
