--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -196,7 +196,7 @@
 	for _, key := range []string{"waits", "leaves"} {
 		l.resend(other, key)
 		if l.lastVerdicts[key] != verdict.Ran || c.bookingRuns(key) != 1 {
-			t.Errorf("%s: told %v, %d runs", key, l.lastVerdicts[key], c.bookingRuns(key))
+			t.Errorf("%s: got %v, %d runs", key, l.lastVerdicts[key], c.bookingRuns(key))
 		}
 	}
 }
--- a/e2e/loop_test.go
+++ b/e2e/loop_test.go
@@ -36,7 +36,7 @@
 		r, err := c.request(i, http.MethodPost, "/v1/completions", i.settings.Region, briefingBody("nowhere "+strconv.Itoa(n), 4), nil)
 		must(t, err)
 		if r.refusal.Verdict != verdict.NotRun || r.refusal.RetryAfterMillis == 0 {
-			t.Errorf("%s answered %d %s; want a refusal with when to come back", i.id(), r.status, r.body)
+			t.Errorf("%s answered %d %s; want a refusal with a time to retry after", i.id(), r.status, r.body)
 		}
 		taken := c.requestsReceived() - before
 		if taken > most {
@@ -47,9 +47,9 @@
 		time.Sleep(pollInterval)
 	}
 	if forwarded == 0 {
-		t.Error("no request was passed on, so that none could loop")
+		t.Error("no request was forwarded, so that none could loop")
 	}
-	t.Logf("%d of %d requests were passed on", forwarded, requests)
+	t.Logf("%d of %d requests were forwarded", forwarded, requests)
 }
 
 // requestsReceived returns the number of requests that all instances received, including
@@ -187,7 +187,7 @@
 		}
 	}
 	if n := c.spilled("jatim") - spilled; n != 0 {
-		t.Errorf("%d of %d requests were sent away after the targets were back", n, 3*after)
+		t.Errorf("%d of %d requests were spilled after the targets were back", n, 3*after)
 	}
 }
 
@@ -204,7 +204,7 @@
 					return err
 				}
 				if home.runsOf(prompt) == 0 {
-					return errorString("a briefing was sent away")
+					return errorString("a briefing was spilled")
 				}
 				path := "/lookup-" + prompt[:10]
 				r, err := c.request(i, http.MethodGet, "/services/titles"+strings.ReplaceAll(path, " ", "-"), region, "", nil)
@@ -266,7 +266,7 @@
 			i := c.inRegion("jatim")[n%2]
 			r, err := c.request(i, http.MethodPost, "/v1/completions", "jatim", briefingBody(prompt, 5000), headers{pipeline.HeaderDeadline: "600000"})
 			if err != nil || r.refusal.Code == "" || r.refusal.RetryAfterMillis == 0 {
-				t.Errorf("%s: %+v, %v; want a refusal with when to come back", i.id(), r, err)
+				t.Errorf("%s: %+v, %v; want a refusal with a time to retry after", i.id(), r, err)
 			}
 		})
 		time.Sleep(pollInterval)
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -30,10 +30,10 @@
 	defer l.mu.Unlock()
 	runs := l.c.bookingRuns(key)
 	if r.callerVerdict() == verdict.NotRun && runs != 0 {
-		l.c.t.Errorf("%s: %s was told not_run after %d runs: %s", what, key, runs, r.body)
+		l.c.t.Errorf("%s: %s got not_run after %d runs: %s", what, key, runs, r.body)
 	}
 	if before, known := l.lastVerdicts[key]; known && before == verdict.Ran && r.callerVerdict() == verdict.NotRun {
-		l.c.t.Errorf("%s: %s was told ran, and now not_run", what, key)
+		l.c.t.Errorf("%s: %s got ran, and now not_run", what, key)
 	}
 	l.lastVerdicts[key] = r.callerVerdict()
 }
@@ -52,7 +52,7 @@
 	for key, said := range l.lastVerdicts {
 		runs := l.c.bookingRuns(key)
 		if runs > 1 || (said == verdict.NotRun && runs != 0) || (said == verdict.Ran && runs != 1) {
-			l.c.t.Errorf("%s was told %v and ran %d times", key, said, runs)
+			l.c.t.Errorf("%s got %v and ran %d times", key, said, runs)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		return nil
 	})
 	if after, _ := l.lastVerdict(key); known && before == verdict.NotRun && after != verdict.Ran {
-		c.t.Errorf("%s was told not_run, and its resend %v", key, after)
+		c.t.Errorf("%s got not_run, and its resend %v", key, after)
 	}
 }
 
@@ -163,7 +163,7 @@
 			wg.Go(func() {
 				r, err := c.book(i, "jatim", key, nil)
 				if err == nil && r.callerVerdict() == verdict.NotRun && c.bookingRuns(key) != 0 {
-					c.t.Errorf("%s was told not_run and ran: %s", key, r.body)
+					c.t.Errorf("%s got not_run and ran: %s", key, r.body)
 				}
 			})
 		}
@@ -190,7 +190,7 @@
 		}
 		l.record(f.name, key, r)
 		if !slices.Contains(f.wantVerdicts, r.callerVerdict()) {
-			c.t.Errorf("%s: told %v: %s", f.name, r.callerVerdict(), r.body)
+			c.t.Errorf("%s: got %v: %s", f.name, r.callerVerdict(), r.body)
 		}
 	}()
 	if f.wantRuns > 0 {
--- a/e2e/poison_test.go
+++ b/e2e/poison_test.go
@@ -34,25 +34,25 @@
 		r, err := c.request(region[n%len(region)], http.MethodPost, "/v1/completions", "jatim", briefingBody(poison, 20), headers{pipeline.HeaderIdempotencyKey: fmt.Sprint("new-id-", n), pipeline.HeaderResend: "false"})
 		must(t, err)
 		if r.refusal.Code == "" && r.status == http.StatusOK && len(r.body) > 0 && !isErrorStream(r.body) {
-			t.Errorf("sending %d was answered: %s", n, r.body)
+			t.Errorf("attempt %d was answered: %s", n, r.body)
 		}
 		last = r
 	}
 	close(stop)
 	wg.Wait()
 	if n := targets.runsOf(poison); n < 1 || n > 2 {
-		t.Errorf("it took %d engine lives", n)
+		t.Errorf("it started at engines %d times", n)
 	}
 	last.refused(t, "at last", pipeline.CodeSuspected, verdict.NotRun)
 	for n, count := range answered {
 		if count == 0 {
-			t.Errorf("innocent caller %d got no answer", n)
+			t.Errorf("bystander %d got no answer", n)
 		}
 	}
 	// The requests that shared an engine with it must be answered afterwards.
 	for n := range answered {
 		for k := range answered[n] {
-			c.eventually("an innocent is answered", func() error {
+			c.eventually("a bystander is answered", func() error {
 				prompt := bystanderPrompt(n, k)
 				text, err := c.briefing(region[k%len(region)], "jatim", prompt, 30)
 				if err == nil && text != standin.Answer([]byte(prompt), 30) {
--- a/e2e/request_test.go
+++ b/e2e/request_test.go
@@ -120,7 +120,7 @@
 	status, first, err := c.sendBooking(c.instances[1], "jatim", "b-1", body, nil)
 	must(t, err)
 	if status != http.StatusOK {
-		t.Fatalf("first sending: %d %s", status, first)
+		t.Fatalf("first attempt: %d %s", status, first)
 	}
 	resend := map[string]string{"Gullhaven-Resend": "true"}
 	for _, i := range c.instances {
@@ -146,7 +146,7 @@
 }
 
 // expectNoSecondRun resends a booking that ran and checks that the answer is the
-// first one or says that it ran.
+// first one, or an error that the booking ran.
 func (c *cluster) expectNoSecondRun(i *instance, body string, headers map[string]string) {
 	c.t.Helper()
 	status, answer, err := c.sendBooking(i, "jatim", "b-1", body, headers)
--- a/e2e/residency_test.go
+++ b/e2e/residency_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	if !c.outputContains(c.voter(boundRegion), digest[:]) {
-		t.Error("the home's disk holds no digest of the claim; it would not be seen elsewhere either")
+		t.Error("the home region's disk holds no digest of the claim, so its absence elsewhere proves nothing")
 	}
 }
 
@@ -85,7 +85,7 @@
 // name an instance of boundRegion.
 func (c *cluster) checkMisdirected(i *instance, path, body string, h headers) {
 	c.t.Helper()
-	c.eventually(i.id()+" says where to go", func() error {
+	c.eventually(i.id()+" redirects to the bound region", func() error {
 		r, err := c.request(i, http.MethodPost, path, boundWorkspace, body, h)
 		must(c.t, err)
 		if r.status != http.StatusMisdirectedRequest || r.header.Get(pipeline.HeaderRegions) != boundRegion {
@@ -102,7 +102,7 @@
 			}
 		}
 		// Instances learn the instances of other regions within seconds of their start.
-		return errors.New("no place at home: " + to.String())
+		return errors.New("Location names no instance of the bound region: " + to.String())
 	})
 }
 
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -50,7 +50,7 @@
 func (s *bookingLoad) send(key string, i *instance) {
 	r, err := s.ledger.c.book(i, "jatim", key, nil)
 	if err == nil {
-		s.ledger.record("first sending", key, r)
+		s.ledger.record("first attempt", key, r)
 	}
 }
 
@@ -140,7 +140,7 @@
 		wg.Go(func() {
 			key := fmt.Sprint("waiting-", n)
 			if r, err := c.book(frozen, "jatim", key, nil); err == nil && r.callerVerdict() == verdict.NotRun && c.bookingRuns(key) != 0 {
-				t.Errorf("%s was told not_run: %s", key, r.body)
+				t.Errorf("%s got not_run: %s", key, r.body)
 			}
 		})
 	}
--- a/experiment/suspects.go
+++ b/experiment/suspects.go
@@ -51,11 +51,11 @@
 // result, until there are none. Its duration is not modelled.
 func (r *region) publish(now time.Time, entries []suspect.Entry) {
 	for len(entries) > 0 {
-		var news []suspect.Entry
+		var updates []suspect.Entry
 		for _, in := range r.instances {
-			news = append(news, in.table.Merge(now, entries)...)
+			updates = append(updates, in.table.Merge(now, entries)...)
 		}
-		entries = news
+		entries = updates
 	}
 }
 
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -152,7 +152,8 @@
 var notRun = []int{408, 421, 429, 503}
 
 // checkRuns checks that a request ran at most once if it must, that a refused request didn't
-// run, and that an answered one did.
+// run, and that an answered one did. Like the other checks it returns the violation, empty if
+// there is none.
 func (l *Ledger) checkRuns(r *Request) string {
 	runs := l.Runs(r.ID)
 	switch {
@@ -166,8 +167,8 @@
 	return ""
 }
 
-// checkContent checks that an answer belongs to the request, and is complete unless it ended
-// with an error.
+// checkContent checks that an answer of status 200 belongs to the request, and is complete
+// unless it ended with an error.
 func (l *Ledger) checkContent(r *Request) string {
 	if r.Status != 200 {
 		return ""
--- a/soak/process.go
+++ b/soak/process.go
@@ -135,7 +135,7 @@
 		return err
 	}
 	if _, err := f.Write([]byte{0, 0, 1, 7, 42}); err != nil {
-		return fmt.Errorf("tear %s: %w", newest, err)
+		return fmt.Errorf("append a partial record to %s: %w", newest, err)
 	}
 	return f.Close()
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -196,7 +196,7 @@
 func zone(n int) string   { return fmt.Sprint("z", n%zones) }
 func region(n int) string { return fmt.Sprint("r", n%zones) }
 
-// startAll starts all processes that don't run.
+// startAll starts all processes that don't run. first is their setting first_start.
 func (w *World) startAll(first bool) error {
 	for _, p := range w.processes() {
 		if err := p.start(first); err != nil {
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -78,7 +78,8 @@
 	}
 }
 
-func (c *cache) used() float64 {
+// usedShare returns the fraction of CacheBlocks in use.
+func (c *cache) usedShare() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return float64(len(c.order)) / float64(c.cfg.CacheBlocks)
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -181,11 +181,11 @@
 }
 
 // One request crashes the engine while another runs. The other must get an error
-// too, and the load report must show a new start time; otherwise nobody can tell
-// why the batch was lost.
+// too, and the load report must show a new start time; without it the
+// cause of the lost batch can't be detected.
 func TestCrashAbortsTheBatchAndStartsANewIncarnation(t *testing.T) {
 	e := standin.NewEngine(standin.EngineConfig{PerToken: time.Hour})
-	e.SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "killer"})
+	e.SetFaults(standin.Fault{Kind: standin.FaultCrash, Match: "poison"})
 	address, tr := listen(t, e)
 	c := enginehttp.New(address, tr)
 	before, _ := c.Load(t.Context())
@@ -196,9 +196,9 @@
 	if _, err := other.Next(); err != nil {
 		t.Fatal(err)
 	}
-	killer := completion("a-2", true)
-	killer.Body = []byte(strings.Replace(body, "hello", "killer", 1))
-	_, _, end := read(c.Complete(t.Context(), killer))
+	poison := completion("a-2", true)
+	poison.Body = []byte(strings.Replace(body, "hello", "poison", 1))
+	_, _, end := read(c.Complete(t.Context(), poison))
 	checkEnd(t, end, ports.CodeStreamCut, verdict.MayHaveRun)
 	_, end = other.Next()
 	checkEnd(t, end, ports.CodeStreamCut, verdict.Ran)
@@ -367,7 +367,7 @@
 	return b
 }
 
-// Checks the contract of ports.InstanceList: it lags, and says how old it is.
+// Checks the contract of ports.InstanceList: it lags, and reports its age.
 func TestInstanceListContract(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := standin.NewInstanceList(3*time.Second, func() time.Time { return now })
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -301,7 +301,7 @@
 func (e *Engine) report(now time.Time) ports.LoadReport {
 	l := ports.LoadReport{At: now, Started: e.incarnation.Load().started}
 	l.Running, l.Waiting = e.slots.load()
-	l.KVUsed = e.cache.used()
+	l.KVUsed = e.cache.usedShare()
 	e.orders.fillReport(&l)
 	return l
 }
