--- a/coord/admit/admit.go
+++ b/coord/admit/admit.go
@@ -7,7 +7,7 @@
 // while an earlier one is pending, and the next call decides again.
 //
 // Without the rules below:
-//   - A machine is lost for good and its successor starts at another address. If
+//   - An instance is lost permanently and its successor starts at another address. If
 //     the lost voter stays, each replacement raises the number of voters that must
 //     answer while the number that can does not rise, until there is no majority.
 //   - A partitioned voter is taken for dead. Removing it on silence alone would let a
--- a/coord/admit/admit_test.go
+++ b/coord/admit/admit_test.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// Guards against a group that loses its majority after a few replacements of machines: a
-// machine is lost for good, another one starts at a new address, and the lost voter stays.
+// Guards against a group that loses its majority after a few replacements of
+// instances: one is lost permanently, another one starts at a new address, and the lost
+// voter stays.
 func TestNewcomerReplacesSilentVoterOfItsZone(t *testing.T) {
 	Convey("a voter is gone and a newcomer of its zone asks", t, func() {
 		v, g, now := newView("a", "b", "c"), admit.New(admit.Rules{}), time.Unix(100, 0)
--- a/coord/limit/allocator.go
+++ b/coord/limit/allocator.go
@@ -48,7 +48,7 @@
 	// createdAt is the time of the first demand.
 	createdAt  time.Time
 	allocation allocation
-	// allocatedAt is when allocation was computed; zero if it must be computed anew.
+	// allocatedAt is when allocation was computed; zero if it must be recomputed.
 	allocatedAt time.Time
 }
 
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -266,7 +266,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/10_000, "ns/demand")
 }
 
-func BenchmarkTakeTenThousandWorkspaces(b *testing.B) {
+func BenchmarkConsumeTenThousandWorkspaces(b *testing.B) {
 	l := NewLimiter(lookup, 9, lease)
 	names := make([]string, 10_000)
 	for i := range names {
--- a/coord/membership/group.go
+++ b/coord/membership/group.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// promptRefutation tells a member that this instance holds it for suspect or
+// promptRefutation tells a member that this instance considers it suspect or
 // dead, or that its own update is outdated, so that it can refute.
 func (g *Group) promptRefutation(from string, outdated bool) []Out {
 	if !outdated && !g.isSuspectOrDead(from) || g.refutationPrompts == maxRefutationPrompts {
--- a/coord/registry/doc.go
+++ b/coord/registry/doc.go
@@ -15,7 +15,7 @@
 // A Table is a state machine for the log of another group, which survives the loss of
 // the first one. Before a group serves, it registers the number that its log was formed
 // under (replog's Group: the founder's incarnation, a random number drawn with its data
-// folder, so that a group formed anew has another).
+// folder, so that a group formed after a loss has another).
 //
 //	registered before      requested       result
 //	nothing of the name    any number      Granted, no wait
--- a/coord/wal/format.go
+++ b/coord/wal/format.go
@@ -36,8 +36,8 @@
 // IncarnationSize is the length of an Incarnation in bytes.
 const IncarnationSize = 16
 
-// Incarnation is the random id of a folder. The host draws it; a folder that was wiped
-// gets another one.
+// Incarnation is the random id of a folder, from its creation until it is wiped. The host
+// draws it; a folder that was wiped gets another one.
 type Incarnation [IncarnationSize]byte
 
 // String returns the id in hexadecimal.
--- a/daemon/site.go
+++ b/daemon/site.go
@@ -136,7 +136,7 @@
 			r.log.Error("changed settings are invalid, the old ones stay in use", zap.Error(err))
 			continue
 		}
-		r.log.Info("settings read again")
+		r.log.Info("changed settings are valid and are used from the next start on")
 	}
 }
 
--- a/e2e/poison_test.go
+++ b/e2e/poison_test.go
@@ -17,7 +17,7 @@
 // target with all requests there. A prompt crashes every engine that runs it, while
 // many callers send other prompts; its caller resends it through every instance, each
 // time as a new request.
-func TestKillerTakesTwoEnginesAtMost(t *testing.T) {
+func TestPoisonRequestCrashesTwoEnginesAtMost(t *testing.T) {
 	c := startShape(t, shape{perRegion: 3, engines: 4, inProcessTargets: true})
 	const poison = "this prompt kills engines"
 	targets, region := c.targets["jatim"], c.inRegion("jatim")
--- a/node/control/instance.go
+++ b/node/control/instance.go
@@ -43,7 +43,7 @@
 const (
 	// snapshotEntries is the number of log entries between snapshots. keepEntries of them are
 	// kept for lagging members: more than a large configuration has pieces, so that a member
-	// that is slightly behind does not need all pieces anew. At maxAppendBytes an entry, that
+	// that is slightly behind does not need all pieces again. At maxAppendBytes an entry, that
 	// is 9 MB of log.
 	snapshotEntries = 512
 	keepEntries     = 256
--- a/node/control/lagging.go
+++ b/node/control/lagging.go
@@ -27,7 +27,7 @@
 	logged            bool
 }
 
-// record takes in which state an instance holds. It returns newLag once when the lag exceeds
+// record records the state that an instance holds. It returns newLag once when the lag exceeds
 // lagThreshold, and ended once when such a lag is over.
 func (l *lagTable) record(now time.Time, id string, held, accepted uint64) (newLag, ended *lag) {
 	l.mu.Lock()
--- a/node/control/standby.go
+++ b/node/control/standby.go
@@ -32,7 +32,7 @@
 	reader documentReader
 }
 
-// update takes in the leader's reply to a join request, and reports whether this instance
+// update applies the leader's reply to a join request, and reports whether this instance
 // became or ceased to be a standby for want of a place.
 func (o *standby) update(self feed.Core, r *joinReply) (changed bool) {
 	o.mu.Lock()
--- a/node/feed/aggregate.go
+++ b/node/feed/aggregate.go
@@ -36,7 +36,7 @@
 	otherRegions map[string][]Summary
 }
 
-// currentAggregate returns the aggregate, computed anew if it has expired.
+// currentAggregate returns the aggregate, and recomputes it if it has expired.
 func (st *Store) currentAggregate(now time.Time) *aggregate {
 	if st.aggregate != nil && !now.Before(st.aggregate.at) && now.Sub(st.aggregate.at) < aggregateTTL {
 		return st.aggregate
--- a/node/rollout/machine.go
+++ b/node/rollout/machine.go
@@ -24,7 +24,7 @@
 	// CodeMalformed: the proposal is neither a signed bundle nor a valid registration.
 	CodeMalformed verdict.Code = "malformed_bundle"
 	// CodeLogLost: this instance holds a newer bundle than the log, or a region has a bundle
-	// and the log has none. So the log was lost and formed anew.
+	// and the log has none. So the log was lost and another one was formed.
 	CodeLogLost verdict.Code = "global_log_lost"
 )
 
--- a/pipeline/hopcheck.go
+++ b/pipeline/hopcheck.go
@@ -10,7 +10,8 @@
 // a hop header; instances must, and its last hop must be the sender.
 type HopCheck struct{ self hop.Hop }
 
-// Serve fills x.Hops, or refuses the request.
+// Serve fills x.Hops, or refuses the request. It runs before anything else of the request
+// is read.
 func (f *HopCheck) Serve(x *Exchange, next Handler) error {
 	values, given := x.R.Header[HeaderHop]
 	if x.Peer == "" {
--- a/route/place/roundtrip_test.go
+++ b/route/place/roundtrip_test.go
@@ -35,7 +35,8 @@
 	})
 }
 
-// Guards against one request delayed by ten seconds that stops forwarding for seconds.
+// Guards against one request that stops forwarding for seconds: a lost packet delays it by ten
+// seconds.
 func TestOutlierDoesNotDecideRoundTrip(t *testing.T) {
 	var trips place.RoundTrips
 	for range 60 {
--- a/soak/process.go
+++ b/soak/process.go
@@ -129,7 +129,7 @@
 	if err != nil || len(segments) == 0 {
 		return err
 	}
-	newest := slices.Max(segments) // They are numbered.
+	newest := slices.Max(segments) // Their names are numbers.
 	f, err := os.OpenFile(newest, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		return err
--- a/soak/world.go
+++ b/soak/world.go
@@ -136,7 +136,7 @@
 // instance returns the address for other instances of instance n, core instances first.
 func (l *layout) instance(n int) string { return fmt.Sprintf("%s:%d", l.net.host(n), l.port) }
 
-// addCore adds core instance n.
+// addCore adds core instance n. Core instances have the first hosts, entry instances the next.
 func (w *World) addCore(l *layout, n int) error {
 	c := &coreInstance{}
 	addresses, err := w.prepare(l, &c.process, &c.forwarded, "core", n, n)
